--- a/bench/figures.h
+++ b/bench/figures.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Figures of samples, for all benchmarks.
-#ifndef BRACKENSPOKE_BENCH_FIGURES_H_
-#define BRACKENSPOKE_BENCH_FIGURES_H_
+#ifndef LOAD_BALANCER_BENCH_FIGURES_H_
+#define LOAD_BALANCER_BENCH_FIGURES_H_
 
 #include <algorithm>
 #include <cmath>
 #include <vector>
 
-namespace brackenspoke::bench {
+namespace load_balancer::bench {
 
 // The nearest sample; not a number without any.
 inline double Quantile(std::vector<double> values, double q) {
@@ -17,6 +17,6 @@
   return values[static_cast<std::size_t>(q * static_cast<double>(values.size() - 1) + 0.5)];
 }
 
-}  // namespace brackenspoke::bench
+}  // namespace load_balancer::bench
 
-#endif  // BRACKENSPOKE_BENCH_FIGURES_H_
+#endif  // LOAD_BALANCER_BENCH_FIGURES_H_
--- a/bench/fleet_bench.h
+++ b/bench/fleet_bench.h
@@ -2,15 +2,15 @@
 //
 // What the fleet's benchmarks share: figures of samples, and what members count. They start real processes by
 // the tests' harness.
-#ifndef BRACKENSPOKE_BENCH_FLEET_BENCH_H_
-#define BRACKENSPOKE_BENCH_FLEET_BENCH_H_
+#ifndef LOAD_BALANCER_BENCH_FLEET_BENCH_H_
+#define LOAD_BALANCER_BENCH_FLEET_BENCH_H_
 
 #include <set>
 
 #include "cluster.h"
 #include "figures.h"
 
-namespace brackenspoke::bench {
+namespace load_balancer::bench {
 
 using namespace testing::fleet;
 using Clock = std::chrono::steady_clock;
@@ -25,6 +25,6 @@
   return sum / static_cast<double>(cluster.size() - dead.size());
 }
 
-}  // namespace brackenspoke::bench
+}  // namespace load_balancer::bench
 
-#endif  // BRACKENSPOKE_BENCH_FLEET_BENCH_H_
+#endif  // LOAD_BALANCER_BENCH_FLEET_BENCH_H_
--- a/bench/lease_handoff.cpp
+++ b/bench/lease_handoff.cpp
@@ -13,8 +13,8 @@
 
 namespace {
 
-using namespace brackenspoke::bench;
-using namespace brackenspoke::testing;
+using namespace load_balancer::bench;
+using namespace load_balancer::testing;
 
 constexpr std::size_t kVoters = 5;
 constexpr const char* kHolds = "lease duty=discovery role=holder";
--- a/bench/log_lines.cpp
+++ b/bench/log_lines.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-namespace log = brackenspoke::log;
+namespace log = load_balancer::log;
 
 // As the module words a line of its own.
 const std::string kEvent = "server 17 ejected: 9 failures of 12, for 30000 ms";
--- a/bench/membership_rounds.cpp
+++ b/bench/membership_rounds.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using namespace brackenspoke::bench;
+using namespace load_balancer::bench;
 
 struct Row {
   std::vector<double> detection;  // seconds, of each survivor and each kill
--- a/bench/model_leases.cpp
+++ b/bench/model_leases.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-using namespace brackenspoke;
+using namespace load_balancer;
 using std::chrono::milliseconds;
 
 constexpr char kDuty[] = "discovery";
--- a/bench/model_state.cpp
+++ b/bench/model_state.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-using namespace brackenspoke;
+using namespace load_balancer;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/bench/model_sync.cpp
+++ b/bench/model_sync.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-using namespace brackenspoke;
+using namespace load_balancer;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
--- a/bench/quota_scale.cpp
+++ b/bench/quota_scale.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-using namespace brackenspoke::model::scale;
+using namespace load_balancer::model::scale;
 
 struct Named {
   const char* name;
--- a/bench/recovery_time.cpp
+++ b/bench/recovery_time.cpp
@@ -13,9 +13,9 @@
 
 namespace {
 
-using namespace brackenspoke::bench;
-using namespace brackenspoke::testing;
-namespace st = brackenspoke::state;
+using namespace load_balancer::bench;
+using namespace load_balancer::testing;
+namespace st = load_balancer::state;
 
 st::UnixMs WallNow() {
   return static_cast<st::UnixMs>(
--- a/bench/request_cost.cpp
+++ b/bench/request_cost.cpp
@@ -20,9 +20,9 @@
 
 namespace {
 
-using namespace brackenspoke::testing;
-using brackenspoke::bench::Quantile;
+using namespace load_balancer::testing;
 using fleet::Process;
+using load_balancer::bench::Quantile;
 
 struct Options {
   std::vector<std::string> programs{PROXY_PATH};
--- a/bench/spill_gossip.cpp
+++ b/bench/spill_gossip.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-using namespace brackenspoke;
+using namespace load_balancer;
 using fleet::UnixMs;
 
 constexpr UnixMs kStart = 1800000000000;
--- a/bench/state_convergence.cpp
+++ b/bench/state_convergence.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-using namespace brackenspoke::bench;
-using namespace brackenspoke::testing;
+using namespace load_balancer::bench;
+using namespace load_balancer::testing;
 
 struct Row {
   std::vector<double> taken;  // seconds, of each member but the writer and each verdict
--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -5,10 +5,10 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
 int main() {
-  using namespace brackenspoke;
+  using namespace load_balancer;
   using std::chrono::milliseconds;
 
   Settings settings;
--- a/include/brackenspoke/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The whole interface of brackenspoke: settings, events, actions and the Balancer that maps one to the other.
+// The whole interface of load_balancer: settings, events, actions and the Balancer that maps one to the
+// other.
 //
 // A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: time comes in with each
 // event and randomness derives from the seed alone. Classes, tenants, zones and kinds are indices into the
 // lists of the settings, so names cannot decide anything.
-#ifndef BRACKENSPOKE_BALANCER_H_
-#define BRACKENSPOKE_BALANCER_H_
+#ifndef LOAD_BALANCER_BALANCER_H_
+#define LOAD_BALANCER_BALANCER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -15,7 +16,7 @@
 #include <variant>
 #include <vector>
 
-namespace brackenspoke {
+namespace load_balancer {
 
 // The clock is the caller's; its origin is arbitrary and it only advances.
 struct Clock {
@@ -245,13 +246,13 @@
   Pace Learnt() const;
 
   // As of the last event; `now` only ends the second after a refusal.
-  brackenspoke::Spare Spare(TimePoint now) const;
+  load_balancer::Spare Spare(TimePoint now) const;
 
  private:
   class Impl;
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_BALANCER_H_
+#endif  // LOAD_BALANCER_BALANCER_H_
--- a/model/clock.h
+++ b/model/clock.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A machine's clocks as functions of true time.
-#ifndef BRACKENSPOKE_MODEL_CLOCK_H_
-#define BRACKENSPOKE_MODEL_CLOCK_H_
+#ifndef LOAD_BALANCER_MODEL_CLOCK_H_
+#define LOAD_BALANCER_MODEL_CLOCK_H_
 
 #include <algorithm>
 #include <cmath>
@@ -10,7 +10,7 @@
 
 #include "model/program.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 inline constexpr std::uint64_t kWallStart = 1'800'000'000'000;  // Unix ms at the run's start
 
@@ -39,6 +39,6 @@
   }
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_CLOCK_H_
+#endif  // LOAD_BALANCER_MODEL_CLOCK_H_
--- a/model/fault.cpp
+++ b/model/fault.cpp
@@ -7,7 +7,7 @@
 #include <numeric>
 #include <random>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using Kind = FaultKind;
@@ -128,4 +128,4 @@
   world.At(fault.at, [&world, fault] { Begin(world, fault); });
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/fault.h
+++ b/model/fault.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Faults of a run: drawn from a seed, written down, played again.
-#ifndef BRACKENSPOKE_MODEL_FAULT_H_
-#define BRACKENSPOKE_MODEL_FAULT_H_
+#ifndef LOAD_BALANCER_MODEL_FAULT_H_
+#define LOAD_BALANCER_MODEL_FAULT_H_
 
 #include <cstdint>
 #include <string_view>
@@ -11,7 +11,7 @@
 #include "model/program.h"
 #include "model/world.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 enum class FaultKind {
   kCrash,        // of each of `who`; restarts after `lasts`
@@ -52,6 +52,6 @@
 // To happen at its moment. Machines that the world does not have are passed over.
 void Inject(World& world, const Fault& fault);
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_FAULT_H_
+#endif  // LOAD_BALANCER_MODEL_FAULT_H_
--- a/model/fleet/federation.cpp
+++ b/model/fleet/federation.cpp
@@ -6,7 +6,7 @@
 #include <array>
 #include <utility>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 constexpr unsigned short kPort = 7900;
@@ -139,4 +139,4 @@
   return holders;
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/fleet/federation.h
+++ b/model/fleet/federation.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Sites of gateways in one world, each site a fleet, all together a federation, and checks on them.
-#ifndef BRACKENSPOKE_MODEL_FLEET_FEDERATION_H_
-#define BRACKENSPOKE_MODEL_FLEET_FEDERATION_H_
+#ifndef LOAD_BALANCER_MODEL_FLEET_FEDERATION_H_
+#define LOAD_BALANCER_MODEL_FLEET_FEDERATION_H_
 
 #include <functional>
 #include <memory>
@@ -12,7 +12,7 @@
 #include "model/fleet/program.h"
 #include "model/world.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct FederationOptions {
   std::size_t sites = 1, members = 5;   // members of each site
@@ -71,6 +71,6 @@
 std::vector<std::size_t> Holders(Federation& federation, std::size_t machine, std::size_t pool,
                                  const std::string& duty);
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_FLEET_FEDERATION_H_
+#endif  // LOAD_BALANCER_MODEL_FLEET_FEDERATION_H_
--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -6,7 +6,7 @@
 
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using fleet::Message;
@@ -196,4 +196,4 @@
   Publish(duty, "lease/" + duty, {{"holder", Holder()}, {"left_ms", Milliseconds(left)}}, left);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/fleet/member.h
+++ b/model/fleet/member.h
@@ -2,8 +2,8 @@
 //
 // A member of one pool: membership, shared state and leases put together as src/fleet/node.cpp does it, with
 // a machine of the model in place of socket, timer and clocks.
-#ifndef BRACKENSPOKE_MODEL_FLEET_MEMBER_H_
-#define BRACKENSPOKE_MODEL_FLEET_MEMBER_H_
+#ifndef LOAD_BALANCER_MODEL_FLEET_MEMBER_H_
+#define LOAD_BALANCER_MODEL_FLEET_MEMBER_H_
 
 #include <cstdint>
 #include <optional>
@@ -19,7 +19,7 @@
 #include "model/fleet/votes.h"
 #include "model/program.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class PoolMember;
 
@@ -121,6 +121,6 @@
   std::optional<fleet::Leases> leases_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_FLEET_MEMBER_H_
+#endif  // LOAD_BALANCER_MODEL_FLEET_MEMBER_H_
--- a/model/fleet/program.h
+++ b/model/fleet/program.h
@@ -2,15 +2,15 @@
 //
 // A gateway's fleet side as a program: a member of its site's pool and, optionally, of the federation's. What
 // is built on them derives from it.
-#ifndef BRACKENSPOKE_MODEL_FLEET_PROGRAM_H_
-#define BRACKENSPOKE_MODEL_FLEET_PROGRAM_H_
+#ifndef LOAD_BALANCER_MODEL_FLEET_PROGRAM_H_
+#define LOAD_BALANCER_MODEL_FLEET_PROGRAM_H_
 
 #include <algorithm>
 #include <optional>
 
 #include "model/fleet/member.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 inline constexpr std::size_t kSitePool = 0, kWidePool = 1;
 
@@ -50,6 +50,6 @@
   std::optional<PoolMember> wide_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_FLEET_PROGRAM_H_
+#endif  // LOAD_BALANCER_MODEL_FLEET_PROGRAM_H_
--- a/model/fleet/votes.h
+++ b/model/fleet/votes.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A voter's votes on its machine's disk: kept as long as the disk is, written at once.
-#ifndef BRACKENSPOKE_MODEL_FLEET_VOTES_H_
-#define BRACKENSPOKE_MODEL_FLEET_VOTES_H_
+#ifndef LOAD_BALANCER_MODEL_FLEET_VOTES_H_
+#define LOAD_BALANCER_MODEL_FLEET_VOTES_H_
 
 #include <algorithm>
 #include <boost/asio/ip/udp.hpp>
@@ -15,7 +15,7 @@
 #include "fleet/lease/kept_votes.h"
 #include "model/program.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class DiskVotes : public fleet::VoteStore {
  public:
@@ -49,6 +49,6 @@
   std::vector<std::string> voters_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_FLEET_VOTES_H_
+#endif  // LOAD_BALANCER_MODEL_FLEET_VOTES_H_
--- a/model/lease/member.cpp
+++ b/model/lease/member.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using std::chrono::milliseconds;
@@ -131,4 +131,4 @@
   if (!arena_.expected.contains(&failure.kind())) arena_.broken = failure.Text();
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/lease/member.h
+++ b/model/lease/member.h
@@ -2,8 +2,8 @@
 //
 // A member that holds leases, as a program of the World: it makes its lease known, acts while it holds it,
 // and keeps its votes on its machine's disk. All members of a run share an Arena, which sees what goes wrong.
-#ifndef BRACKENSPOKE_MODEL_LEASE_MEMBER_H_
-#define BRACKENSPOKE_MODEL_LEASE_MEMBER_H_
+#ifndef LOAD_BALANCER_MODEL_LEASE_MEMBER_H_
+#define LOAD_BALANCER_MODEL_LEASE_MEMBER_H_
 
 #include <memory>
 #include <optional>
@@ -15,7 +15,7 @@
 #include "model/fleet/votes.h"
 #include "model/world.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class LeaseMember;
 
@@ -85,6 +85,6 @@
   Time act_at_;                             // when it reaches the resource, or the next one begins
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_LEASE_MEMBER_H_
+#endif  // LOAD_BALANCER_MODEL_LEASE_MEMBER_H_
--- a/model/lease/operator.cpp
+++ b/model/lease/operator.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <array>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using std::chrono::milliseconds;
@@ -90,4 +90,4 @@
                      [](const LeaseMember* member) { return member && member->Acts(); });
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/lease/operator.h
+++ b/model/lease/operator.h
@@ -2,8 +2,8 @@
 //
 // Changes the voters of members in service: restarts every member with the new set, one after another, each
 // with its disk, as docs/leases.md says or as it forbids.
-#ifndef BRACKENSPOKE_MODEL_LEASE_OPERATOR_H_
-#define BRACKENSPOKE_MODEL_LEASE_OPERATOR_H_
+#ifndef LOAD_BALANCER_MODEL_LEASE_OPERATOR_H_
+#define LOAD_BALANCER_MODEL_LEASE_OPERATOR_H_
 
 #include <cstdint>
 #include <random>
@@ -12,7 +12,7 @@
 #include "model/lease/member.h"
 #include "model/world.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 // kByRule: one voter more or less; then until somebody holds, and a term. kTwoAtOnce: two voters more, less
 // or one for another, and the same wait. kNoWait: as the rule, but the next change begins at once;
@@ -46,6 +46,6 @@
   bool done_ = true;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_LEASE_OPERATOR_H_
+#endif  // LOAD_BALANCER_MODEL_LEASE_OPERATOR_H_
--- a/model/lease/schedule.cpp
+++ b/model/lease/schedule.cpp
@@ -8,7 +8,7 @@
 #include "model/lease/member.h"
 #include "model/world.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using std::chrono::milliseconds;
@@ -151,4 +151,4 @@
   return Schedule(seed, options).Run(faults);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/lease/schedule.h
+++ b/model/lease/schedule.h
@@ -4,8 +4,8 @@
 // disks, stalls, cuts, loss, delay, doubled and overtaken messages, wall clocks that jump, monotonic clocks
 // at any rate within the bound, give-backs, time between an act's check and its reaching the resource, acts
 // with effects that last, and voters that are changed.
-#ifndef BRACKENSPOKE_MODEL_LEASE_SCHEDULE_H_
-#define BRACKENSPOKE_MODEL_LEASE_SCHEDULE_H_
+#ifndef LOAD_BALANCER_MODEL_LEASE_SCHEDULE_H_
+#define LOAD_BALANCER_MODEL_LEASE_SCHEDULE_H_
 
 #include <cstdint>
 #include <optional>
@@ -15,7 +15,7 @@
 #include "model/fault.h"
 #include "model/lease/operator.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct ScheduleOptions {
   std::size_t members = 5;
@@ -36,6 +36,6 @@
 ScheduleResult RunSchedule(std::uint64_t seed, const ScheduleOptions& options,
                            const std::vector<Fault>& faults);
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_LEASE_SCHEDULE_H_
+#endif  // LOAD_BALANCER_MODEL_LEASE_SCHEDULE_H_
--- a/model/lease/search.cpp
+++ b/model/lease/search.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <unordered_set>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using Kind = Step::Kind;
@@ -131,4 +131,4 @@
   return Searcher(beginning).Run(depth, most_states);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/lease/search.h
+++ b/model/lease/search.h
@@ -3,8 +3,8 @@
 // Model checking of leases: every sequence of steps of a Table up to a depth, breadth first, so that the
 // first one that breaks something is a shortest one. A state is rebuilt by doing its steps anew, and looked
 // at once, by its fingerprint.
-#ifndef BRACKENSPOKE_MODEL_LEASE_SEARCH_H_
-#define BRACKENSPOKE_MODEL_LEASE_SEARCH_H_
+#ifndef LOAD_BALANCER_MODEL_LEASE_SEARCH_H_
+#define LOAD_BALANCER_MODEL_LEASE_SEARCH_H_
 
 #include <cstdint>
 #include <optional>
@@ -13,7 +13,7 @@
 
 #include "model/lease/table.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 // Where a search begins: after these steps, which count nothing towards its depth.
 struct Beginning {
@@ -39,6 +39,6 @@
 // Ends early, with the depth that it has reached, once it has looked at `most_states`.
 SearchResult Search(const Beginning& beginning, int depth, std::uint64_t most_states);
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_LEASE_SEARCH_H_
+#endif  // LOAD_BALANCER_MODEL_LEASE_SEARCH_H_
--- a/model/lease/table.cpp
+++ b/model/lease/table.cpp
@@ -7,7 +7,7 @@
 
 #include "fleet/lease/fingerprint.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using fleet::LeaseMessage;
@@ -247,4 +247,4 @@
          std::to_string(m.request % 1000);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/lease/table.h
+++ b/model/lease/table.h
@@ -4,8 +4,8 @@
 // virtual time that a search chooses. A message may be delivered at any later step, or never, and, as a
 // fault, once more: so it can be lost, late, doubled and overtaken. A member that is not ticked stands still.
 // Denials are lost, since they bear on when somebody asks again, which is any time here.
-#ifndef BRACKENSPOKE_MODEL_LEASE_TABLE_H_
-#define BRACKENSPOKE_MODEL_LEASE_TABLE_H_
+#ifndef LOAD_BALANCER_MODEL_LEASE_TABLE_H_
+#define LOAD_BALANCER_MODEL_LEASE_TABLE_H_
 
 #include <array>
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 #include "fleet/lease/leases.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 inline constexpr std::size_t kSeats = 3;
 
@@ -108,6 +108,6 @@
   std::optional<std::string> broken_;  // at the resource, or by its token
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_LEASE_TABLE_H_
+#endif  // LOAD_BALANCER_MODEL_LEASE_TABLE_H_
--- a/model/machine.cpp
+++ b/model/machine.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 Machine::Machine(std::size_t number, std::string name, Endpoint address, Maker maker, MachineClock clock,
                  Surroundings& around)
@@ -68,4 +68,4 @@
   return std::max({clock_.When(next), stalled_until_, around_.now()});
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/machine.h
+++ b/model/machine.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One machine: its clocks, its disk, the program that runs on it, and what waits while it stands still.
-#ifndef BRACKENSPOKE_MODEL_MACHINE_H_
-#define BRACKENSPOKE_MODEL_MACHINE_H_
+#ifndef LOAD_BALANCER_MODEL_MACHINE_H_
+#define LOAD_BALANCER_MODEL_MACHINE_H_
 
 #include <any>
 #include <cstdint>
@@ -14,7 +14,7 @@
 #include "model/clock.h"
 #include "model/program.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 inline constexpr std::size_t kMostQueued = 256;  // packets that wait at a machine that stands still
 
@@ -68,6 +68,6 @@
   std::unique_ptr<Program> program_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_MACHINE_H_
+#endif  // LOAD_BALANCER_MODEL_MACHINE_H_
--- a/model/network.cpp
+++ b/model/network.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 template <typename T>
@@ -122,4 +122,4 @@
   if (Happens(link.duplicate, random)) delays->push_back(Delay(link, random));
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/network.h
+++ b/model/network.h
@@ -2,8 +2,8 @@
 //
 // What becomes of a datagram between two machines. Machines are numbers, as the world gives them; each is at
 // a site, and a site's own links may differ from those between sites.
-#ifndef BRACKENSPOKE_MODEL_NETWORK_H_
-#define BRACKENSPOKE_MODEL_NETWORK_H_
+#ifndef LOAD_BALANCER_MODEL_NETWORK_H_
+#define LOAD_BALANCER_MODEL_NETWORK_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 #include "model/program.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 // Probabilities are from 0 to 1, each drawn for itself. Delays are uniform between least and most, so that
 // packets overtake each other within that; a reordered one is held for up to `hold` more.
@@ -69,6 +69,6 @@
   Id last_ = 0;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_NETWORK_H_
+#endif  // LOAD_BALANCER_MODEL_NETWORK_H_
--- a/model/program.h
+++ b/model/program.h
@@ -2,8 +2,8 @@
 //
 // What runs on a machine of the model, and what it sees of it. A program is one life of a process; only the
 // machine's disk outlives it.
-#ifndef BRACKENSPOKE_MODEL_PROGRAM_H_
-#define BRACKENSPOKE_MODEL_PROGRAM_H_
+#ifndef LOAD_BALANCER_MODEL_PROGRAM_H_
+#define LOAD_BALANCER_MODEL_PROGRAM_H_
 
 #include <any>
 #include <boost/asio/ip/udp.hpp>
@@ -17,7 +17,7 @@
 
 #include "base/time.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 using Moment = std::chrono::nanoseconds;  // true time since the run's start
 using Endpoint = boost::asio::ip::udp::endpoint;
@@ -58,6 +58,6 @@
 // Called at each start. The host outlives the program.
 using Maker = std::function<std::unique_ptr<Program>(Host&)>;
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_PROGRAM_H_
+#endif  // LOAD_BALANCER_MODEL_PROGRAM_H_
--- a/model/quota/gateways.cpp
+++ b/model/quota/gateways.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <variant>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using std::chrono::milliseconds;
@@ -315,4 +315,4 @@
   if (!inside && possible) ++tally.refused_in_error;
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/quota/gateways.h
+++ b/model/quota/gateways.h
@@ -2,8 +2,8 @@
 //
 // Gateways of several sites in the model, each with its account of quotas and the allocators that it may come
 // to be, under clients that send to them as a scenario says.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_GATEWAYS_H_
-#define BRACKENSPOKE_MODEL_QUOTA_GATEWAYS_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_GATEWAYS_H_
+#define LOAD_BALANCER_MODEL_QUOTA_GATEWAYS_H_
 
 #include <cstdint>
 #include <memory>
@@ -18,7 +18,7 @@
 #include "quota/account.h"
 #include "quota/allocator.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct GatewaysOptions {
   std::uint64_t seed = 1;
@@ -93,6 +93,6 @@
   bool saving_ = false;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_GATEWAYS_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_GATEWAYS_H_
--- a/model/quota/lease_member.h
+++ b/model/quota/lease_member.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The allocators' leases as one gateway of the model takes part in them.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_LEASE_MEMBER_H_
-#define BRACKENSPOKE_MODEL_QUOTA_LEASE_MEMBER_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_LEASE_MEMBER_H_
+#define LOAD_BALANCER_MODEL_QUOTA_LEASE_MEMBER_H_
 
 #include <chrono>
 #include <map>
@@ -14,7 +14,7 @@
 #include "model/program.h"
 #include "quota/budget.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 // Who holds which duty, as all others hear of it within a fifth of a second.
 class Holders {
@@ -98,6 +98,6 @@
   fleet::Leases leases_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_LEASE_MEMBER_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_LEASE_MEMBER_H_
--- a/model/quota/ledger_check.h
+++ b/model/quota/ledger_check.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The hard rule of quotas, and what an all-knowing gate would have done.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_LEDGER_CHECK_H_
-#define BRACKENSPOKE_MODEL_QUOTA_LEDGER_CHECK_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_LEDGER_CHECK_H_
+#define LOAD_BALANCER_MODEL_QUOTA_LEDGER_CHECK_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -12,7 +12,7 @@
 #include "model/program.h"
 #include "quota/amount.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct Admission {
   Moment at;
@@ -83,6 +83,6 @@
   return worst;
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_LEDGER_CHECK_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_LEDGER_CHECK_H_
--- a/model/quota/scale/clients.h
+++ b/model/quota/scale/clients.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The clients of one gateway: for each partner with traffic here a Poisson process of requests.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_SCALE_CLIENTS_H_
-#define BRACKENSPOKE_MODEL_QUOTA_SCALE_CLIENTS_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_CLIENTS_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SCALE_CLIENTS_H_
 
 #include <algorithm>
 #include <chrono>
@@ -15,7 +15,7 @@
 
 #include "model/program.h"
 
-namespace brackenspoke::model::scale {
+namespace load_balancer::model::scale {
 
 using PartnerId = std::uint32_t;
 
@@ -75,6 +75,6 @@
   std::vector<Stream> streams_;
 };
 
-}  // namespace brackenspoke::model::scale
+}  // namespace load_balancer::model::scale
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_SCALE_CLIENTS_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SCALE_CLIENTS_H_
--- a/model/quota/scale/crowd.cpp
+++ b/model/quota/scale/crowd.cpp
@@ -4,7 +4,7 @@
 #include <utility>
 #include <variant>
 
-namespace brackenspoke::model::scale {
+namespace load_balancer::model::scale {
 namespace {
 
 using nlohmann::json;
@@ -216,4 +216,4 @@
   return holder && world_.program(*holder) ? holder : std::nullopt;
 }
 
-}  // namespace brackenspoke::model::scale
+}  // namespace load_balancer::model::scale
--- a/model/quota/scale/crowd.h
+++ b/model/quota/scale/crowd.h
@@ -2,8 +2,8 @@
 //
 // Many gateways under many partners' clients, in virtual time: each with its account of quotas, and some that
 // may come to be allocators. What goes between them is packed as on the wire.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_SCALE_CROWD_H_
-#define BRACKENSPOKE_MODEL_QUOTA_SCALE_CROWD_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_CROWD_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SCALE_CROWD_H_
 
 #include <cstdint>
 #include <map>
@@ -18,7 +18,7 @@
 #include "quota/account.h"
 #include "quota/allocator.h"
 
-namespace brackenspoke::model::scale {
+namespace load_balancer::model::scale {
 
 struct CrowdOptions {
   std::uint64_t seed = 1;
@@ -102,6 +102,6 @@
   std::uint64_t lives_ = 0;
 };
 
-}  // namespace brackenspoke::model::scale
+}  // namespace load_balancer::model::scale
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_SCALE_CROWD_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SCALE_CROWD_H_
--- a/model/quota/scale/fairness.h
+++ b/model/quota/scale/fairness.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // How evenly a budget was shared among gateways.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_SCALE_FAIRNESS_H_
-#define BRACKENSPOKE_MODEL_QUOTA_SCALE_FAIRNESS_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_FAIRNESS_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SCALE_FAIRNESS_H_
 
 #include <algorithm>
 #include <vector>
 
-namespace brackenspoke::model::scale {
+namespace load_balancer::model::scale {
 
 // Max-min fair shares of `capacity`, none over its demand.
 inline std::vector<double> MaxMin(double capacity, const std::vector<double>& demands) {
@@ -42,6 +42,6 @@
   return squares > 0 ? sum * sum / (count * squares) : 1;
 }
 
-}  // namespace brackenspoke::model::scale
+}  // namespace load_balancer::model::scale
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_SCALE_FAIRNESS_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SCALE_FAIRNESS_H_
--- a/model/quota/scale/judges.h
+++ b/model/quota/scale/judges.h
@@ -2,8 +2,8 @@
 //
 // Other ways to keep a partner's budget, for the same requests: the budget divided evenly by gateways; one
 // central counter that is asked for each request; and an all-knowing gate, which no real one beats.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_SCALE_JUDGES_H_
-#define BRACKENSPOKE_MODEL_QUOTA_SCALE_JUDGES_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_JUDGES_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SCALE_JUDGES_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 #include "model/quota/scale/crowd.h"
 #include "quota/budget.h"
 
-namespace brackenspoke::model::scale {
+namespace load_balancer::model::scale {
 
 // Each gateway has its part of rate and burst, from the start on, and whole.
 class StaticDivision {
@@ -54,6 +54,6 @@
   std::optional<std::size_t> holder_;
 };
 
-}  // namespace brackenspoke::model::scale
+}  // namespace load_balancer::model::scale
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_SCALE_JUDGES_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SCALE_JUDGES_H_
--- a/model/quota/scale/run.cpp
+++ b/model/quota/scale/run.cpp
@@ -8,7 +8,7 @@
 #include "model/quota/scale/fairness.h"
 #include "model/quota/scale/judges.h"
 
-namespace brackenspoke::model::scale {
+namespace load_balancer::model::scale {
 namespace {
 
 using quota::kOne;
@@ -239,4 +239,4 @@
 
 Figures Run(const RunOptions& options) { return Play(options).All(); }
 
-}  // namespace brackenspoke::model::scale
+}  // namespace load_balancer::model::scale
--- a/model/quota/scale/run.h
+++ b/model/quota/scale/run.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One run of many gateways and partners, and how quotas fared in it beside the other ways to keep a budget.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_SCALE_RUN_H_
-#define BRACKENSPOKE_MODEL_QUOTA_SCALE_RUN_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_RUN_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SCALE_RUN_H_
 
 #include <array>
 #include <cstdint>
 
 #include "model/quota/scale/crowd.h"
 
-namespace brackenspoke::model::scale {
+namespace load_balancer::model::scale {
 
 enum class Scenario {
   kSteady,     // uneven, and the same all the time
@@ -52,6 +52,6 @@
 
 Figures Run(const RunOptions& options);
 
-}  // namespace brackenspoke::model::scale
+}  // namespace load_balancer::model::scale
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_SCALE_RUN_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SCALE_RUN_H_
--- a/model/quota/scenario.cpp
+++ b/model/quota/scenario.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using quota::Budget;
@@ -165,4 +165,4 @@
   }
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/quota/scenario.h
+++ b/model/quota/scenario.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A run of the search for an overspent budget, drawn from its seed.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_SCENARIO_H_
-#define BRACKENSPOKE_MODEL_QUOTA_SCENARIO_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SCENARIO_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SCENARIO_H_
 
 #include <cstdint>
 #include <memory>
@@ -13,7 +13,7 @@
 #include "model/fault.h"
 #include "model/quota/gateways.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class Scenario {
  public:
@@ -56,6 +56,6 @@
   Moment reloaded_{0};
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_SCENARIO_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SCENARIO_H_
--- a/model/quota/search.cpp
+++ b/model/quota/search.cpp
@@ -6,7 +6,7 @@
 
 #include "model/quota/scenario.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using quota::Milli;
@@ -71,4 +71,4 @@
   return std::nullopt;
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/quota/search.h
+++ b/model/quota/search.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A search for a run in which gateways together admit more than a partner's budget.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_SEARCH_H_
-#define BRACKENSPOKE_MODEL_QUOTA_SEARCH_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SEARCH_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SEARCH_H_
 
 #include <cstdint>
 #include <optional>
@@ -11,7 +11,7 @@
 
 #include "model/fault.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 // A scenario is a function of its seed (model/quota/scenario.h): small bursts, clients that spend all that an
 // account lets through and save up before, demand that moves, clocks at the ends of what the drift allows,
@@ -30,6 +30,6 @@
 // Plays 20 s of the seed's scenario with these faults. Every window of every length is checked.
 std::optional<QuotaFinding> PlayQuota(std::uint64_t seed, const std::vector<Fault>& faults);
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_SEARCH_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SEARCH_H_
--- a/model/quota/spender.cpp
+++ b/model/quota/spender.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 constexpr int kMostAtOnce = 20'000;  // charges of one cost
@@ -41,4 +41,4 @@
     }
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/quota/spender.h
+++ b/model/quota/spender.h
@@ -2,8 +2,8 @@
 //
 // The worst clients that a gateway can have: they spend whatever an account lets through as soon as it does,
 // or save it up and spend it at once, so that nothing given too much stays unspent.
-#ifndef BRACKENSPOKE_MODEL_QUOTA_SPENDER_H_
-#define BRACKENSPOKE_MODEL_QUOTA_SPENDER_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SPENDER_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SPENDER_H_
 
 #include <chrono>
 #include <functional>
@@ -13,7 +13,7 @@
 
 #include "quota/account.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct Greed {
   bool on = false;
@@ -53,6 +53,6 @@
   std::vector<Unproven> unproven_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_QUOTA_SPENDER_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SPENDER_H_
--- a/model/shrink.cpp
+++ b/model/shrink.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using Faults = std::vector<Fault>;
@@ -46,4 +46,4 @@
   return faults;
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/site/clients.cpp
+++ b/model/site/clients.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 constexpr double kLeastRate = 1e-3;  // a pool without requests looks again after a quarter of an hour
@@ -112,4 +112,4 @@
   open_.erase(call);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/site/clients.h
+++ b/model/site/clients.h
@@ -2,8 +2,8 @@
 //
 // The clients of one place: requests at random moments, of classes and partners in stated shares, sent to
 // gateways at random, tried again where that is harmless.
-#ifndef BRACKENSPOKE_MODEL_SITE_CLIENTS_H_
-#define BRACKENSPOKE_MODEL_SITE_CLIENTS_H_
+#ifndef LOAD_BALANCER_MODEL_SITE_CLIENTS_H_
+#define LOAD_BALANCER_MODEL_SITE_CLIENTS_H_
 
 #include <map>
 #include <random>
@@ -13,7 +13,7 @@
 #include "model/site/ledger.h"
 #include "model/site/traffic.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct ClientOptions {
   int site = 0;
@@ -69,6 +69,6 @@
   std::multimap<Time, std::pair<CallId, int>> wakes_;  // a deadline of a try, or the next try's time
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SITE_CLIENTS_H_
+#endif  // LOAD_BALANCER_MODEL_SITE_CLIENTS_H_
--- a/model/site/gateway.cpp
+++ b/model/site/gateway.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <tuple>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 // A timer that comes a moment early by rounding would not be asked for again.
@@ -194,4 +194,4 @@
   OnForgotten(id);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/site/gateway.h
+++ b/model/site/gateway.h
@@ -2,20 +2,20 @@
 //
 // A gateway: the real decision module, driven as src/proxy/proxy.cpp drives it, beside its fleet's side. What
 // is built on it (spill, quota) derives from it.
-#ifndef BRACKENSPOKE_MODEL_SITE_GATEWAY_H_
-#define BRACKENSPOKE_MODEL_SITE_GATEWAY_H_
+#ifndef LOAD_BALANCER_MODEL_SITE_GATEWAY_H_
+#define LOAD_BALANCER_MODEL_SITE_GATEWAY_H_
 
 #include <deque>
 #include <map>
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 #include "model/fleet/program.h"
 #include "model/site/ledger.h"
 #include "model/site/traffic.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct GatewayOptions {
   Settings settings;
@@ -107,6 +107,6 @@
   std::multimap<Time, Wake> wakes_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SITE_GATEWAY_H_
+#endif  // LOAD_BALANCER_MODEL_SITE_GATEWAY_H_
--- a/model/site/ledger.h
+++ b/model/site/ledger.h
@@ -2,8 +2,8 @@
 //
 // What became of each request, as an observer of all clients, gateways and servers writes it down, and what
 // must never be: an unsafe request that ran twice, a try that was answered twice, a request without an end.
-#ifndef BRACKENSPOKE_MODEL_SITE_LEDGER_H_
-#define BRACKENSPOKE_MODEL_SITE_LEDGER_H_
+#ifndef LOAD_BALANCER_MODEL_SITE_LEDGER_H_
+#define LOAD_BALANCER_MODEL_SITE_LEDGER_H_
 
 #include <array>
 #include <cstdint>
@@ -16,7 +16,7 @@
 
 #include "model/site/traffic.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class Ledger {
  public:
@@ -89,6 +89,6 @@
   std::set<std::tuple<Endpoint, Endpoint, std::uint64_t, int>> delivered_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SITE_LEDGER_H_
+#endif  // LOAD_BALANCER_MODEL_SITE_LEDGER_H_
--- a/model/site/scene.cpp
+++ b/model/site/scene.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 constexpr unsigned short kPort = 8080;
@@ -66,4 +66,4 @@
   return static_cast<GatewayProgram*>(federation_.program(federation_.Machine(site, member)));
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/site/scene.h
+++ b/model/site/scene.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A federation with servers and clients at each site, in one world.
-#ifndef BRACKENSPOKE_MODEL_SITE_SCENE_H_
-#define BRACKENSPOKE_MODEL_SITE_SCENE_H_
+#ifndef LOAD_BALANCER_MODEL_SITE_SCENE_H_
+#define LOAD_BALANCER_MODEL_SITE_SCENE_H_
 
 #include <functional>
 #include <memory>
@@ -14,7 +14,7 @@
 #include "model/site/ledger.h"
 #include "model/site/server.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct SceneOptions {
   FederationOptions federation;
@@ -52,6 +52,6 @@
   std::vector<std::size_t> clients_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SITE_SCENE_H_
+#endif  // LOAD_BALANCER_MODEL_SITE_SCENE_H_
--- a/model/site/server.cpp
+++ b/model/site/server.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 StandServer::StandServer(Host& host, const ServerOptions& options, Ledger& ledger)
     : host_(host), options_(options), ledger_(ledger), started_(host.Now()) {}
@@ -51,4 +51,4 @@
   host_.Send(job.gateway, ServerAnswer{job.ask.request, job.ask.attempt, outcome}, kAnswerBytes);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/site/server.h
+++ b/model/site/server.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A stand server: so many cores, a bounded queue in order of arrival, slower for a while after its start.
-#ifndef BRACKENSPOKE_MODEL_SITE_SERVER_H_
-#define BRACKENSPOKE_MODEL_SITE_SERVER_H_
+#ifndef LOAD_BALANCER_MODEL_SITE_SERVER_H_
+#define LOAD_BALANCER_MODEL_SITE_SERVER_H_
 
 #include <deque>
 #include <map>
@@ -10,7 +10,7 @@
 #include "model/site/ledger.h"
 #include "model/site/traffic.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct ServerOptions {
   std::size_t cores = 4;   // requests at a time, each at its own pace
@@ -47,6 +47,6 @@
   std::deque<Job> waiting_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SITE_SERVER_H_
+#endif  // LOAD_BALANCER_MODEL_SITE_SERVER_H_
--- a/model/site/traffic.h
+++ b/model/site/traffic.h
@@ -2,16 +2,16 @@
 //
 // What clients, gateways and servers of the model say to each other. It stands for requests over connections:
 // whoever receives a packet twice takes it once.
-#ifndef BRACKENSPOKE_MODEL_SITE_TRAFFIC_H_
-#define BRACKENSPOKE_MODEL_SITE_TRAFFIC_H_
+#ifndef LOAD_BALANCER_MODEL_SITE_TRAFFIC_H_
+#define LOAD_BALANCER_MODEL_SITE_TRAFFIC_H_
 
 #include <cstdint>
 #include <string>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 #include "model/program.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 using CallId = std::uint64_t;  // of one request of one client, the same in all its tries
 
@@ -50,6 +50,6 @@
 
 inline constexpr std::size_t kAskBytes = 600, kAnswerBytes = 300;
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SITE_TRAFFIC_H_
+#endif  // LOAD_BALANCER_MODEL_SITE_TRAFFIC_H_
--- a/model/spill/federation.cpp
+++ b/model/spill/federation.cpp
@@ -3,7 +3,7 @@
 
 #include "model/spill/gateway.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 std::string SpillFederation::SiteName(std::size_t site) {
   return std::string(site < 10 ? "site-0" : "site-") + std::to_string(site);
@@ -108,4 +108,4 @@
   if (ask.at >= count_from_) ++tallies_[ask.site].spilled;
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/spill/federation.h
+++ b/model/spill/federation.h
@@ -3,8 +3,8 @@
 // Sites that spill to each other, in virtual time: each gateway runs the real Spill and, at its site's
 // ambassador, the real Ambassador, over the world's network. Leases and gossip are stood in for: the holder
 // of the duty is set by the scenario, and estimates go to each gateway in one message.
-#ifndef BRACKENSPOKE_MODEL_SPILL_FEDERATION_H_
-#define BRACKENSPOKE_MODEL_SPILL_FEDERATION_H_
+#ifndef LOAD_BALANCER_MODEL_SPILL_FEDERATION_H_
+#define LOAD_BALANCER_MODEL_SPILL_FEDERATION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -20,7 +20,7 @@
 #include "spill/options.h"
 #include "spill/price.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 // How a request that its own site refuses is handed on.
 enum class Strategy {
@@ -111,6 +111,6 @@
   std::uint64_t ran_twice_ = 0, answered_twice_ = 0;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SPILL_FEDERATION_H_
+#endif  // LOAD_BALANCER_MODEL_SPILL_FEDERATION_H_
--- a/model/spill/gateway.cpp
+++ b/model/spill/gateway.cpp
@@ -5,7 +5,7 @@
 
 #include "model/spill/federation.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using spill::SpillOutcome;
@@ -282,4 +282,4 @@
     }
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/spill/gateway.h
+++ b/model/spill/gateway.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A gateway of the model: its clients, its site's servers, and what it hands on.
-#ifndef BRACKENSPOKE_MODEL_SPILL_GATEWAY_H_
-#define BRACKENSPOKE_MODEL_SPILL_GATEWAY_H_
+#ifndef LOAD_BALANCER_MODEL_SPILL_GATEWAY_H_
+#define LOAD_BALANCER_MODEL_SPILL_GATEWAY_H_
 
 #include <map>
 #include <optional>
@@ -17,7 +17,7 @@
 #include "spill/ambassador.h"
 #include "spill/spill.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class SpillFederation;
 
@@ -72,6 +72,6 @@
   std::set<std::pair<Time, std::uint64_t>> timeouts_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SPILL_GATEWAY_H_
+#endif  // LOAD_BALANCER_MODEL_SPILL_GATEWAY_H_
--- a/model/spill/meter.h
+++ b/model/spill/meter.h
@@ -2,8 +2,8 @@
 //
 // Stands for the module's query of its spare: this gateway's part of the servers' capacity, less the own work
 // that it admits, as an exponentially weighted mean.
-#ifndef BRACKENSPOKE_MODEL_SPILL_METER_H_
-#define BRACKENSPOKE_MODEL_SPILL_METER_H_
+#ifndef LOAD_BALANCER_MODEL_SPILL_METER_H_
+#define LOAD_BALANCER_MODEL_SPILL_METER_H_
 
 #include <algorithm>
 #include <chrono>
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "spill/ambassador.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class Meter {
  public:
@@ -55,6 +55,6 @@
   double rate_ = 0, squares_ = 0;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SPILL_METER_H_
+#endif  // LOAD_BALANCER_MODEL_SPILL_METER_H_
--- a/model/spill/servers.cpp
+++ b/model/spill/servers.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 constexpr std::chrono::milliseconds kMostWait{100};
@@ -68,4 +68,4 @@
   });
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/spill/servers.h
+++ b/model/spill/servers.h
@@ -4,8 +4,8 @@
 // is taken only if it can go at once, and only as far as a part of what own traffic leaves free. A request
 // under way is not broken off, so a spilled one may still make an own one wait; that is what the model is to
 // show.
-#ifndef BRACKENSPOKE_MODEL_SPILL_SERVERS_H_
-#define BRACKENSPOKE_MODEL_SPILL_SERVERS_H_
+#ifndef LOAD_BALANCER_MODEL_SPILL_SERVERS_H_
+#define LOAD_BALANCER_MODEL_SPILL_SERVERS_H_
 
 #include <deque>
 #include <functional>
@@ -15,7 +15,7 @@
 #include "model/world.h"
 #include "spill/share.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class Servers {
  public:
@@ -56,6 +56,6 @@
   spill::Share share_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SPILL_SERVERS_H_
+#endif  // LOAD_BALANCER_MODEL_SPILL_SERVERS_H_
--- a/model/spill/traffic.h
+++ b/model/spill/traffic.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What clients ask of the gateways of the model, and what is counted of it.
-#ifndef BRACKENSPOKE_MODEL_SPILL_TRAFFIC_H_
-#define BRACKENSPOKE_MODEL_SPILL_TRAFFIC_H_
+#ifndef LOAD_BALANCER_MODEL_SPILL_TRAFFIC_H_
+#define LOAD_BALANCER_MODEL_SPILL_TRAFFIC_H_
 
 #include <array>
 #include <chrono>
@@ -10,11 +10,11 @@
 #include <map>
 #include <random>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 #include "model/program.h"
 #include "spill/rules.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct Demand {
   Effect effect;
@@ -83,6 +83,6 @@
   std::mt19937_64 random_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SPILL_TRAFFIC_H_
+#endif  // LOAD_BALANCER_MODEL_SPILL_TRAFFIC_H_
--- a/model/system/checks.cpp
+++ b/model/system/checks.cpp
@@ -6,7 +6,7 @@
 
 #include "model/system/gateway.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 constexpr std::size_t kMostLines = 20;  // of what is broken
@@ -156,4 +156,4 @@
   return counts;
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/system/checks.h
+++ b/model/system/checks.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What must hold of a whole system, by true time: gateways tell what they do, and this says what is broken.
-#ifndef BRACKENSPOKE_MODEL_SYSTEM_CHECKS_H_
-#define BRACKENSPOKE_MODEL_SYSTEM_CHECKS_H_
+#ifndef LOAD_BALANCER_MODEL_SYSTEM_CHECKS_H_
+#define LOAD_BALANCER_MODEL_SYSTEM_CHECKS_H_
 
 #include <cstdint>
 #include <map>
@@ -17,7 +17,7 @@
 #include "model/system/offer_check.h"
 #include "model/system/wiring.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class SystemGateway;
 
@@ -85,6 +85,6 @@
   std::vector<std::string> broken_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SYSTEM_CHECKS_H_
+#endif  // LOAD_BALANCER_MODEL_SYSTEM_CHECKS_H_
--- a/model/system/gateway.cpp
+++ b/model/system/gateway.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 FleetSetup Observed(FleetSetup setup, Observer* facts) {
@@ -69,7 +69,7 @@
   quota_.Resume();
 }
 
-brackenspoke::Spare SystemGateway::SpareNow() const { return balancer().Spare(PointOf(host().Now())); }
+load_balancer::Spare SystemGateway::SpareNow() const { return balancer().Spare(PointOf(host().Now())); }
 
 std::string SystemGateway::LeftOpen() const {
   std::string left;
@@ -168,4 +168,4 @@
   ForgetIfOver(request);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/system/gateway.h
+++ b/model/system/gateway.h
@@ -2,8 +2,8 @@
 //
 // A gateway of a whole system: the decision module, both pools, quotas and spill, wired as
 // src/proxy/proxy.cpp and src/proxy/federation/federation.cpp wire them.
-#ifndef BRACKENSPOKE_MODEL_SYSTEM_GATEWAY_H_
-#define BRACKENSPOKE_MODEL_SYSTEM_GATEWAY_H_
+#ifndef LOAD_BALANCER_MODEL_SYSTEM_GATEWAY_H_
+#define LOAD_BALANCER_MODEL_SYSTEM_GATEWAY_H_
 
 #include <map>
 #include <optional>
@@ -16,7 +16,7 @@
 #include "model/system/spill_side.h"
 #include "model/system/wiring.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 // The duties' facts that the federation's pool has brought, until they are looked at.
 class PoolFacts : public Observer {
@@ -50,7 +50,7 @@
   void Leave();
   void Rejoin();
 
-  brackenspoke::Spare SpareNow() const override;
+  load_balancer::Spare SpareNow() const override;
   bool HasEstimateOf(const std::string& site) const { return spill_.HasEstimateOf(site); }
   // What is open that nobody waits for; empty: nothing.
   std::string LeftOpen() const;
@@ -88,6 +88,6 @@
   std::optional<Time> leaves_at_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SYSTEM_GATEWAY_H_
+#endif  // LOAD_BALANCER_MODEL_SYSTEM_GATEWAY_H_
--- a/model/system/offer_check.h
+++ b/model/system/offer_check.h
@@ -2,8 +2,8 @@
 //
 // The bound of what all others send to one site: in any window W its offer x W + the shares' depth + one
 // request of each sender. The offer at a moment is the largest of the estimates that may still count then.
-#ifndef BRACKENSPOKE_MODEL_SYSTEM_OFFER_CHECK_H_
-#define BRACKENSPOKE_MODEL_SYSTEM_OFFER_CHECK_H_
+#ifndef LOAD_BALANCER_MODEL_SYSTEM_OFFER_CHECK_H_
+#define LOAD_BALANCER_MODEL_SYSTEM_OFFER_CHECK_H_
 
 #include <algorithm>
 #include <deque>
@@ -11,7 +11,7 @@
 
 #include "model/program.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class OfferCheck {
  public:
@@ -48,6 +48,6 @@
   double level_ = 0, rate_ = 0, largest_ = 0;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SYSTEM_OFFER_CHECK_H_
+#endif  // LOAD_BALANCER_MODEL_SYSTEM_OFFER_CHECK_H_
--- a/model/system/quota_side.cpp
+++ b/model/system/quota_side.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 constexpr const char *kAllocatorKey = "t", *kRequestKey = "q", *kAnswerKey = "a";
@@ -118,4 +118,4 @@
   }
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/system/quota_side.h
+++ b/model/system/quota_side.h
@@ -2,8 +2,8 @@
 //
 // Quotas at a gateway of the model: the real Account and Allocators on the federation's pool, as
 // src/proxy/federation/quota_service.cpp has them on sockets and timers.
-#ifndef BRACKENSPOKE_MODEL_SYSTEM_QUOTA_SIDE_H_
-#define BRACKENSPOKE_MODEL_SYSTEM_QUOTA_SIDE_H_
+#ifndef LOAD_BALANCER_MODEL_SYSTEM_QUOTA_SIDE_H_
+#define LOAD_BALANCER_MODEL_SYSTEM_QUOTA_SIDE_H_
 
 #include <deque>
 #include <optional>
@@ -17,7 +17,7 @@
 #include "quota/account.h"
 #include "quota/allocator.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class QuotaSide {
  public:
@@ -57,6 +57,6 @@
   bool paused_ = false;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SYSTEM_QUOTA_SIDE_H_
+#endif  // LOAD_BALANCER_MODEL_SYSTEM_QUOTA_SIDE_H_
--- a/model/system/scenario.cpp
+++ b/model/system/scenario.cpp
@@ -8,7 +8,7 @@
 
 #include "model/system/gateway.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using quota::kOne;
@@ -216,4 +216,4 @@
   }
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/system/scenario.h
+++ b/model/system/scenario.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a seed draws for a whole system: its configuration, loads, partners and faults.
-#ifndef BRACKENSPOKE_MODEL_SYSTEM_SCENARIO_H_
-#define BRACKENSPOKE_MODEL_SYSTEM_SCENARIO_H_
+#ifndef LOAD_BALANCER_MODEL_SYSTEM_SCENARIO_H_
+#define LOAD_BALANCER_MODEL_SYSTEM_SCENARIO_H_
 
 #include <cstdint>
 #include <vector>
@@ -11,7 +11,7 @@
 #include "model/site/scene.h"
 #include "model/system/wiring.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct SystemOptions {
   std::size_t sites = 3, gateways = 3;      // gateways of each site
@@ -37,6 +37,6 @@
 // Loads, partners and operators' drains of the whole run, to happen at their moments.
 void Schedule(std::uint64_t seed, const SystemOptions& options, Scene& scene);
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SYSTEM_SCENARIO_H_
+#endif  // LOAD_BALANCER_MODEL_SYSTEM_SCENARIO_H_
--- a/model/system/spill_side.cpp
+++ b/model/system/spill_side.cpp
@@ -6,7 +6,7 @@
 
 #include "spill/incoming.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 constexpr double kPerSecond = 1000;  // ms in a second
@@ -155,7 +155,7 @@
 }
 
 spill::MemberSpare SpillSide::OwnSpare() const {
-  const brackenspoke::Spare spare = requests_.SpareNow();
+  const load_balancer::Spare spare = requests_.SpareNow();
   return {spare.work_per_ms * kPerSecond, spare.least_work_per_ms * kPerSecond,
           std::chrono::ceil<std::chrono::milliseconds>(spare.wait)};
 }
@@ -206,4 +206,4 @@
   return estimate && estimate->made_at + lives > host_.Wall();
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/system/spill_side.h
+++ b/model/system/spill_side.h
@@ -2,8 +2,8 @@
 //
 // Spill at a gateway of the model: the real Spill and, under the site's lease, the real Ambassador on both
 // pools, as src/proxy/federation/spill_service.cpp has them on sockets and timers.
-#ifndef BRACKENSPOKE_MODEL_SYSTEM_SPILL_SIDE_H_
-#define BRACKENSPOKE_MODEL_SYSTEM_SPILL_SIDE_H_
+#ifndef LOAD_BALANCER_MODEL_SYSTEM_SPILL_SIDE_H_
+#define LOAD_BALANCER_MODEL_SYSTEM_SPILL_SIDE_H_
 
 #include <map>
 #include <optional>
@@ -17,13 +17,13 @@
 #include "spill/ambassador.h"
 #include "spill/spill.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 // Whose requests are spilled. Every request offered ends by one call of the three, unless its client goes.
 class SpillHost {
  public:
   virtual ~SpillHost() = default;
-  virtual brackenspoke::Spare SpareNow() const = 0;
+  virtual load_balancer::Spare SpareNow() const = 0;
   virtual void OnSpillServed(RequestId request) = 0;
   virtual void OnSpillRefused(RequestId request, Span retry_after) = 0;
   virtual void OnSpillFailed(RequestId request) = 0;
@@ -90,6 +90,6 @@
   Time next_look_;
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SYSTEM_SPILL_SIDE_H_
+#endif  // LOAD_BALANCER_MODEL_SYSTEM_SPILL_SIDE_H_
--- a/model/system/system.cpp
+++ b/model/system/system.cpp
@@ -5,7 +5,7 @@
 
 #include "model/system/gateway.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 SystemResult PlaySystem(std::uint64_t seed, const SystemOptions& options, const std::vector<Fault>& faults) {
   const Wiring wiring = WiringOf(seed, options);
@@ -34,4 +34,4 @@
   return result;
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/system/system.h
+++ b/model/system/system.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One run of a whole system: a function of its seed, its options and its faults.
-#ifndef BRACKENSPOKE_MODEL_SYSTEM_SYSTEM_H_
-#define BRACKENSPOKE_MODEL_SYSTEM_SYSTEM_H_
+#ifndef LOAD_BALANCER_MODEL_SYSTEM_SYSTEM_H_
+#define LOAD_BALANCER_MODEL_SYSTEM_SYSTEM_H_
 
 #include <cstdint>
 #include <string>
@@ -12,7 +12,7 @@
 #include "model/system/checks.h"
 #include "model/system/scenario.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct SystemResult {
   std::vector<std::string> broken;  // nothing: all rules hold
@@ -22,6 +22,6 @@
 
 SystemResult PlaySystem(std::uint64_t seed, const SystemOptions& options, const std::vector<Fault>& faults);
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SYSTEM_SYSTEM_H_
+#endif  // LOAD_BALANCER_MODEL_SYSTEM_SYSTEM_H_
--- a/model/system/wiring.h
+++ b/model/system/wiring.h
@@ -2,8 +2,8 @@
 //
 // What all gateways of a system have in common: what the sections `sites`, `spill` and `quota` of each one's
 // file say.
-#ifndef BRACKENSPOKE_MODEL_SYSTEM_WIRING_H_
-#define BRACKENSPOKE_MODEL_SYSTEM_WIRING_H_
+#ifndef LOAD_BALANCER_MODEL_SYSTEM_WIRING_H_
+#define LOAD_BALANCER_MODEL_SYSTEM_WIRING_H_
 
 #include <cstddef>
 #include <map>
@@ -15,7 +15,7 @@
 #include "quota/budget.h"
 #include "spill/options.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct Wiring {
   std::vector<std::string> sites;             // by number
@@ -32,6 +32,6 @@
   static std::string AllocatorOf(std::size_t number) { return "treasurer/" + std::to_string(number); }
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_SYSTEM_WIRING_H_
+#endif  // LOAD_BALANCER_MODEL_SYSTEM_WIRING_H_
--- a/model/trace.cpp
+++ b/model/trace.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <sstream>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 constexpr std::string_view kHead = "flintspar-trace 1";
@@ -113,4 +113,4 @@
   return trace;
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/trace.h
+++ b/model/trace.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A run as text that can be read back and played again: the seed and the faults, one a line.
-#ifndef BRACKENSPOKE_MODEL_TRACE_H_
-#define BRACKENSPOKE_MODEL_TRACE_H_
+#ifndef LOAD_BALANCER_MODEL_TRACE_H_
+#define LOAD_BALANCER_MODEL_TRACE_H_
 
 #include <cstdint>
 #include <string>
@@ -12,7 +12,7 @@
 
 #include "model/fault.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 struct Trace {
   std::uint64_t seed = 0;
@@ -24,6 +24,6 @@
 // What Write made, exactly; else which line is wrong, and why.
 tl::expected<Trace, std::string> ReadTrace(std::string_view text);
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_TRACE_H_
+#endif  // LOAD_BALANCER_MODEL_TRACE_H_
--- a/model/world.cpp
+++ b/model/world.cpp
@@ -8,7 +8,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 // Between two ticks of a program that is always due.
@@ -165,4 +165,4 @@
   history_ = XXH64(words.data(), sizeof words, history_);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/model/world.h
+++ b/model/world.h
@@ -2,8 +2,8 @@
 //
 // Machines and a network between them in virtual time. A run is a function of the seed and of what is called:
 // events happen in the order of their moments, equal ones in the order in which they were made.
-#ifndef BRACKENSPOKE_MODEL_WORLD_H_
-#define BRACKENSPOKE_MODEL_WORLD_H_
+#ifndef LOAD_BALANCER_MODEL_WORLD_H_
+#define LOAD_BALANCER_MODEL_WORLD_H_
 
 #include <any>
 #include <cstdint>
@@ -20,7 +20,7 @@
 #include "model/network.h"
 #include "model/program.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 class World : private Machine::Surroundings {
  public:
@@ -110,6 +110,6 @@
   std::size_t running_ = SIZE_MAX;  // whose program is in a call
 };
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_MODEL_WORLD_H_
+#endif  // LOAD_BALANCER_MODEL_WORLD_H_
--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -7,7 +7,7 @@
 #include <type_traits>
 #include <utility>
 
-namespace brackenspoke::adapter {
+namespace load_balancer::adapter {
 namespace {
 
 static_assert(std::endian::native == std::endian::little,
@@ -296,4 +296,4 @@
   return frame;
 }
 
-}  // namespace brackenspoke::adapter
+}  // namespace load_balancer::adapter
--- a/src/adapter/codec.h
+++ b/src/adapter/codec.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Frames of the simulator's wire: little-endian, packed. Reads batches of events, writes replies of actions.
-#ifndef BRACKENSPOKE_ADAPTER_CODEC_H_
-#define BRACKENSPOKE_ADAPTER_CODEC_H_
+#ifndef LOAD_BALANCER_ADAPTER_CODEC_H_
+#define LOAD_BALANCER_ADAPTER_CODEC_H_
 
 #include <cstdint>
 #include <iosfwd>
@@ -13,9 +13,9 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::adapter {
+namespace load_balancer::adapter {
 
 // The input breaks the framing or a field; what() is one line.
 class MalformedInput : public std::runtime_error {
@@ -60,6 +60,6 @@
   std::string body_;
 };
 
-}  // namespace brackenspoke::adapter
+}  // namespace load_balancer::adapter
 
-#endif  // BRACKENSPOKE_ADAPTER_CODEC_H_
+#endif  // LOAD_BALANCER_ADAPTER_CODEC_H_
--- a/src/adapter/host.cpp
+++ b/src/adapter/host.cpp
@@ -7,7 +7,7 @@
 
 #include "settings.h"
 
-namespace brackenspoke::adapter {
+namespace load_balancer::adapter {
 
 std::string Host::Answer(const Batch& batch) {
   for (const Record& record : batch.records) Handle(batch.now, record);
@@ -45,7 +45,7 @@
 }
 
 void Host::TellOnce(const std::string& what) {
-  if (told_.insert(what).second) complaints_ << "brackenspoke_adapter: " << what << '\n';
+  if (told_.insert(what).second) complaints_ << "load_balancer_simulator_adapter: " << what << '\n';
 }
 
-}  // namespace brackenspoke::adapter
+}  // namespace load_balancer::adapter
--- a/src/adapter/host.h
+++ b/src/adapter/host.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Hosts one Balancer per live instance and carries events and actions between them and the wire.
-#ifndef BRACKENSPOKE_ADAPTER_HOST_H_
-#define BRACKENSPOKE_ADAPTER_HOST_H_
+#ifndef LOAD_BALANCER_ADAPTER_HOST_H_
+#define LOAD_BALANCER_ADAPTER_HOST_H_
 
 #include <iosfwd>
 #include <map>
 #include <set>
 #include <string>
 
-#include "brackenspoke/balancer.h"
 #include "codec.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::adapter {
+namespace load_balancer::adapter {
 
 class Host {
  public:
@@ -31,6 +31,6 @@
   ReplyWriter reply_;
 };
 
-}  // namespace brackenspoke::adapter
+}  // namespace load_balancer::adapter
 
-#endif  // BRACKENSPOKE_ADAPTER_HOST_H_
+#endif  // LOAD_BALANCER_ADAPTER_HOST_H_
--- a/src/adapter/main.cpp
+++ b/src/adapter/main.cpp
@@ -8,13 +8,13 @@
 int main() {
   std::ios::sync_with_stdio(false);
   std::cin.tie(nullptr);
-  brackenspoke::adapter::Host host(std::cerr);
+  load_balancer::adapter::Host host(std::cerr);
   try {
-    while (const auto batch = brackenspoke::adapter::ReadBatch(std::cin)) {
+    while (const auto batch = load_balancer::adapter::ReadBatch(std::cin)) {
       std::cout << host.Answer(*batch) << std::flush;
     }
   } catch (const std::exception& error) {
-    std::cerr << "brackenspoke_adapter: " << error.what() << '\n';
+    std::cerr << "load_balancer_simulator_adapter: " << error.what() << '\n';
     return 1;
   }
   return 0;
--- a/src/adapter/settings.cpp
+++ b/src/adapter/settings.cpp
@@ -9,7 +9,7 @@
 #include <string>
 #include <utility>
 
-namespace brackenspoke::adapter {
+namespace load_balancer::adapter {
 namespace {
 
 constexpr double kMost = 1e12;            // no count, time or rate of a deployment is larger
@@ -156,4 +156,4 @@
   return settings;
 }
 
-}  // namespace brackenspoke::adapter
+}  // namespace load_balancer::adapter
--- a/src/adapter/settings.h
+++ b/src/adapter/settings.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Reads the path=value settings of the simulator's wire.
-#ifndef BRACKENSPOKE_ADAPTER_SETTINGS_H_
-#define BRACKENSPOKE_ADAPTER_SETTINGS_H_
+#ifndef LOAD_BALANCER_ADAPTER_SETTINGS_H_
+#define LOAD_BALANCER_ADAPTER_SETTINGS_H_
 
 #include <stdexcept>
 #include <string>
 #include <string_view>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::adapter {
+namespace load_balancer::adapter {
 
 // Needed keys are absent, or keys hold what they must not; what() names them all.
 class BadSettings : public std::runtime_error {
@@ -28,6 +28,6 @@
 // Unknown keys are ignored; an absent optional key has its documented meaning.
 Settings ParseSettings(std::string_view text);
 
-}  // namespace brackenspoke::adapter
+}  // namespace load_balancer::adapter
 
-#endif  // BRACKENSPOKE_ADAPTER_SETTINGS_H_
+#endif  // LOAD_BALANCER_ADAPTER_SETTINGS_H_
--- a/src/base/config/endpoint.cpp
+++ b/src/base/config/endpoint.cpp
@@ -4,7 +4,7 @@
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
 
-namespace brackenspoke {
+namespace load_balancer {
 
 using Udp = boost::asio::ip::udp;
 
@@ -21,4 +21,4 @@
   return Udp::endpoint(address, static_cast<unsigned short>(port));
 }
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
--- a/src/base/config/endpoint.h
+++ b/src/base/config/endpoint.h
@@ -1,19 +1,19 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Addresses as the configuration and messages write them.
-#ifndef BRACKENSPOKE_BASE_CONFIG_ENDPOINT_H_
-#define BRACKENSPOKE_BASE_CONFIG_ENDPOINT_H_
+#ifndef LOAD_BALANCER_BASE_CONFIG_ENDPOINT_H_
+#define LOAD_BALANCER_BASE_CONFIG_ENDPOINT_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <optional>
 #include <string>
 
-namespace brackenspoke {
+namespace load_balancer {
 
 // "a.b.c.d:port", or "v6:port", which is what boost::asio prints with a colon between; nothing if it is
 // neither.
 std::optional<boost::asio::ip::udp::endpoint> ParseUdpEndpoint(const std::string& text);
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_BASE_CONFIG_ENDPOINT_H_
+#endif  // LOAD_BALANCER_BASE_CONFIG_ENDPOINT_H_
--- a/src/base/config/section.cpp
+++ b/src/base/config/section.cpp
@@ -5,7 +5,7 @@
 
 #include "base/config/endpoint.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 namespace {
 
 using nlohmann::json;
@@ -113,4 +113,4 @@
   faults_->push_back(name_ + (key.empty() ? "" : "." + key) + " " + what);
 }
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
--- a/src/base/config/section.h
+++ b/src/base/config/section.h
@@ -3,8 +3,8 @@
 // One section of the configuration under check, key by key. Every fault is found, not only the first, and
 // carries the section's name: an unknown key, a value of the wrong type, a figure out of range, an address
 // that is none.
-#ifndef BRACKENSPOKE_BASE_CONFIG_SECTION_H_
-#define BRACKENSPOKE_BASE_CONFIG_SECTION_H_
+#ifndef LOAD_BALANCER_BASE_CONFIG_SECTION_H_
+#define LOAD_BALANCER_BASE_CONFIG_SECTION_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <chrono>
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-namespace brackenspoke {
+namespace load_balancer {
 
 using Milliseconds = std::chrono::milliseconds;
 
@@ -58,6 +58,6 @@
   const nlohmann::json* object_ = nullptr;
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_BASE_CONFIG_SECTION_H_
+#endif  // LOAD_BALANCER_BASE_CONFIG_SECTION_H_
--- a/src/base/descriptor.h
+++ b/src/base/descriptor.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A file descriptor and its owner.
-#ifndef BRACKENSPOKE_BASE_DESCRIPTOR_H_
-#define BRACKENSPOKE_BASE_DESCRIPTOR_H_
+#ifndef LOAD_BALANCER_BASE_DESCRIPTOR_H_
+#define LOAD_BALANCER_BASE_DESCRIPTOR_H_
 
 #include <unistd.h>
 
 #include <utility>
 
-namespace brackenspoke {
+namespace load_balancer {
 
 class Descriptor {
  public:
@@ -33,6 +33,6 @@
   int fd_ = -1;
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_BASE_DESCRIPTOR_H_
+#endif  // LOAD_BALANCER_BASE_DESCRIPTOR_H_
--- a/src/base/error/failure.cpp
+++ b/src/base/error/failure.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "base/error/failure.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 std::string Failure::Text() const {
   std::string text(kind_->code);
@@ -11,4 +11,4 @@
   return text.append("; ").append(kind_->advice);
 }
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
--- a/src/base/error/failure.h
+++ b/src/base/error/failure.h
@@ -3,14 +3,14 @@
 // What can go wrong, as operators meet it: each kind has a code that never changes, says what happened and
 // what an operator can do, and is listed in docs/errors.md. Each subsystem names its kinds in a header of its
 // own, `<subsystem>/failures.h`.
-#ifndef BRACKENSPOKE_BASE_ERROR_FAILURE_H_
-#define BRACKENSPOKE_BASE_ERROR_FAILURE_H_
+#ifndef LOAD_BALANCER_BASE_ERROR_FAILURE_H_
+#define LOAD_BALANCER_BASE_ERROR_FAILURE_H_
 
 #include <string>
 #include <string_view>
 #include <tl/expected.hpp>
 
-namespace brackenspoke {
+namespace load_balancer {
 
 // A constant of the program: compared by address.
 struct FailureKind {
@@ -41,6 +41,6 @@
 template <typename T>
 using Result = tl::expected<T, Failure>;
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_BASE_ERROR_FAILURE_H_
+#endif  // LOAD_BALANCER_BASE_ERROR_FAILURE_H_
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -8,7 +8,7 @@
 #include <memory>
 #include <nlohmann/json.hpp>
 
-namespace brackenspoke::log {
+namespace load_balancer::log {
 namespace {
 
 Format format_ = Format::kText;
@@ -34,8 +34,8 @@
 }
 
 std::shared_ptr<spdlog::logger> Make(Format format, std::string_view name) {
-  auto logger =
-      std::make_shared<spdlog::logger>("kestrelline", std::make_shared<spdlog::sinks::stderr_sink_mt>());
+  auto logger = std::make_shared<spdlog::logger>("load_balancer_proxy",
+                                                 std::make_shared<spdlog::sinks::stderr_sink_mt>());
   logger->set_formatter(std::make_unique<spdlog::pattern_formatter>(Pattern(format, name),
                                                                     spdlog::pattern_time_type::utc, "\n"));
   return logger;
@@ -91,4 +91,4 @@
   Write(spdlog::level::err, component, failure.Text(), request);
 }
 
-}  // namespace brackenspoke::log
+}  // namespace load_balancer::log
--- a/src/base/log.h
+++ b/src/base/log.h
@@ -4,8 +4,8 @@
 // (UTC, milliseconds), level, the process's name, the component that speaks, the event, and the request's id
 // where there is one. As text: `2026-12-01T21:00:00.123Z info n3 discovery: back`; as JSON, one object a line
 // with the keys time, level, name, component, event and request.
-#ifndef BRACKENSPOKE_BASE_LOG_H_
-#define BRACKENSPOKE_BASE_LOG_H_
+#ifndef LOAD_BALANCER_BASE_LOG_H_
+#define LOAD_BALANCER_BASE_LOG_H_
 
 #include <cstdint>
 #include <optional>
@@ -14,7 +14,7 @@
 
 #include "base/error/failure.h"
 
-namespace brackenspoke::log {
+namespace load_balancer::log {
 
 enum class Format { kText, kJson };
 
@@ -37,6 +37,6 @@
 std::string Body(Format format, std::string_view component, std::string_view event,
                  std::optional<std::uint64_t> request);
 
-}  // namespace brackenspoke::log
+}  // namespace load_balancer::log
 
-#endif  // BRACKENSPOKE_BASE_LOG_H_
+#endif  // LOAD_BALANCER_BASE_LOG_H_
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -2,16 +2,16 @@
 //
 // Moments and spans as the parts without a clock are given them: of one process's monotonic clock, or of a
 // virtual one.
-#ifndef BRACKENSPOKE_BASE_TIME_H_
-#define BRACKENSPOKE_BASE_TIME_H_
+#ifndef LOAD_BALANCER_BASE_TIME_H_
+#define LOAD_BALANCER_BASE_TIME_H_
 
 #include <chrono>
 
-namespace brackenspoke {
+namespace load_balancer {
 
 using Time = std::chrono::steady_clock::time_point;
 using Span = std::chrono::steady_clock::duration;
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_BASE_TIME_H_
+#endif  // LOAD_BALANCER_BASE_TIME_H_
--- a/src/fleet/failures.h
+++ b/src/fleet/failures.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What can go wrong between the members of a fleet, leases apart (lease/failures.h).
-#ifndef BRACKENSPOKE_FLEET_FAILURES_H_
-#define BRACKENSPOKE_FLEET_FAILURES_H_
+#ifndef LOAD_BALANCER_FLEET_FAILURES_H_
+#define LOAD_BALANCER_FLEET_FAILURES_H_
 
 #include <array>
 
 #include "base/error/failure.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 inline constexpr FailureKind kAddressTaken{
     "FLEET-1", "the address among members is not to be had",
@@ -32,6 +32,6 @@
 inline constexpr std::array kFleetFailures{&kAddressTaken, &kDatagramsDropped, &kStalled,
                                            &kDisplaced,    &kEntryRefused,     &kBadListEntry};
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_FAILURES_H_
+#endif  // LOAD_BALANCER_FLEET_FAILURES_H_
--- a/src/fleet/federation/section.cpp
+++ b/src/fleet/federation/section.cpp
@@ -9,7 +9,7 @@
 #include "base/config/endpoint.h"
 #include "base/config/section.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using nlohmann::json;
@@ -174,4 +174,4 @@
   return pool;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/federation/section.h
+++ b/src/fleet/federation/section.h
@@ -2,8 +2,8 @@
 //
 // The configuration's section `sites`: which sites there are, the gateways of each, and the pool that all
 // gateways are members of.
-#ifndef BRACKENSPOKE_FLEET_FEDERATION_SECTION_H_
-#define BRACKENSPOKE_FLEET_FEDERATION_SECTION_H_
+#ifndef LOAD_BALANCER_FLEET_FEDERATION_SECTION_H_
+#define LOAD_BALANCER_FLEET_FEDERATION_SECTION_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/ip/udp.hpp>
@@ -14,7 +14,7 @@
 
 #include "fleet/section.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // Where other sites reach a gateway.
 struct GatewayAddresses {
@@ -54,6 +54,6 @@
 // The pool as a fleet of its own: its timings, its voters as seeds, and nothing shared but duties' facts.
 FleetSection PoolOf(const SitesSection& sites);
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_FEDERATION_SECTION_H_
+#endif  // LOAD_BALANCER_FLEET_FEDERATION_SECTION_H_
--- a/src/fleet/lease/bid.cpp
+++ b/src/fleet/lease/bid.cpp
@@ -6,7 +6,7 @@
 
 #include "fleet/lease/fingerprint.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 void Bid::Open(Time now, std::uint64_t number, Span term, Span lasts, Span every) {
   std::erase_if(sent_, [&](const auto& each) { return each.second + term <= now; });
@@ -62,4 +62,4 @@
   for (const auto& [voter, from] : denied_) words->insert(words->end(), {voter.port(), WordOf(now, from)});
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/lease/bid.h
+++ b/src/fleet/lease/bid.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One token that is asked for, or held and renewed: its requests, and what each voter has answered.
-#ifndef BRACKENSPOKE_FLEET_LEASE_BID_H_
-#define BRACKENSPOKE_FLEET_LEASE_BID_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_BID_H_
+#define LOAD_BALANCER_FLEET_LEASE_BID_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <cstdint>
@@ -13,7 +13,7 @@
 #include "base/time.h"
 #include "fleet/lease/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class Bid {
  public:
@@ -59,6 +59,6 @@
   Time ends_{}, next_repeat_{};
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_BID_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_BID_H_
--- a/src/fleet/lease/complaints.cpp
+++ b/src/fleet/lease/complaints.cpp
@@ -5,7 +5,7 @@
 
 #include "fleet/lease/failures.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using Why = LeaseMessage::Why;
@@ -53,4 +53,4 @@
   std::erase_if(told_, [&](const auto& each) { return each.first == voter; });
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/lease/complaints.h
+++ b/src/fleet/lease/complaints.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Denials that an operator has to mend: each told once for each voter and reason, until the voter grants.
-#ifndef BRACKENSPOKE_FLEET_LEASE_COMPLAINTS_H_
-#define BRACKENSPOKE_FLEET_LEASE_COMPLAINTS_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_COMPLAINTS_H_
+#define LOAD_BALANCER_FLEET_LEASE_COMPLAINTS_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <optional>
@@ -13,7 +13,7 @@
 #include "fleet/lease/message.h"
 #include "fleet/lease/voter.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class Complaints {
  public:
@@ -27,6 +27,6 @@
   std::set<std::pair<Endpoint, LeaseMessage::Why>> told_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_COMPLAINTS_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_COMPLAINTS_H_
--- a/src/fleet/lease/failures.h
+++ b/src/fleet/lease/failures.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What can go wrong with leases, as operators meet it.
-#ifndef BRACKENSPOKE_FLEET_LEASE_FAILURES_H_
-#define BRACKENSPOKE_FLEET_LEASE_FAILURES_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_FAILURES_H_
+#define LOAD_BALANCER_FLEET_LEASE_FAILURES_H_
 
 #include <array>
 
 #include "base/error/failure.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 inline constexpr FailureKind kOtherTerm{
     "LEASE-1", "a voter has another lease term and grants nothing",
@@ -43,6 +43,6 @@
                                            &kVoteNotKept, &kHeldElsewhere, &kNoHolder,    &kPastDeadline,
                                            &kOlderToken,  &kVotesRefused};
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_FAILURES_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_FAILURES_H_
--- a/src/fleet/lease/fingerprint.h
+++ b/src/fleet/lease/fingerprint.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Words that a state is hashed from.
-#ifndef BRACKENSPOKE_FLEET_LEASE_FINGERPRINT_H_
-#define BRACKENSPOKE_FLEET_LEASE_FINGERPRINT_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_FINGERPRINT_H_
+#define LOAD_BALANCER_FLEET_LEASE_FINGERPRINT_H_
 
 #include <xxhash.h>
 
@@ -12,7 +12,7 @@
 
 #include "base/time.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 inline std::uint64_t WordOf(std::string_view text) { return XXH64(text.data(), text.size(), 0); }
 
@@ -21,6 +21,6 @@
   return static_cast<std::uint64_t>(std::max<Span>(Span(0), moment - now).count());
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_FINGERPRINT_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_FINGERPRINT_H_
--- a/src/fleet/lease/guard.cpp
+++ b/src/fleet/lease/guard.cpp
@@ -5,7 +5,7 @@
 
 #include "fleet/lease/failures.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 bool LeaseGuard::Holds(Time now) const { return lease_ && !lease_->over && now < deadline_; }
 
@@ -27,4 +27,4 @@
   return {};
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/lease/guard.h
+++ b/src/fleet/lease/guard.h
@@ -2,8 +2,8 @@
 //
 // The right to act for a duty, and what a resource checks of it when the act comes (Kleppmann: "How to do
 // distributed locking", 2016). An exclusive act takes a `const LeaseGuard&`.
-#ifndef BRACKENSPOKE_FLEET_LEASE_GUARD_H_
-#define BRACKENSPOKE_FLEET_LEASE_GUARD_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_GUARD_H_
+#define LOAD_BALANCER_FLEET_LEASE_GUARD_H_
 
 #include <map>
 #include <memory>
@@ -14,7 +14,7 @@
 #include "base/time.h"
 #include "fleet/lease/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // kExclusive: never done without the lease. kAvailable: each does it itself while no quorum answers.
 enum class DutyKind { kExclusive, kAvailable };
@@ -72,6 +72,6 @@
   std::map<std::string, Token> largest_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_GUARD_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_GUARD_H_
--- a/src/fleet/lease/kept_votes.cpp
+++ b/src/fleet/lease/kept_votes.cpp
@@ -7,7 +7,7 @@
 
 #include "fleet/lease/failures.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using nlohmann::json;
@@ -43,4 +43,4 @@
   return std::move(kept.votes);
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/lease/kept_votes.h
+++ b/src/fleet/lease/kept_votes.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a voter keeps on its disk, and what of it its next life may go on from once the voters have changed.
-#ifndef BRACKENSPOKE_FLEET_LEASE_KEPT_VOTES_H_
-#define BRACKENSPOKE_FLEET_LEASE_KEPT_VOTES_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_KEPT_VOTES_H_
+#define LOAD_BALANCER_FLEET_LEASE_KEPT_VOTES_H_
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -11,7 +11,7 @@
 #include "base/error/failure.h"
 #include "fleet/lease/voter.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 struct KeptVotes {
   std::vector<std::string> voters;  // of the life that kept them, as host:port, sorted
@@ -26,6 +26,6 @@
 // differ by more than one voter.
 Result<StoredVotes> Adopt(KeptVotes kept, const std::vector<std::string>& voters);
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_KEPT_VOTES_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_KEPT_VOTES_H_
--- a/src/fleet/lease/leases.cpp
+++ b/src/fleet/lease/leases.cpp
@@ -9,7 +9,7 @@
 
 #include "fleet/lease/fingerprint.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using Verb = LeaseMessage::Verb;
@@ -188,4 +188,4 @@
   }
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/lease/leases.h
+++ b/src/fleet/lease/leases.h
@@ -4,8 +4,8 @@
 // Mechanism for Distributed File Cache Consistency", 1989), granted by a majority of voters, each with a
 // fencing token that only grows. The candidate's and holder's side, with this member's vote beside it. Owns
 // no socket and no clock. Protocol, bounds and the argument are in docs/leases.md.
-#ifndef BRACKENSPOKE_FLEET_LEASE_LEASES_H_
-#define BRACKENSPOKE_FLEET_LEASE_LEASES_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_LEASES_H_
+#define LOAD_BALANCER_FLEET_LEASE_LEASES_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <chrono>
@@ -25,7 +25,7 @@
 #include "fleet/lease/voter.h"
 #include "fleet/lease/voters.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 struct LeaseOptions {
   using Endpoint = boost::asio::ip::udp::endpoint;
@@ -140,6 +140,6 @@
   bool released_ = false;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_LEASES_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_LEASES_H_
--- a/src/fleet/lease/message.h
+++ b/src/fleet/lease/message.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What candidates, holders and voters of a lease say to each other.
-#ifndef BRACKENSPOKE_FLEET_LEASE_MESSAGE_H_
-#define BRACKENSPOKE_FLEET_LEASE_MESSAGE_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_MESSAGE_H_
+#define LOAD_BALANCER_FLEET_LEASE_MESSAGE_H_
 
 #include <cstdint>
 #include <string>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 using Token = std::uint64_t;  // larger is newer; 0: none
 
@@ -34,6 +34,6 @@
 };
 inline constexpr int kLeaseVerbs = 4, kLeaseReasons = 8;
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_MESSAGE_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_MESSAGE_H_
--- a/src/fleet/lease/requests.cpp
+++ b/src/fleet/lease/requests.cpp
@@ -6,7 +6,7 @@
 
 #include "fleet/lease/leases.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using std::chrono::milliseconds;
@@ -132,4 +132,4 @@
       std::max(duty.next_try, now + terms_.term / 12) + Random(Span(0), terms_.term / 6 * (1 << duty.failed));
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/lease/vote_file.cpp
+++ b/src/fleet/lease/vote_file.cpp
@@ -11,7 +11,7 @@
 #include "fleet/lease/kept_votes.h"
 #include "state/snapshot.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 VoteFile::VoteFile(std::string path, std::string name, std::vector<std::string> voters)
     : path_(std::move(path)), name_(std::move(name)), voters_(std::move(voters)) {
   std::sort(voters_.begin(), voters_.end());
@@ -51,4 +51,4 @@
   }
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/lease/vote_file.h
+++ b/src/fleet/lease/vote_file.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A voter's votes on disk, in the snapshot's verified format (docs/recovery.md).
-#ifndef BRACKENSPOKE_FLEET_LEASE_VOTE_FILE_H_
-#define BRACKENSPOKE_FLEET_LEASE_VOTE_FILE_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_VOTE_FILE_H_
+#define LOAD_BALANCER_FLEET_LEASE_VOTE_FILE_H_
 
 #include <optional>
 #include <string>
@@ -11,7 +11,7 @@
 #include "base/error/failure.h"
 #include "fleet/lease/voter.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class VoteFile : public VoteStore {
  public:
@@ -32,6 +32,6 @@
   std::uint64_t sequence_ = 0;       // of the last one written
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_VOTE_FILE_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_VOTE_FILE_H_
--- a/src/fleet/lease/voter.cpp
+++ b/src/fleet/lease/voter.cpp
@@ -5,7 +5,7 @@
 
 #include "fleet/lease/fingerprint.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using std::chrono::milliseconds;
@@ -108,4 +108,4 @@
       words->push_back(word);
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/lease/voter.h
+++ b/src/fleet/lease/voter.h
@@ -2,8 +2,8 @@
 //
 // The voter's side of leases: to whom it has granted, what of that outlives it, and when it may grant again.
 // Owns no clock and no file. The argument is in docs/leases.md.
-#ifndef BRACKENSPOKE_FLEET_LEASE_VOTER_H_
-#define BRACKENSPOKE_FLEET_LEASE_VOTER_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_VOTER_H_
+#define LOAD_BALANCER_FLEET_LEASE_VOTER_H_
 
 #include <chrono>
 #include <cstdint>
@@ -15,7 +15,7 @@
 #include "base/time.h"
 #include "fleet/lease/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 inline constexpr std::size_t kMostVotes = 256;  // duties
 
@@ -77,6 +77,6 @@
   std::map<std::string, Vote> votes_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_LEASE_VOTER_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_VOTER_H_
--- a/src/fleet/lease/voters.cpp
+++ b/src/fleet/lease/voters.cpp
@@ -5,7 +5,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 std::uint64_t VotersHash(std::vector<boost::asio::ip::udp::endpoint> voters) {
   std::sort(voters.begin(), voters.end());
@@ -20,4 +20,4 @@
   return hash;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/claims.cpp
+++ b/src/fleet/membership/claims.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 using State = MemberState;
 
@@ -116,4 +116,4 @@
     if (member.last.state == State::kSuspect) BeginSuspicion(now, member.last);
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/claims.h
+++ b/src/fleet/membership/claims.h
@@ -2,8 +2,8 @@
 //
 // Which claim about each member holds, this member included: SWIM's order of claims, suspicions and their
 // end, and the refutation of what is said of this member.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_CLAIMS_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_CLAIMS_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_CLAIMS_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_CLAIMS_H_
 
 #include <string>
 #include <string_view>
@@ -15,7 +15,7 @@
 #include "fleet/membership/suspicions.h"
 #include "fleet/membership/table.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // Whether the claim holds against one that is held: the higher incarnation, and of equal ones the graver
 // claim; what is dead or has left is taken back by a newer incarnation alone.
@@ -66,6 +66,6 @@
   bool silent_ = false, displaced_ = false;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_CLAIMS_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_CLAIMS_H_
--- a/src/fleet/membership/errands.cpp
+++ b/src/fleet/membership/errands.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 std::optional<Errand> Errands::End(std::uint64_t sequence) {
   const auto found = open_.find(sequence);
@@ -29,4 +29,4 @@
   return next;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/errands.h
+++ b/src/fleet/membership/errands.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Pings on behalf of other members: SWIM's indirect probes, and Lifeguard's nack for what is overdue.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_ERRANDS_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_ERRANDS_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_ERRANDS_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_ERRANDS_H_
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "fleet/wire/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 struct Errand {
   Udp::endpoint requester;
@@ -39,6 +39,6 @@
   std::map<std::uint64_t, Errand> open_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_ERRANDS_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_ERRANDS_H_
--- a/src/fleet/membership/health.h
+++ b/src/fleet/membership/health.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Lifeguard's local health: a member that hears little itself gives others more time.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_HEALTH_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_HEALTH_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_HEALTH_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_HEALTH_H_
 
 #include <algorithm>
 
 #include "fleet/membership/options.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class Health {
  public:
@@ -21,6 +21,6 @@
   int score_ = 0;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_HEALTH_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_HEALTH_H_
--- a/src/fleet/membership/mailer.cpp
+++ b/src/fleet/membership/mailer.cpp
@@ -7,7 +7,7 @@
 #include "fleet/sync/pieces.h"
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 using Kind = Message::Kind;
 
@@ -110,4 +110,4 @@
   outlet_.Send(to, message);
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/mailer.h
+++ b/src/fleet/membership/mailer.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A member's messages about members, with the news that they take along.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_MAILER_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_MAILER_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_MAILER_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_MAILER_H_
 
 #include <cstdint>
 #include <string>
@@ -10,7 +10,7 @@
 
 #include "fleet/membership/claims.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class Mailer {
  public:
@@ -44,6 +44,6 @@
   MembershipOutlet& outlet_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_MAILER_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_MAILER_H_
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using Kind = Message::Kind;
@@ -145,4 +145,4 @@
   return addresses;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -3,8 +3,8 @@
 // Who is present: SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
 // Membership Protocol", 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey, 2018). Owns no
 // socket and no clock: time and messages come in, messages and changes go out. Bounds are in docs/fleet.md.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_MEMBERSHIP_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_MEMBERSHIP_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBERSHIP_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBERSHIP_H_
 
 #include <cstdint>
 #include <map>
@@ -18,7 +18,7 @@
 #include "fleet/membership/outlet.h"
 #include "fleet/membership/probes.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class Membership {
  public:
@@ -66,6 +66,6 @@
   Time next_sync_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_MEMBERSHIP_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBERSHIP_H_
--- a/src/fleet/membership/news.cpp
+++ b/src/fleet/membership/news.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <vector>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 void News::PassOn(const std::string& receiver, int most, const std::function<bool(const Update&)>& take) {
   std::vector<Item*> fresh;
@@ -19,4 +19,4 @@
   std::erase_if(by_name_, [most](const auto& entry) { return entry.second.transmits >= most; });
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/news.h
+++ b/src/fleet/membership/news.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Claims that a member passes on with whatever it sends, each so many times.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_NEWS_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_NEWS_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_NEWS_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_NEWS_H_
 
 #include <functional>
 #include <map>
@@ -10,7 +10,7 @@
 
 #include "fleet/wire/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class News {
  public:
@@ -29,6 +29,6 @@
   std::map<std::string, Item> by_name_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_NEWS_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_NEWS_H_
--- a/src/fleet/membership/options.cpp
+++ b/src/fleet/membership/options.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 Span ShortestSuspicion(const MembershipOptions& options, std::size_t members) {
   const double nodes = std::max(1.0, std::log10(std::max<double>(1, static_cast<double>(members))));
@@ -21,4 +21,4 @@
          ShortestSuspicion(options, members) * kLongestSuspicion;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/options.h
+++ b/src/fleet/membership/options.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What membership is set to, and the bounds that follow from it. They are argued in docs/fleet.md.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_OPTIONS_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_OPTIONS_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_OPTIONS_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_OPTIONS_H_
 
 #include <chrono>
 #include <cstdint>
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "fleet/wire/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 inline constexpr int kMostHealth = 8;              // Lifeguard's S: the worst local health score
 inline constexpr int kConfirmations = 3;           // Lifeguard's K
@@ -43,6 +43,6 @@
 // Times that a member passes each piece of news on: multiplier x ceil(log10(n + 1)).
 int MostTransmits(const MembershipOptions& options, std::size_t members);
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_OPTIONS_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_OPTIONS_H_
--- a/src/fleet/membership/outlet.h
+++ b/src/fleet/membership/outlet.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A member as another one sees it, and what goes out of membership.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_OUTLET_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_OUTLET_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_OUTLET_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_OUTLET_H_
 
 #include <optional>
 #include <string_view>
@@ -10,7 +10,7 @@
 #include "base/time.h"
 #include "fleet/wire/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 struct Member {
   Update last;   // the claim that holds
@@ -35,6 +35,6 @@
   virtual void Displaced(const Udp::endpoint& by) = 0;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_OUTLET_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_OUTLET_H_
--- a/src/fleet/membership/probes.cpp
+++ b/src/fleet/membership/probes.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using Kind = Message::Kind;
@@ -134,4 +134,4 @@
   errands_.Clear();
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/probes.h
+++ b/src/fleet/membership/probes.h
@@ -2,8 +2,8 @@
 //
 // SWIM's probes: each interval one member, directly and then by way of others; and the pings that others ask
 // this member for.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_PROBES_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_PROBES_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_PROBES_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_PROBES_H_
 
 #include <cstdint>
 #include <optional>
@@ -15,7 +15,7 @@
 #include "fleet/membership/errands.h"
 #include "fleet/membership/mailer.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class Probes {
  public:
@@ -68,6 +68,6 @@
   Time next_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_PROBES_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_PROBES_H_
--- a/src/fleet/membership/suspicions.cpp
+++ b/src/fleet/membership/suspicions.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 // From the longest towards the shortest with each confirmation.
@@ -69,4 +69,4 @@
   return next;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/suspicions.h
+++ b/src/fleet/membership/suspicions.h
@@ -2,8 +2,8 @@
 //
 // Members that are suspected, until a refutation comes or the time for one is over: Lifeguard's dogpile, by
 // which each further accuser shortens that time.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_SUSPICIONS_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_SUSPICIONS_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_SUSPICIONS_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_SUSPICIONS_H_
 
 #include <map>
 #include <set>
@@ -12,7 +12,7 @@
 
 #include "fleet/membership/options.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class Suspicions {
  public:
@@ -43,6 +43,6 @@
   std::map<std::string, Suspicion> open_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_SUSPICIONS_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_SUSPICIONS_H_
--- a/src/fleet/membership/table.cpp
+++ b/src/fleet/membership/table.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <iterator>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 std::uint64_t HashOf(const Update& update) {
@@ -68,4 +68,4 @@
   });
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/membership/table.h
+++ b/src/fleet/membership/table.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The other members that a member knows.
-#ifndef BRACKENSPOKE_FLEET_MEMBERSHIP_TABLE_H_
-#define BRACKENSPOKE_FLEET_MEMBERSHIP_TABLE_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_TABLE_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_TABLE_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 #include "fleet/membership/options.h"
 #include "fleet/membership/outlet.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class MemberTable {
  public:
@@ -41,6 +41,6 @@
   std::map<std::string, Member> members_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_MEMBERSHIP_TABLE_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_TABLE_H_
--- a/src/fleet/node/channels.h
+++ b/src/fleet/node/channels.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Who takes the payloads that layers above the fleet send to each other.
-#ifndef BRACKENSPOKE_FLEET_NODE_CHANNELS_H_
-#define BRACKENSPOKE_FLEET_NODE_CHANNELS_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_CHANNELS_H_
+#define LOAD_BALANCER_FLEET_NODE_CHANNELS_H_
 
 #include <functional>
 #include <map>
@@ -11,7 +11,7 @@
 
 #include "fleet/wire/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // Takes a payload as it came: whoever sent it may have sent anything. `sender` is as it sees itself.
 using TakePayload = std::function<void(const Update& sender, const nlohmann::json& payload)>;
@@ -33,6 +33,6 @@
   std::map<std::string, TakePayload> takers_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_NODE_CHANNELS_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_CHANNELS_H_
--- a/src/fleet/node/counts.cpp
+++ b/src/fleet/node/counts.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "fleet/node/counts.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 std::string DropsLine(const Counts& counts) {
   std::string line;
@@ -11,4 +11,4 @@
   return line + "throttled=" + std::to_string(counts.throttled);
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/node/counts.h
+++ b/src/fleet/node/counts.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a member has sent, received and dropped.
-#ifndef BRACKENSPOKE_FLEET_NODE_COUNTS_H_
-#define BRACKENSPOKE_FLEET_NODE_COUNTS_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_COUNTS_H_
+#define LOAD_BALANCER_FLEET_NODE_COUNTS_H_
 
 #include <array>
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 #include "fleet/wire/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 struct Counts {
   std::uint64_t received = 0, sent = 0;              // datagrams
@@ -22,6 +22,6 @@
 // "malformed=.. oversized=.. foreign=.. version=.. channel=.. throttled=.."
 std::string DropsLine(const Counts& counts);
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_NODE_COUNTS_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_COUNTS_H_
--- a/src/fleet/node/describe.cpp
+++ b/src/fleet/node/describe.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <chrono>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 std::string LineOf(const Member& member, Time now) {
@@ -35,4 +35,4 @@
   return line;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/node/describe.h
+++ b/src/fleet/node/describe.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A member and what it shares, in one line for operators.
-#ifndef BRACKENSPOKE_FLEET_NODE_DESCRIBE_H_
-#define BRACKENSPOKE_FLEET_NODE_DESCRIBE_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_DESCRIBE_H_
+#define LOAD_BALANCER_FLEET_NODE_DESCRIBE_H_
 
 #include <string>
 
@@ -10,7 +10,7 @@
 #include "fleet/node/counts.h"
 #include "fleet/state/state.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // Every member as "name state incarnation age", this one first, and the counts.
 std::string DescribeMembers(const Membership& membership, const Counts& counts, Time now);
@@ -19,6 +19,6 @@
 // was refused.
 std::string DescribeState(const SharedState::Summary& all, int limit, int share);
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_NODE_DESCRIBE_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_DESCRIBE_H_
--- a/src/fleet/node/duties.cpp
+++ b/src/fleet/node/duties.cpp
@@ -11,7 +11,7 @@
 #include "fleet/lease/failures.h"
 #include "fleet/node/node.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using Steady = std::chrono::steady_clock;
@@ -130,4 +130,4 @@
                 std::chrono::milliseconds(ms));
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/node/facts.h
+++ b/src/fleet/node/facts.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a fleet tells the process that is a member of it.
-#ifndef BRACKENSPOKE_FLEET_NODE_FACTS_H_
-#define BRACKENSPOKE_FLEET_NODE_FACTS_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_FACTS_H_
+#define LOAD_BALANCER_FLEET_NODE_FACTS_H_
 
 #include <string>
 
 #include "fleet/lease/leases.h"
 #include "fleet/state/state.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class Facts {
  public:
@@ -28,6 +28,6 @@
   virtual void OnDutyFact(const DutyFact& fact) = 0;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_NODE_FACTS_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_FACTS_H_
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -7,7 +7,7 @@
 
 #include "base/log.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 using Steady = std::chrono::steady_clock;
 
@@ -62,4 +62,4 @@
   membership_ = nullptr;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/node/limit_share.h
+++ b/src/fleet/node/limit_share.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // This member's share of the fleet's limit of requests in flight at one server.
-#ifndef BRACKENSPOKE_FLEET_NODE_LIMIT_SHARE_H_
-#define BRACKENSPOKE_FLEET_NODE_LIMIT_SHARE_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_LIMIT_SHARE_H_
+#define LOAD_BALANCER_FLEET_NODE_LIMIT_SHARE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -12,7 +12,7 @@
 #include "fleet/node/facts.h"
 #include "fleet/section.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class LimitShare {
  public:
@@ -44,6 +44,6 @@
   int share_ = -1;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_NODE_LIMIT_SHARE_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_LIMIT_SHARE_H_
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -10,7 +10,7 @@
 #include "fleet/failures.h"
 #include "fleet/node/describe.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 namespace asio = boost::asio;
@@ -195,4 +195,4 @@
   return DescribeMembers(*membership_, counts(), Steady::now());
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -3,8 +3,8 @@
 // This process as a member of a fleet: membership, shared state, leases and what else goes between members,
 // on one socket and one timer, with a log line of every change. A process may be a member of several fleets,
 // with a Node for each. Nothing here bears on where a request goes.
-#ifndef BRACKENSPOKE_FLEET_NODE_NODE_H_
-#define BRACKENSPOKE_FLEET_NODE_NODE_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_NODE_H_
+#define LOAD_BALANCER_FLEET_NODE_NODE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/udp.hpp>
@@ -26,7 +26,7 @@
 #include "fleet/node/transport.h"
 #include "fleet/section.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // The duties that are done by one member at a time: discovery is available, maintenance exclusive.
 inline constexpr char kDiscoveryDuty[] = "discovery", kMaintenanceDuty[] = "maintenance";
@@ -143,6 +143,6 @@
   Kept kept_;  // of a life before
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_NODE_NODE_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_NODE_H_
--- a/src/fleet/node/state_exchange.cpp
+++ b/src/fleet/node/state_exchange.cpp
@@ -10,7 +10,7 @@
 #include "base/wall_clock.h"
 #include "fleet/failures.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 constexpr std::chrono::seconds kBetweenReports{10};  // of refused entries
@@ -64,4 +64,4 @@
                                                              origin.empty() ? "-" : origin, Name(why))));
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/node/state_exchange.h
+++ b/src/fleet/node/state_exchange.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Shared state on a process's own clock, with a log line of what is taken and what is refused.
-#ifndef BRACKENSPOKE_FLEET_NODE_STATE_EXCHANGE_H_
-#define BRACKENSPOKE_FLEET_NODE_STATE_EXCHANGE_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_STATE_EXCHANGE_H_
+#define LOAD_BALANCER_FLEET_NODE_STATE_EXCHANGE_H_
 
 #include <string>
 #include <utility>
@@ -13,7 +13,7 @@
 #include "fleet/section.h"
 #include "fleet/state/gossip.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class StateExchange : private SharedState::Host {
  public:
@@ -58,6 +58,6 @@
   int refusals_ = 0;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_NODE_STATE_EXCHANGE_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_STATE_EXCHANGE_H_
--- a/src/fleet/node/transport.cpp
+++ b/src/fleet/node/transport.cpp
@@ -8,7 +8,7 @@
 #include "base/log.h"
 #include "fleet/failures.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 namespace asio = boost::asio;
@@ -106,4 +106,4 @@
   counts_.bytes_sent += bytes.size();
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/node/transport.h
+++ b/src/fleet/node/transport.h
@@ -2,8 +2,8 @@
 //
 // The UDP socket of a member: datagrams in and out, at most so many bytes a second out, and the counts of
 // what was dropped.
-#ifndef BRACKENSPOKE_FLEET_NODE_TRANSPORT_H_
-#define BRACKENSPOKE_FLEET_NODE_TRANSPORT_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_TRANSPORT_H_
+#define LOAD_BALANCER_FLEET_NODE_TRANSPORT_H_
 
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -16,7 +16,7 @@
 #include "fleet/node/counts.h"
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 struct TransportOptions {
   std::string component;  // that speaks in the log
@@ -69,6 +69,6 @@
   bool closed_ = false, waits_ = false;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_NODE_TRANSPORT_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_TRANSPORT_H_
--- a/src/fleet/section.cpp
+++ b/src/fleet/section.cpp
@@ -3,7 +3,7 @@
 
 #include "base/config/section.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // 6 times the shortest, which grows with the logarithm of the members.
 Milliseconds LongestSuspicion(const FleetSection& fleet) {
@@ -51,4 +51,4 @@
   return fleet;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/section.h
+++ b/src/fleet/section.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The configuration's section `fleet`: membership among the processes of a fleet, and what they share.
-#ifndef BRACKENSPOKE_FLEET_SECTION_H_
-#define BRACKENSPOKE_FLEET_SECTION_H_
+#ifndef LOAD_BALANCER_FLEET_SECTION_H_
+#define LOAD_BALANCER_FLEET_SECTION_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <chrono>
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 using Milliseconds = std::chrono::milliseconds;
 
@@ -43,6 +43,6 @@
 // Reads `fleet` of the file's root object. Appends one line per fault to `faults`.
 FleetSection ReadFleet(const nlohmann::json& root, std::vector<std::string>* faults);
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_SECTION_H_
+#endif  // LOAD_BALANCER_FLEET_SECTION_H_
--- a/src/fleet/state/entry.cpp
+++ b/src/fleet/state/entry.cpp
@@ -3,7 +3,7 @@
 
 #include <stdexcept>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using nlohmann::json;
@@ -66,4 +66,4 @@
 
 std::size_t PackedSize(const json& packed) { return json::to_msgpack(packed).size(); }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/state/entry.h
+++ b/src/fleet/state/entry.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What members tell each other of servers, keys and duties, and its form in a message.
-#ifndef BRACKENSPOKE_FLEET_STATE_ENTRY_H_
-#define BRACKENSPOKE_FLEET_STATE_ENTRY_H_
+#ifndef LOAD_BALANCER_FLEET_STATE_ENTRY_H_
+#define LOAD_BALANCER_FLEET_STATE_ENTRY_H_
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -11,7 +11,7 @@
 
 #include "fleet/state/hybrid_clock.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 using UnixMs = std::uint64_t;
 
@@ -64,6 +64,6 @@
 // Bytes that it takes in a message.
 std::size_t PackedSize(const nlohmann::json& packed);
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_STATE_ENTRY_H_
+#endif  // LOAD_BALANCER_FLEET_STATE_ENTRY_H_
--- a/src/fleet/state/fences.cpp
+++ b/src/fleet/state/fences.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 std::uint64_t Fences::Of(const std::string& duty) const {
   const auto found = fences_.find(duty);
@@ -27,4 +27,4 @@
   }
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/state/fences.h
+++ b/src/fleet/state/fences.h
@@ -2,8 +2,8 @@
 //
 // The largest token seen of each duty: what the holder before it wrote is refused. A fence is kept as long as
 // a fact written under a smaller token could last, so that none outlives the fence that stops it.
-#ifndef BRACKENSPOKE_FLEET_STATE_FENCES_H_
-#define BRACKENSPOKE_FLEET_STATE_FENCES_H_
+#ifndef LOAD_BALANCER_FLEET_STATE_FENCES_H_
+#define LOAD_BALANCER_FLEET_STATE_FENCES_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 
 #include "fleet/state/entry.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class Fences {
  public:
@@ -38,6 +38,6 @@
   std::set<std::pair<UnixMs, std::string>> by_end_;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_STATE_FENCES_H_
+#endif  // LOAD_BALANCER_FLEET_STATE_FENCES_H_
--- a/src/fleet/state/gossip.cpp
+++ b/src/fleet/state/gossip.cpp
@@ -6,10 +6,10 @@
 #include <algorithm>
 #include <utility>
 
-#include "brackenspoke/balancer.h"
 #include "fleet/wire/codec.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 constexpr std::size_t kPushFanout = 3;                     // members told at once of a new verdict
@@ -119,4 +119,4 @@
   if (state_.Write(now, std::move(fact))) Push(now);
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/state/gossip.h
+++ b/src/fleet/state/gossip.h
@@ -2,8 +2,8 @@
 //
 // How shared state goes between members: news on every message that has room, a new verdict or duty's fact to
 // a few members at once, and what differs with each sync of membership. Owns no socket and no clock.
-#ifndef BRACKENSPOKE_FLEET_STATE_GOSSIP_H_
-#define BRACKENSPOKE_FLEET_STATE_GOSSIP_H_
+#ifndef LOAD_BALANCER_FLEET_STATE_GOSSIP_H_
+#define LOAD_BALANCER_FLEET_STATE_GOSSIP_H_
 
 #include <cstdint>
 #include <optional>
@@ -13,7 +13,7 @@
 #include "fleet/section.h"
 #include "fleet/state/state.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 class StateGossip {
  public:
@@ -60,6 +60,6 @@
   std::uint64_t start_;  // of the next answer's range
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_STATE_GOSSIP_H_
+#endif  // LOAD_BALANCER_FLEET_STATE_GOSSIP_H_
--- a/src/fleet/state/hybrid_clock.h
+++ b/src/fleet/state/hybrid_clock.h
@@ -2,13 +2,13 @@
 //
 // A hybrid logical clock (Kulkarni, Demirbas, Madeppa, Avva, Leone: "Logical Physical Clocks", 2014): stamps
 // that follow causes and stay near the wall clock.
-#ifndef BRACKENSPOKE_FLEET_STATE_HYBRID_CLOCK_H_
-#define BRACKENSPOKE_FLEET_STATE_HYBRID_CLOCK_H_
+#ifndef LOAD_BALANCER_FLEET_STATE_HYBRID_CLOCK_H_
+#define LOAD_BALANCER_FLEET_STATE_HYBRID_CLOCK_H_
 
 #include <algorithm>
 #include <cstdint>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // 48 bits of Unix milliseconds, 16 of a counter: ordered as it stands.
 using Stamp = std::uint64_t;
@@ -26,6 +26,6 @@
   Stamp last_ = 0;
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_STATE_HYBRID_CLOCK_H_
+#endif  // LOAD_BALANCER_FLEET_STATE_HYBRID_CLOCK_H_
--- a/src/fleet/state/state.cpp
+++ b/src/fleet/state/state.cpp
@@ -7,7 +7,7 @@
 #include <stdexcept>
 #include <tuple>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using nlohmann::json;
@@ -331,4 +331,4 @@
   return verdicts;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/state/state.h
+++ b/src/fleet/state/state.h
@@ -4,8 +4,8 @@
 // where digests differ, whole (Almeida, Shoker, Baquero: "Delta state replicated data types", 2018). Owns no
 // socket and no clock; times are Unix milliseconds, since they are compared between machines. Bounds are in
 // docs/fleet.md.
-#ifndef BRACKENSPOKE_FLEET_STATE_STATE_H_
-#define BRACKENSPOKE_FLEET_STATE_STATE_H_
+#ifndef LOAD_BALANCER_FLEET_STATE_STATE_H_
+#define LOAD_BALANCER_FLEET_STATE_STATE_H_
 
 #include <array>
 #include <cstdint>
@@ -23,7 +23,7 @@
 #include "fleet/state/fences.h"
 #include "fleet/sync/pieces.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // Why an entry was not taken. kOlder, that what is held is as new or newer, and kOff, that this member does
 // not share the kind, are no faults. kFull: there are kMostFacts or kMostDuties already.
@@ -142,6 +142,6 @@
   std::array<std::uint64_t, kRefusals> refused_{};
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_STATE_STATE_H_
+#endif  // LOAD_BALANCER_FLEET_STATE_STATE_H_
--- a/src/fleet/sync/buckets.cpp
+++ b/src/fleet/sync/buckets.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <bit>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 constexpr std::size_t kDigestBytes = 4, kEntriesOfABucket = 4;
@@ -53,4 +53,4 @@
   return unlike;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/sync/buckets.h
+++ b/src/fleet/sync/buckets.h
@@ -2,8 +2,8 @@
 //
 // What of two sets of entries differs, by digests of equal parts of the space of their keys' hashes
 // (docs/fleet.md, "Exchange of what differs").
-#ifndef BRACKENSPOKE_FLEET_SYNC_BUCKETS_H_
-#define BRACKENSPOKE_FLEET_SYNC_BUCKETS_H_
+#ifndef LOAD_BALANCER_FLEET_SYNC_BUCKETS_H_
+#define LOAD_BALANCER_FLEET_SYNC_BUCKETS_H_
 
 #include <bitset>
 #include <cstddef>
@@ -12,7 +12,7 @@
 #include <span>
 #include <vector>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 inline constexpr std::size_t kFewestBuckets = 8, kMostBuckets = 128;
 
@@ -55,6 +55,6 @@
   }
 };
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_SYNC_BUCKETS_H_
+#endif  // LOAD_BALANCER_FLEET_SYNC_BUCKETS_H_
--- a/src/fleet/sync/pieces.h
+++ b/src/fleet/sync/pieces.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Cuts the entries of some buckets into pieces of a datagram each.
-#ifndef BRACKENSPOKE_FLEET_SYNC_PIECES_H_
-#define BRACKENSPOKE_FLEET_SYNC_PIECES_H_
+#ifndef LOAD_BALANCER_FLEET_SYNC_PIECES_H_
+#define LOAD_BALANCER_FLEET_SYNC_PIECES_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 #include "fleet/sync/buckets.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // Something of a set, at its place, and the bytes that it takes in a message.
 template <typename Entry>
@@ -54,6 +54,6 @@
   return pieces;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_SYNC_PIECES_H_
+#endif  // LOAD_BALANCER_FLEET_SYNC_PIECES_H_
--- a/src/fleet/wire/codec.h
+++ b/src/fleet/wire/codec.h
@@ -2,8 +2,8 @@
 //
 // The form of a message: one MessagePack map a datagram, with the protocol's version and the fleet's name.
 // Whatever is not such a map, whole and within the size, is dropped with a reason.
-#ifndef BRACKENSPOKE_FLEET_WIRE_CODEC_H_
-#define BRACKENSPOKE_FLEET_WIRE_CODEC_H_
+#ifndef LOAD_BALANCER_FLEET_WIRE_CODEC_H_
+#define LOAD_BALANCER_FLEET_WIRE_CODEC_H_
 
 #include <cstdint>
 #include <span>
@@ -13,7 +13,7 @@
 
 #include "fleet/wire/message.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 // At most kMostDatagram bytes, if the updates were taken by RoomFor.
 std::vector<std::uint8_t> Encode(std::string_view fleet, const Message& message);
@@ -23,6 +23,6 @@
 std::size_t SizeOf(const Update& update);
 std::size_t RoomFor(std::string_view fleet, const Message& message);
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_WIRE_CODEC_H_
+#endif  // LOAD_BALANCER_FLEET_WIRE_CODEC_H_
--- a/src/fleet/wire/decode.cpp
+++ b/src/fleet/wire/decode.cpp
@@ -4,7 +4,7 @@
 #include "base/config/endpoint.h"
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using nlohmann::json;
@@ -127,4 +127,4 @@
   }
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/wire/encode.cpp
+++ b/src/fleet/wire/encode.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 using nlohmann::json;
@@ -61,4 +61,4 @@
   return json::to_msgpack(root);
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/wire/message.cpp
+++ b/src/fleet/wire/message.cpp
@@ -3,7 +3,7 @@
 
 #include <array>
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 constexpr std::array<std::string_view, kStates> kStateNames{"alive", "suspect", "dead", "left"};
@@ -19,4 +19,4 @@
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/fleet/wire/message.h
+++ b/src/fleet/wire/message.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What members of a fleet say to each other. How it goes over the wire is in codec.h.
-#ifndef BRACKENSPOKE_FLEET_WIRE_MESSAGE_H_
-#define BRACKENSPOKE_FLEET_WIRE_MESSAGE_H_
+#ifndef LOAD_BALANCER_FLEET_WIRE_MESSAGE_H_
+#define LOAD_BALANCER_FLEET_WIRE_MESSAGE_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <cstdint>
@@ -15,7 +15,7 @@
 #include "fleet/lease/message.h"
 #include "fleet/sync/buckets.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 
 using Udp = boost::asio::ip::udp;
 
@@ -70,6 +70,6 @@
 
 std::string Text(const Udp::endpoint& address);  // host:port
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
 
-#endif  // BRACKENSPOKE_FLEET_WIRE_MESSAGE_H_
+#endif  // LOAD_BALANCER_FLEET_WIRE_MESSAGE_H_
--- a/src/fleet/wire/size.cpp
+++ b/src/fleet/wire/size.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::fleet {
+namespace load_balancer::fleet {
 namespace {
 
 // Bytes of MessagePack beside the texts: of an update (its array, three texts, the state, the incarnation),
@@ -32,4 +32,4 @@
   return taken < kMostDatagram ? kMostDatagram - taken : 0;
 }
 
-}  // namespace brackenspoke::fleet
+}  // namespace load_balancer::fleet
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 // How much this proxy has in flight, and what a request is worth to it.
-#ifndef BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
-#define BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_ADMISSION_H_
+#define LOAD_BALANCER_SRC_POLICY_ADMISSION_H_
 
 #include "policy/server_list.h"
 #include "policy/traffic.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr double kQueueShare = 0.33;  // of the aim that an attempt may take, in the mean
 constexpr double kChance = 1;         // deviations of the number in flight that are no overload
@@ -103,6 +103,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_ADMISSION_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_ADMISSION_H_
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -2,7 +2,7 @@
 // Events in, actions out: the life of a request. The ordinary path is gRFC A50 outlier detection and, among
 // the servers in service, a pick of the one with the least hinted work of this proxy's own in flight.
 // Whatever departs from that is marked "Exception" with the condition under which it acts.
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
 #include <tuple>
 
@@ -10,7 +10,7 @@
 #include "policy/pick.h"
 #include "policy/repeats.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 namespace {
 
 constexpr int kMostMisses = 8;          // held requests tried in a row without room for any
@@ -51,7 +51,7 @@
     return {traffic_.served_rate, traffic_.work_rate, cold_.warm_rate, traffic_.stretch};
   }
 
-  brackenspoke::Spare Spare(TimePoint now) const {
+  load_balancer::Spare Spare(TimePoint now) const {
     const double limit = admission_.Limit(), useful = admission_.Useful();
     const double left = limit - static_cast<double>(awaited_.size()) - spilled_;
     if (left <= 0 || !held_.empty())
@@ -412,4 +412,4 @@
 
 void Balancer::Handle(TimePoint now, const Event& e, std::vector<Action>* out) { impl_->Handle(now, e, out); }
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
--- a/src/policy/cold_budget.h
+++ b/src/policy/cold_budget.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 // What a server that has just started may be sent.
-#ifndef BRACKENSPOKE_SRC_POLICY_COLD_BUDGET_H_
-#define BRACKENSPOKE_SRC_POLICY_COLD_BUDGET_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_COLD_BUDGET_H_
+#define LOAD_BALANCER_SRC_POLICY_COLD_BUDGET_H_
 
 #include "policy/server_list.h"
 #include "policy/traffic.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr double kColdCaution = 0.55;       // of the fall multiple: the rest is for chance and for late news
 constexpr double kColdLeast = 0.25;         // standard cores that a warm server has at the very least
@@ -62,6 +62,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_COLD_BUDGET_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_COLD_BUDGET_H_
--- a/src/policy/measures.h
+++ b/src/policy/measures.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // What the decision module counts with: a random source and averages. No decisions.
-#ifndef BRACKENSPOKE_SRC_POLICY_MEASURES_H_
-#define BRACKENSPOKE_SRC_POLICY_MEASURES_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_MEASURES_H_
+#define LOAD_BALANCER_SRC_POLICY_MEASURES_H_
 
 #include <algorithm>
 #include <cmath>
@@ -9,9 +9,9 @@
 #include <random>
 #include <utility>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr TimePoint kNever{Duration(1e300)};
 
@@ -52,6 +52,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_MEASURES_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_MEASURES_H_
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 // gRFC A50 outlier detection, failure percentage, evaluated at each answer as DESIGN states it.
-#ifndef BRACKENSPOKE_SRC_POLICY_OUTLIER_DETECTION_H_
-#define BRACKENSPOKE_SRC_POLICY_OUTLIER_DETECTION_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_OUTLIER_DETECTION_H_
+#define LOAD_BALANCER_SRC_POLICY_OUTLIER_DETECTION_H_
 
 #include "policy/measures.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr Duration kInterval{2000};          // counts reset: long enough for the volume floor at 2 requests/s
 constexpr Duration kBaseEjectionTime{2000};  // first ejection: as long as one interval
@@ -116,6 +116,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_OUTLIER_DETECTION_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_OUTLIER_DETECTION_H_
--- a/src/policy/pick.h
+++ b/src/policy/pick.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 // Which server an attempt goes to.
-#ifndef BRACKENSPOKE_SRC_POLICY_PICK_H_
-#define BRACKENSPOKE_SRC_POLICY_PICK_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_PICK_H_
+#define LOAD_BALANCER_SRC_POLICY_PICK_H_
 
 #include "policy/cold_budget.h"
 #include "policy/warm_keys.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr double kCrossingWeight = 10;  // mean requests of work that the whole crossing price is worth
 constexpr double kZoneGain = 0.1;       // of one answer, in what the own zone and the others lose
@@ -87,6 +87,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_PICK_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_PICK_H_
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // What is kept of servers, requests and classes, and what every part of the module shares.
-#ifndef BRACKENSPOKE_SRC_POLICY_RECORDS_H_
-#define BRACKENSPOKE_SRC_POLICY_RECORDS_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_RECORDS_H_
+#define LOAD_BALANCER_SRC_POLICY_RECORDS_H_
 
 #include <memory>
 #include <sstream>
@@ -9,7 +9,7 @@
 
 #include "policy/outlier_detection.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr double kDeviations = 4;          // time-out: mean + 4 deviations, as RFC 6298
 constexpr double kSlownessGain = 0.08;     // of one answer
@@ -97,6 +97,6 @@
   TimePoint log_at[kLogKinds] = {};
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_RECORDS_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_RECORDS_H_
--- a/src/policy/repeats.h
+++ b/src/policy/repeats.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 // Whether a request may be sent (again) or refused, by what its attempts may have done.
-#ifndef BRACKENSPOKE_SRC_POLICY_REPEATS_H_
-#define BRACKENSPOKE_SRC_POLICY_REPEATS_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_REPEATS_H_
+#define LOAD_BALANCER_SRC_POLICY_REPEATS_H_
 
 #include "policy/records.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr double kWindowMargin = 0.9;  // of the window in which a keyed repeat is dropped
 constexpr double kRetryRatio = 0.1;    // repeats a first send earns: bounds a storm to a tenth
@@ -34,6 +34,6 @@
   return may;
 }
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_REPEATS_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_REPEATS_H_
--- a/src/policy/server_list.h
+++ b/src/policy/server_list.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 // The servers that discovery names and operators leave in, those of them that this proxy picks from, and when
 // to ask discovery again.
-#ifndef BRACKENSPOKE_SRC_POLICY_SERVER_LIST_H_
-#define BRACKENSPOKE_SRC_POLICY_SERVER_LIST_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_SERVER_LIST_H_
+#define LOAD_BALANCER_SRC_POLICY_SERVER_LIST_H_
 
 #include <set>
 #include <unordered_map>
 
 #include "policy/records.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr int kLeastSubset = 8;         // half may be ejected, and the rest is still a choice
 constexpr double kWorthStaying = 0.02;  // price of a crossing; below, one even choice is worth more
@@ -235,6 +235,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_SERVER_LIST_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_SERVER_LIST_H_
--- a/src/policy/traffic.h
+++ b/src/policy/traffic.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 // What this proxy learns of what it is asked for, and of how fast and how crowded servers answer.
-#ifndef BRACKENSPOKE_SRC_POLICY_TRAFFIC_H_
-#define BRACKENSPOKE_SRC_POLICY_TRAFFIC_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_TRAFFIC_H_
+#define LOAD_BALANCER_SRC_POLICY_TRAFFIC_H_
 
 #include "policy/records.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr int kYoung = 10;             // outcomes; before, what is asked stands for what is served
 constexpr Duration kRateMemory{8000};  // averaging of work served by warm servers
@@ -76,6 +76,6 @@
   }
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_TRAFFIC_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_TRAFFIC_H_
--- a/src/policy/warm_keys.h
+++ b/src/policy/warm_keys.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 // Where keys were sent lately: a server that met a key serves it again with less work.
-#ifndef BRACKENSPOKE_SRC_POLICY_WARM_KEYS_H_
-#define BRACKENSPOKE_SRC_POLICY_WARM_KEYS_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_WARM_KEYS_H_
+#define LOAD_BALANCER_SRC_POLICY_WARM_KEYS_H_
 
 #include <deque>
 #include <map>
 #include <unordered_map>
 #include <utility>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 
 constexpr double kWarmWeight = 2;     // of a request's work, at a server that met its key lately
 constexpr Duration kKeyMemory{4000};  // how long a key sent to a server is taken to be warm there
@@ -38,6 +38,6 @@
   std::deque<std::pair<TimePoint, std::uint64_t>> order_;
 };
 
-}  // namespace brackenspoke
+}  // namespace load_balancer
 
-#endif  // BRACKENSPOKE_SRC_POLICY_WARM_KEYS_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_WARM_KEYS_H_
--- a/src/proxy/admin/admin_handler.cpp
+++ b/src/proxy/admin/admin_handler.cpp
@@ -10,7 +10,7 @@
 #include "fleet_link/maintenance_duty.h"
 #include "proxy/failures.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 OperatorReply StoppingNow() { return OperatorReply::No(Failure(kStopping, "stopping")); }
@@ -87,4 +87,4 @@
   return OperatorReply::Yes(leases);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/admin/admin_handler.h
+++ b/src/proxy/admin/admin_handler.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Executes the operators' admin commands (docs/operations.md).
-#ifndef BRACKENSPOKE_PROXY_ADMIN_ADMIN_HANDLER_H_
-#define BRACKENSPOKE_PROXY_ADMIN_ADMIN_HANDLER_H_
+#ifndef LOAD_BALANCER_PROXY_ADMIN_ADMIN_HANDLER_H_
+#define LOAD_BALANCER_PROXY_ADMIN_ADMIN_HANDLER_H_
 
 #include "operators.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Door;
 class FederationLink;
@@ -36,6 +36,6 @@
   FederationLink& federation_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_ADMIN_ADMIN_HANDLER_H_
+#endif  // LOAD_BALANCER_PROXY_ADMIN_ADMIN_HANDLER_H_
--- a/src/proxy/admin/maintenance_controller.cpp
+++ b/src/proxy/admin/maintenance_controller.cpp
@@ -11,7 +11,7 @@
 #include "hot_restart.h"
 #include "proxy/failures.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 // How long the other processes of this proxy may take to apply a command.
@@ -86,4 +86,4 @@
   }
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/admin/maintenance_controller.h
+++ b/src/proxy/admin/maintenance_controller.h
@@ -3,8 +3,8 @@
 // The backends that operators have taken out of service (DETACH): persists them, applies them to the decision
 // module and to the backend connections, and replies to a command once every process of this proxy has
 // applied it.
-#ifndef BRACKENSPOKE_PROXY_ADMIN_MAINTENANCE_CONTROLLER_H_
-#define BRACKENSPOKE_PROXY_ADMIN_MAINTENANCE_CONTROLLER_H_
+#ifndef LOAD_BALANCER_PROXY_ADMIN_MAINTENANCE_CONTROLLER_H_
+#define LOAD_BALANCER_PROXY_ADMIN_MAINTENANCE_CONTROLLER_H_
 
 #include <cstdint>
 #include <functional>
@@ -17,7 +17,7 @@
 #include "maintenance.h"
 #include "operators.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Backends;
 class ModuleDriver;
@@ -69,6 +69,6 @@
   std::vector<PendingReply> pending_replies_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_ADMIN_MAINTENANCE_CONTROLLER_H_
+#endif  // LOAD_BALANCER_PROXY_ADMIN_MAINTENANCE_CONTROLLER_H_
--- a/src/proxy/backend/answer_reader.cpp
+++ b/src/proxy/backend/answer_reader.cpp
@@ -5,7 +5,7 @@
 
 #include "backends.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace http = boost::beast::http;
@@ -64,4 +64,4 @@
   buffer_.shrink_to_fit();
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/backend/answer_reader.h
+++ b/src/proxy/backend/answer_reader.h
@@ -2,8 +2,8 @@
 //
 // An answer on its way from a backend: what has come of it, and whether it is held until it is whole or has
 // to be passed on.
-#ifndef BRACKENSPOKE_PROXY_BACKEND_ANSWER_READER_H_
-#define BRACKENSPOKE_PROXY_BACKEND_ANSWER_READER_H_
+#ifndef LOAD_BALANCER_PROXY_BACKEND_ANSWER_READER_H_
+#define LOAD_BALANCER_PROXY_BACKEND_ANSWER_READER_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -20,7 +20,7 @@
 #include "clock.h"
 #include "request.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 struct AnswerHead;
 
@@ -105,6 +105,6 @@
   Steady::time_point hold_until_{};
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_BACKEND_ANSWER_READER_H_
+#endif  // LOAD_BALANCER_PROXY_BACKEND_ANSWER_READER_H_
--- a/src/proxy/backend/connection.cpp
+++ b/src/proxy/backend/connection.cpp
@@ -10,7 +10,7 @@
 #include "base/log.h"
 #include "proxy/failures.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -309,4 +309,4 @@
   if (ended_) Finish(Outcome::kOk);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/backend/connection.h
+++ b/src/proxy/backend/connection.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One connection to a backend and the attempt on it, if any.
-#ifndef BRACKENSPOKE_PROXY_BACKEND_CONNECTION_H_
-#define BRACKENSPOKE_PROXY_BACKEND_CONNECTION_H_
+#ifndef LOAD_BALANCER_PROXY_BACKEND_CONNECTION_H_
+#define LOAD_BALANCER_PROXY_BACKEND_CONNECTION_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -15,7 +15,7 @@
 #include "backends.h"
 #include "clock.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // Once closed it is never used again, so that an answer which comes after its attempt's time-out has nowhere
 // to go. It is the source of an answer that is passed on.
@@ -100,6 +100,6 @@
   bool awaiting_head_ = false, reading_ = false, begun_ = false, ended_ = false, closed_ = false;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_BACKEND_CONNECTION_H_
+#endif  // LOAD_BALANCER_PROXY_BACKEND_CONNECTION_H_
--- a/src/proxy/backend/request_writer.h
+++ b/src/proxy/backend/request_writer.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A request on its way to a backend: its head, and its body whole or piece by piece.
-#ifndef BRACKENSPOKE_PROXY_BACKEND_REQUEST_WRITER_H_
-#define BRACKENSPOKE_PROXY_BACKEND_REQUEST_WRITER_H_
+#ifndef LOAD_BALANCER_PROXY_BACKEND_REQUEST_WRITER_H_
+#define LOAD_BALANCER_PROXY_BACKEND_REQUEST_WRITER_H_
 
 #include <boost/asio/error.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -16,7 +16,7 @@
 #include <string>
 #include <utility>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // Writes at once what the system takes, so that Written() holds at every moment: whoever breaks a request off
 // between the write and the news of it has to know whether the backend may begin it.
@@ -78,6 +78,6 @@
   std::string piece_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_BACKEND_REQUEST_WRITER_H_
+#endif  // LOAD_BALANCER_PROXY_BACKEND_REQUEST_WRITER_H_
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -10,7 +10,7 @@
 #include "backend/connection.h"
 #include "base/log.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -188,4 +188,4 @@
   std::erase_if(found->second.idle, [&](const auto& idle) { return idle.get() == connection; });
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -2,8 +2,8 @@
 //
 // Attempts at backends and the pool of connections that carries them. It decides nothing: each Send is one
 // attempt on one connection and ends in exactly one result.
-#ifndef BRACKENSPOKE_PROXY_BACKENDS_H_
-#define BRACKENSPOKE_PROXY_BACKENDS_H_
+#ifndef LOAD_BALANCER_PROXY_BACKENDS_H_
+#define LOAD_BALANCER_PROXY_BACKENDS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -19,11 +19,11 @@
 #include <vector>
 
 #include "body.h"
-#include "brackenspoke/balancer.h"
 #include "clock.h"
+#include "load_balancer/balancer.h"
 #include "request.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // What is passed on of an answer as soon as it has begun; the rest is its body.
 struct AnswerHead {
@@ -130,6 +130,6 @@
   Steady::time_point wary_until_{};
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_BACKENDS_H_
+#endif  // LOAD_BALANCER_PROXY_BACKENDS_H_
--- a/src/proxy/body.h
+++ b/src/proxy/body.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Bodies that are passed on piece by piece, and the memory that holds bodies.
-#ifndef BRACKENSPOKE_PROXY_BODY_H_
-#define BRACKENSPOKE_PROXY_BODY_H_
+#ifndef LOAD_BALANCER_PROXY_BODY_H_
+#define LOAD_BALANCER_PROXY_BODY_H_
 
 #include <cstddef>
 #include <functional>
@@ -11,7 +11,7 @@
 
 #include "clock.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // A message is held whole up to this; only what is held whole can be sent again.
 inline constexpr std::size_t kMostWhole = 64 * 1024;
@@ -94,6 +94,6 @@
   std::size_t held_ = 0;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_BODY_H_
+#endif  // LOAD_BALANCER_PROXY_BODY_H_
--- a/src/proxy/client/answer_writer.h
+++ b/src/proxy/client/answer_writer.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The answer on its way to a client: its head, and its body whole or piece by piece.
-#ifndef BRACKENSPOKE_PROXY_CLIENT_ANSWER_WRITER_H_
-#define BRACKENSPOKE_PROXY_CLIENT_ANSWER_WRITER_H_
+#ifndef LOAD_BALANCER_PROXY_CLIENT_ANSWER_WRITER_H_
+#define LOAD_BALANCER_PROXY_CLIENT_ANSWER_WRITER_H_
 
 #include <boost/beast/core/tcp_stream.hpp>
 #include <boost/beast/http/buffer_body.hpp>
@@ -15,7 +15,7 @@
 #include <string>
 #include <utility>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class AnswerWriter {
  public:
@@ -50,6 +50,6 @@
   std::string piece_;  // being written
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLIENT_ANSWER_WRITER_H_
+#endif  // LOAD_BALANCER_PROXY_CLIENT_ANSWER_WRITER_H_
--- a/src/proxy/client/peer_end.cpp
+++ b/src/proxy/client/peer_end.cpp
@@ -3,11 +3,11 @@
 
 #include <poll.h>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 bool PeerEnded(int socket) {
   pollfd look{socket, POLLRDHUP, 0};
   return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/client/replies.cpp
+++ b/src/proxy/client/replies.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <utility>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace http = boost::beast::http;
@@ -49,4 +49,4 @@
   return PlainReply(http::status::bad_request, "malformed\n");
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/client/replies.h
+++ b/src/proxy/client/replies.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The answers that this proxy gives by itself.
-#ifndef BRACKENSPOKE_PROXY_CLIENT_REPLIES_H_
-#define BRACKENSPOKE_PROXY_CLIENT_REPLIES_H_
+#ifndef LOAD_BALANCER_PROXY_CLIENT_REPLIES_H_
+#define LOAD_BALANCER_PROXY_CLIENT_REPLIES_H_
 
 #include <boost/beast/http/status.hpp>
 #include <boost/system/error_code.hpp>
 #include <string>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 #include "request.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 HttpResponse PlainReply(boost::beast::http::status status, std::string text);
 
@@ -22,6 +22,6 @@
 // To a request that could not be parsed.
 HttpResponse UnreadableReply(const boost::system::error_code& failed);
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLIENT_REPLIES_H_
+#endif  // LOAD_BALANCER_PROXY_CLIENT_REPLIES_H_
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <utility>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace http = boost::beast::http;
@@ -89,4 +89,4 @@
   return buffer_.prepare(kMostChunkHeader);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/client/request_reader.h
+++ b/src/proxy/client/request_reader.h
@@ -2,8 +2,8 @@
 //
 // A client's requests, one after the other, as their bytes come: the parser, and by when more must have come.
 // Does no I/O.
-#ifndef BRACKENSPOKE_PROXY_CLIENT_REQUEST_READER_H_
-#define BRACKENSPOKE_PROXY_CLIENT_REQUEST_READER_H_
+#ifndef LOAD_BALANCER_PROXY_CLIENT_REQUEST_READER_H_
+#define LOAD_BALANCER_PROXY_CLIENT_REQUEST_READER_H_
 
 #include <boost/asio/buffer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -18,7 +18,7 @@
 
 #include "clock.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class RequestReader {
  public:
@@ -73,6 +73,6 @@
   bool fresh_ = true;  // nothing has been read yet
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLIENT_REQUEST_READER_H_
+#endif  // LOAD_BALANCER_PROXY_CLIENT_REQUEST_READER_H_
--- a/src/proxy/client/session.cpp
+++ b/src/proxy/client/session.cpp
@@ -12,7 +12,7 @@
 #include "client/replies.h"
 #include "spill/incoming.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -418,4 +418,4 @@
   ReadInto(reader_.Discard());
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/client/session.h
+++ b/src/proxy/client/session.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One client's connection: reads a request, and writes the one answer to it before it reads the next.
-#ifndef BRACKENSPOKE_PROXY_CLIENT_SESSION_H_
-#define BRACKENSPOKE_PROXY_CLIENT_SESSION_H_
+#ifndef LOAD_BALANCER_PROXY_CLIENT_SESSION_H_
+#define LOAD_BALANCER_PROXY_CLIENT_SESSION_H_
 
 #include <boost/asio/steady_timer.hpp>
 #include <boost/beast/core/tcp_stream.hpp>
@@ -14,7 +14,7 @@
 #include "client/request_reader.h"
 #include "clients.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // It is the source of a request's body that is passed on.
 class Clients::Session : public Responder, public BodySource, public std::enable_shared_from_this<Session> {
@@ -135,6 +135,6 @@
   bool answered_ = false;  // a request on this connection
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLIENT_SESSION_H_
+#endif  // LOAD_BALANCER_PROXY_CLIENT_SESSION_H_
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -9,7 +9,7 @@
 
 #include "client/session.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -229,4 +229,4 @@
   });
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The side of the clients: accepts connections, reads requests, writes the one answer to each.
-#ifndef BRACKENSPOKE_PROXY_CLIENTS_H_
-#define BRACKENSPOKE_PROXY_CLIENTS_H_
+#ifndef LOAD_BALANCER_PROXY_CLIENTS_H_
+#define LOAD_BALANCER_PROXY_CLIENTS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -18,7 +18,7 @@
 #include "config.h"
 #include "request.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // Where the one answer to a request goes.
 class Responder {
@@ -115,6 +115,6 @@
   Steady::time_point end_{};  // of a stop
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLIENTS_H_
+#endif  // LOAD_BALANCER_PROXY_CLIENTS_H_
--- a/src/proxy/clock.h
+++ b/src/proxy/clock.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The module's clock on this machine's steady one.
-#ifndef BRACKENSPOKE_PROXY_CLOCK_H_
-#define BRACKENSPOKE_PROXY_CLOCK_H_
+#ifndef LOAD_BALANCER_PROXY_CLOCK_H_
+#define LOAD_BALANCER_PROXY_CLOCK_H_
 
 #include <algorithm>
 #include <chrono>
 #include <cmath>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 using Steady = std::chrono::steady_clock;
 
@@ -39,6 +39,6 @@
   Duration unix_origin_ = std::chrono::system_clock::now().time_since_epoch();
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CLOCK_H_
+#endif  // LOAD_BALANCER_PROXY_CLOCK_H_
--- a/src/proxy/config.cpp
+++ b/src/proxy/config.cpp
@@ -14,7 +14,7 @@
 #include "config/reader.h"
 #include "config/replacement.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 using nlohmann::json;
@@ -99,4 +99,4 @@
   return faults;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a proxy is told at its start: environment and configuration file, checked.
-#ifndef BRACKENSPOKE_PROXY_CONFIG_H_
-#define BRACKENSPOKE_PROXY_CONFIG_H_
+#ifndef LOAD_BALANCER_PROXY_CONFIG_H_
+#define LOAD_BALANCER_PROXY_CONFIG_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
@@ -15,15 +15,15 @@
 #include <string_view>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
 #include "fleet/federation/section.h"
 #include "fleet/section.h"
+#include "load_balancer/balancer.h"
 #include "members.h"
 #include "quota/section.h"
 #include "spill/section.h"
 #include "state/section.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // what() is one line that says what is missing or wrong.
 class BadConfig : public std::runtime_error {
@@ -81,6 +81,6 @@
 // if it is fit to start with. Keys that no part reads are faults here, while a start only warns of them.
 std::vector<std::string> CheckConfig(const Environment& env);
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CONFIG_H_
+#endif  // LOAD_BALANCER_PROXY_CONFIG_H_
--- a/src/proxy/config/across.cpp
+++ b/src/proxy/config/across.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <vector>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 quota::Layout LayoutOf(const fleet::SitesSection& sites) {
@@ -39,4 +39,4 @@
   if (!faults.empty()) throw BadConfig(std::move(faults));
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/config/file.cpp
+++ b/src/proxy/config/file.cpp
@@ -9,7 +9,7 @@
 
 #include "config.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 constexpr std::size_t kMostBytes = 1024 * 1024;  // some thousand servers; more would not fit into the memory
@@ -67,4 +67,4 @@
   throw BadConfig("cannot read ROUTER_CONFIG: " + path + ": it changes while it is read");
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/config/file.h
+++ b/src/proxy/config/file.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The configuration file, as it is found while others may replace it.
-#ifndef BRACKENSPOKE_PROXY_CONFIG_FILE_H_
-#define BRACKENSPOKE_PROXY_CONFIG_FILE_H_
+#ifndef LOAD_BALANCER_PROXY_CONFIG_FILE_H_
+#define LOAD_BALANCER_PROXY_CONFIG_FILE_H_
 
 #include <sys/stat.h>
 
@@ -10,7 +10,7 @@
 
 #include "base/descriptor.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // A regular file, open for reading. All but the destructor throw BadConfig.
 class ConfigFile {
@@ -36,6 +36,6 @@
 // BadConfig.
 std::string ReadConfigFile(const std::string& path);
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CONFIG_FILE_H_
+#endif  // LOAD_BALANCER_PROXY_CONFIG_FILE_H_
--- a/src/proxy/config/json_text.cpp
+++ b/src/proxy/config/json_text.cpp
@@ -7,7 +7,7 @@
 
 #include "config.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 using nlohmann::json;
@@ -45,4 +45,4 @@
   return root;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/config/reader.cpp
+++ b/src/proxy/config/reader.cpp
@@ -12,7 +12,7 @@
 #include "config/settings_text.h"
 #include "settings.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 using nlohmann::json;
@@ -175,4 +175,4 @@
   return config;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/config/replacement.cpp
+++ b/src/proxy/config/replacement.cpp
@@ -12,7 +12,7 @@
 #include "config/reader.h"
 #include "config/settings_check.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 using nlohmann::json;
@@ -142,4 +142,4 @@
   return next;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/config/settings_check.cpp
+++ b/src/proxy/config/settings_check.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <string_view>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 using nlohmann::json;
@@ -182,4 +182,4 @@
   faults->push_back(fault);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/config/settings_text.cpp
+++ b/src/proxy/config/settings_text.cpp
@@ -5,7 +5,7 @@
 #include <cctype>
 #include <nlohmann/json.hpp>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 using nlohmann::json;
@@ -60,4 +60,4 @@
   return all;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/core/actions.cpp
+++ b/src/proxy/core/actions.cpp
@@ -13,7 +13,7 @@
 #include "fleet_link/fleet_link.h"
 #include "recovery/own_verdicts.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 void Actions::CarryOut(const Action& action) {
   std::visit([this](const auto& a) { Do(a); }, action);
@@ -44,4 +44,4 @@
   fleet_.node()->Tell(std::move(verdict));
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/core/actions.h
+++ b/src/proxy/core/actions.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What the module has decided goes to the parts that carry it out.
-#ifndef BRACKENSPOKE_PROXY_CORE_ACTIONS_H_
-#define BRACKENSPOKE_PROXY_CORE_ACTIONS_H_
+#ifndef LOAD_BALANCER_PROXY_CORE_ACTIONS_H_
+#define LOAD_BALANCER_PROXY_CORE_ACTIONS_H_
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Backends;
 class DiscoveryDuty;
@@ -53,6 +53,6 @@
   FleetLink& fleet_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CORE_ACTIONS_H_
+#endif  // LOAD_BALANCER_PROXY_CORE_ACTIONS_H_
--- a/src/proxy/core/door.cpp
+++ b/src/proxy/core/door.cpp
@@ -10,7 +10,7 @@
 #include "core/server_directory.h"
 #include "hot_restart.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 constexpr Duration kStopGrace{600};  // connections go on coming for up to 400 ms after SIGTERM
@@ -88,4 +88,4 @@
   return clients_.Listening() ? State::kTaking : State::kStarting;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/core/door.h
+++ b/src/proxy/core/door.h
@@ -1,16 +1,16 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Whether clients may come: from the first list to the stop, beside another process of this proxy or alone.
-#ifndef BRACKENSPOKE_PROXY_CORE_DOOR_H_
-#define BRACKENSPOKE_PROXY_CORE_DOOR_H_
+#ifndef LOAD_BALANCER_PROXY_CORE_DOOR_H_
+#define LOAD_BALANCER_PROXY_CORE_DOOR_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Clients;
 class HotRestart;
@@ -51,6 +51,6 @@
   boost::asio::steady_timer timer_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CORE_DOOR_H_
+#endif  // LOAD_BALANCER_PROXY_CORE_DOOR_H_
--- a/src/proxy/core/limits.cpp
+++ b/src/proxy/core/limits.cpp
@@ -8,7 +8,7 @@
 #include "federation/link.h"
 #include "hot_restart.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 // Descriptors: what is neither a client's nor a backend's, and the clients' part of the rest.
@@ -50,4 +50,4 @@
   backends_.Shrink(static_cast<std::size_t>(fair * (1 - kClientShare)));
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/core/limits.h
+++ b/src/proxy/core/limits.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The descriptors that the processes of this proxy share, for clients and for backends.
-#ifndef BRACKENSPOKE_PROXY_CORE_LIMITS_H_
-#define BRACKENSPOKE_PROXY_CORE_LIMITS_H_
+#ifndef LOAD_BALANCER_PROXY_CORE_LIMITS_H_
+#define LOAD_BALANCER_PROXY_CORE_LIMITS_H_
 
 #include <cstddef>
 
 #include "body.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Backends;
 class Clients;
@@ -48,6 +48,6 @@
   const FederationLink& federation_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CORE_LIMITS_H_
+#endif  // LOAD_BALANCER_PROXY_CORE_LIMITS_H_
--- a/src/proxy/core/module_driver.cpp
+++ b/src/proxy/core/module_driver.cpp
@@ -8,7 +8,7 @@
 
 #include "core/actions.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 constexpr TimePoint kUnarmed{Duration(1e300)};
@@ -85,4 +85,4 @@
   return pace.answers_per_ms > 0 ? pace.work_per_ms / pace.answers_per_ms : 1;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/core/module_driver.h
+++ b/src/proxy/core/module_driver.h
@@ -2,8 +2,8 @@
 //
 // The Balancer on this machine's clock: events one after the other, its timers, its actions to who carries
 // them out.
-#ifndef BRACKENSPOKE_PROXY_CORE_MODULE_DRIVER_H_
-#define BRACKENSPOKE_PROXY_CORE_MODULE_DRIVER_H_
+#ifndef LOAD_BALANCER_PROXY_CORE_MODULE_DRIVER_H_
+#define LOAD_BALANCER_PROXY_CORE_MODULE_DRIVER_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -11,10 +11,10 @@
 #include <deque>
 #include <map>
 
-#include "brackenspoke/balancer.h"
 #include "clock.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Actions;
 
@@ -33,7 +33,7 @@
   Pace Learnt() const { return balancer_.Learnt(); }
   // Of a request without a hint, in ms on a standard core: the mean of those answered.
   double MeanWork() const;
-  brackenspoke::Spare Spare() const { return balancer_.Spare(Now()); }
+  load_balancer::Spare Spare() const { return balancer_.Spare(Now()); }
 
  private:
   void HandleQueued();
@@ -49,6 +49,6 @@
   boost::asio::steady_timer timer_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CORE_MODULE_DRIVER_H_
+#endif  // LOAD_BALANCER_PROXY_CORE_MODULE_DRIVER_H_
--- a/src/proxy/core/pending.h
+++ b/src/proxy/core/pending.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The requests that this process holds.
-#ifndef BRACKENSPOKE_PROXY_CORE_PENDING_H_
-#define BRACKENSPOKE_PROXY_CORE_PENDING_H_
+#ifndef LOAD_BALANCER_PROXY_CORE_PENDING_H_
+#define LOAD_BALANCER_PROXY_CORE_PENDING_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -12,14 +12,14 @@
 
 #include "backends.h"
 #include "body.h"
-#include "brackenspoke/balancer.h"
 #include "clients.h"
 #include "clock.h"
 #include "config.h"
+#include "load_balancer/balancer.h"
 #include "quota/account.h"
 #include "request.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // From its Submit until it has its answer and no attempt is out.
 struct Pending {
@@ -69,6 +69,6 @@
   std::unordered_map<RequestId, Pending> open_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CORE_PENDING_H_
+#endif  // LOAD_BALANCER_PROXY_CORE_PENDING_H_
--- a/src/proxy/core/requests.cpp
+++ b/src/proxy/core/requests.cpp
@@ -9,7 +9,7 @@
 #include "federation/link.h"
 #include "fleet_link/fleet_link.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 bool NeverRan(Outcome outcome) {
@@ -148,4 +148,4 @@
   module_.Feed(end);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/core/requests.h
+++ b/src/proxy/core/requests.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The life of a request, from its client's last word to its one answer, and its attempts between.
-#ifndef BRACKENSPOKE_PROXY_CORE_REQUESTS_H_
-#define BRACKENSPOKE_PROXY_CORE_REQUESTS_H_
+#ifndef LOAD_BALANCER_PROXY_CORE_REQUESTS_H_
+#define LOAD_BALANCER_PROXY_CORE_REQUESTS_H_
 
 #include <memory>
 
 #include "backends.h"
-#include "brackenspoke/balancer.h"
 #include "clients.h"
 #include "core/pending.h"
+#include "load_balancer/balancer.h"
 #include "request.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class FederationLink;
 class FleetLink;
@@ -55,6 +55,6 @@
   FederationLink& federation_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CORE_REQUESTS_H_
+#endif  // LOAD_BALANCER_PROXY_CORE_REQUESTS_H_
--- a/src/proxy/core/server_directory.cpp
+++ b/src/proxy/core/server_directory.cpp
@@ -8,7 +8,7 @@
 #include "core/module_driver.h"
 #include "recovery/own_verdicts.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 ServerDirectory::ServerDirectory(std::vector<std::string> zones, std::vector<std::string> kinds,
                                  ModuleDriver& module, Backends& backends, OwnVerdicts& verdicts)
@@ -64,4 +64,4 @@
   return static_cast<int>(0x10000 + (StableHash(name) & 0x3fffffff));
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/core/server_directory.h
+++ b/src/proxy/core/server_directory.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What lists say of servers, for the module and for the connections.
-#ifndef BRACKENSPOKE_PROXY_CORE_SERVER_DIRECTORY_H_
-#define BRACKENSPOKE_PROXY_CORE_SERVER_DIRECTORY_H_
+#ifndef LOAD_BALANCER_PROXY_CORE_SERVER_DIRECTORY_H_
+#define LOAD_BALANCER_PROXY_CORE_SERVER_DIRECTORY_H_
 
 #include <string>
 #include <unordered_set>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 #include "members.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Backends;
 class ModuleDriver;
@@ -49,6 +49,6 @@
   bool listed_ = false;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_CORE_SERVER_DIRECTORY_H_
+#endif  // LOAD_BALANCER_PROXY_CORE_SERVER_DIRECTORY_H_
--- a/src/proxy/discovery.cpp
+++ b/src/proxy/discovery.cpp
@@ -18,7 +18,7 @@
 #include "object_reader.h"
 #include "proxy/failures.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -221,4 +221,4 @@
   return pause / 2 + pause * (jitter_ >> 33) / 2 / (1ull << 31);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/discovery.h
+++ b/src/proxy/discovery.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Watches discovery for changes of the list of backends.
-#ifndef BRACKENSPOKE_PROXY_DISCOVERY_H_
-#define BRACKENSPOKE_PROXY_DISCOVERY_H_
+#ifndef LOAD_BALANCER_PROXY_DISCOVERY_H_
+#define LOAD_BALANCER_PROXY_DISCOVERY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -15,7 +15,7 @@
 
 #include "members.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Discovery {
  public:
@@ -75,6 +75,6 @@
   bool told_ = false;  // that discovery is away
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_DISCOVERY_H_
+#endif  // LOAD_BALANCER_PROXY_DISCOVERY_H_
--- a/src/proxy/failure_kinds.cpp
+++ b/src/proxy/failure_kinds.cpp
@@ -8,7 +8,7 @@
 #include "spill/failures.h"
 #include "state/failures.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 std::vector<const FailureKind*> AllFailureKinds() {
   std::vector<const FailureKind*> all;
@@ -24,4 +24,4 @@
   return all;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/failure_kinds.h
+++ b/src/proxy/failure_kinds.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Every kind of failure that the program knows, for docs/errors.md and its check.
-#ifndef BRACKENSPOKE_PROXY_FAILURE_KINDS_H_
-#define BRACKENSPOKE_PROXY_FAILURE_KINDS_H_
+#ifndef LOAD_BALANCER_PROXY_FAILURE_KINDS_H_
+#define LOAD_BALANCER_PROXY_FAILURE_KINDS_H_
 
 #include <vector>
 
 #include "base/error/failure.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 std::vector<const FailureKind*> AllFailureKinds();
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FAILURE_KINDS_H_
+#endif  // LOAD_BALANCER_PROXY_FAILURE_KINDS_H_
--- a/src/proxy/failures.h
+++ b/src/proxy/failures.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What can go wrong in the proxy: its servers, its configuration, and calls of operators.
-#ifndef BRACKENSPOKE_PROXY_FAILURES_H_
-#define BRACKENSPOKE_PROXY_FAILURES_H_
+#ifndef LOAD_BALANCER_PROXY_FAILURES_H_
+#define LOAD_BALANCER_PROXY_FAILURES_H_
 
 #include <array>
 
 #include "base/error/failure.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 inline constexpr FailureKind kDiscoveryAway{"PROXY-1", "discovery does not answer",
                                             "look after discovery; the list that the process has stays in "
@@ -59,6 +59,6 @@
     &kNotReloaded,   &kUnknownKey,  &kBadConfig,    &kNoCall,       &kUnknownServer, &kNotKept,
     &kNotSeen,       &kDraining,    &kStopping,     &kNotServing,   &kNoFleet,       &kMaintenanceFile};
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FAILURES_H_
+#endif  // LOAD_BALANCER_PROXY_FAILURES_H_
--- a/src/proxy/federation/federation.cpp
+++ b/src/proxy/federation/federation.cpp
@@ -8,7 +8,7 @@
 
 #include "members.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 // Of the pool's random numbers; those of the site's fleet have another.
@@ -106,4 +106,4 @@
   return line;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/federation/federation.h
+++ b/src/proxy/federation/federation.h
@@ -2,8 +2,8 @@
 //
 // This gateway's part in the federation, where the configuration has a section `sites`: the pool, and what is
 // done by way of it.
-#ifndef BRACKENSPOKE_PROXY_FEDERATION_FEDERATION_H_
-#define BRACKENSPOKE_PROXY_FEDERATION_FEDERATION_H_
+#ifndef LOAD_BALANCER_PROXY_FEDERATION_FEDERATION_H_
+#define LOAD_BALANCER_PROXY_FEDERATION_FEDERATION_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -18,7 +18,7 @@
 #include "federation/quota_service.h"
 #include "federation/spill_service.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Federation : private Pool::Host {
  public:
@@ -66,6 +66,6 @@
   bool stopped_ = false;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FEDERATION_FEDERATION_H_
+#endif  // LOAD_BALANCER_PROXY_FEDERATION_FEDERATION_H_
--- a/src/proxy/federation/link.cpp
+++ b/src/proxy/federation/link.cpp
@@ -7,7 +7,7 @@
 
 #include "core/module_driver.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 void FederationLink::Begin(boost::asio::io_context& io, const Config& config, const std::string& votes,
                            fleet::Node* site, std::function<std::size_t()> backends, Buffers& buffers) {
@@ -88,7 +88,7 @@
 
 std::size_t FederationLink::connections() const { return spill() ? spill()->connections() : 0; }
 
-brackenspoke::Spare FederationLink::SpareNow() const { return module_.Spare(); }
+load_balancer::Spare FederationLink::SpareNow() const { return module_.Spare(); }
 
 void FederationLink::OnSpillBegun(RequestId request, AnswerHead head) {
   const auto responder = pending_.Conclude(request);
@@ -107,4 +107,4 @@
   pending_.ForgetIfOver(request);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/federation/link.h
+++ b/src/proxy/federation/link.h
@@ -2,8 +2,8 @@
 //
 // Requests between the module and the federation: charged when they come, offered to neighbours when the
 // module has refused them, credited back when they have not run.
-#ifndef BRACKENSPOKE_PROXY_FEDERATION_LINK_H_
-#define BRACKENSPOKE_PROXY_FEDERATION_LINK_H_
+#ifndef LOAD_BALANCER_PROXY_FEDERATION_LINK_H_
+#define LOAD_BALANCER_PROXY_FEDERATION_LINK_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstddef>
@@ -18,7 +18,7 @@
 #include "federation/spill_service.h"
 #include "fleet/node/node.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class ModuleDriver;
 
@@ -62,7 +62,7 @@
   SpillService* spill() { return federation_ ? federation_->spill() : nullptr; }
   const SpillService* spill() const { return federation_ ? std::as_const(*federation_).spill() : nullptr; }
 
-  brackenspoke::Spare SpareNow() const override;
+  load_balancer::Spare SpareNow() const override;
   void OnSpillBegun(RequestId request, AnswerHead head) override;
   void OnSpillServed(RequestId request, HttpResponse answer, Buffers::Hold hold) override;
   void OnSpillRefused(RequestId request, Duration retry_after) override;
@@ -73,6 +73,6 @@
   std::unique_ptr<Federation> federation_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FEDERATION_LINK_H_
+#endif  // LOAD_BALANCER_PROXY_FEDERATION_LINK_H_
--- a/src/proxy/federation/pool.cpp
+++ b/src/proxy/federation/pool.cpp
@@ -6,7 +6,7 @@
 #include "base/log.h"
 #include "proxy/failures.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 std::map<std::string, fleet::Udp::endpoint> AddressesOf(const fleet::SitesSection& sites) {
@@ -66,4 +66,4 @@
   return present;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/federation/pool.h
+++ b/src/proxy/federation/pool.h
@@ -2,8 +2,8 @@
 //
 // This gateway as a member of the federation's pool: gateways by their names, each reached and believed only
 // at its configured address.
-#ifndef BRACKENSPOKE_PROXY_FEDERATION_POOL_H_
-#define BRACKENSPOKE_PROXY_FEDERATION_POOL_H_
+#ifndef LOAD_BALANCER_PROXY_FEDERATION_POOL_H_
+#define LOAD_BALANCER_PROXY_FEDERATION_POOL_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -18,7 +18,7 @@
 #include "fleet/lease/guard.h"
 #include "fleet/node/node.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Pool : private fleet::Facts {
  public:
@@ -70,6 +70,6 @@
   fleet::Node node_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FEDERATION_POOL_H_
+#endif  // LOAD_BALANCER_PROXY_FEDERATION_POOL_H_
--- a/src/proxy/federation/quota_service.cpp
+++ b/src/proxy/federation/quota_service.cpp
@@ -9,7 +9,7 @@
 
 #include "base/log.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 using quota::kOne;
@@ -285,4 +285,4 @@
   return line;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/federation/quota_service.h
+++ b/src/proxy/federation/quota_service.h
@@ -2,8 +2,8 @@
 //
 // Quotas on this gateway's sockets and clock: the account that each request is charged to, and the allocators
 // whose leases this process may hold. Decides nothing: both are in src/quota.
-#ifndef BRACKENSPOKE_PROXY_FEDERATION_QUOTA_SERVICE_H_
-#define BRACKENSPOKE_PROXY_FEDERATION_QUOTA_SERVICE_H_
+#ifndef LOAD_BALANCER_PROXY_FEDERATION_QUOTA_SERVICE_H_
+#define LOAD_BALANCER_PROXY_FEDERATION_QUOTA_SERVICE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -21,7 +21,7 @@
 #include "quota/allocator.h"
 #include "quota/section.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class QuotaService {
  public:
@@ -86,6 +86,6 @@
   const std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);  // for what is posted
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FEDERATION_QUOTA_SERVICE_H_
+#endif  // LOAD_BALANCER_PROXY_FEDERATION_QUOTA_SERVICE_H_
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -11,7 +11,7 @@
 #include "proxy/failures.h"
 #include "spill/incoming.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -53,7 +53,7 @@
   return std::isfinite(figure) && figure > 0 ? figure : 0;
 }
 
-spill::MemberSpare MemberSpareOf(const brackenspoke::Spare& spare) {
+spill::MemberSpare MemberSpareOf(const load_balancer::Spare& spare) {
   return {spare.work_per_ms * kPerSecond, spare.least_work_per_ms * kPerSecond,
           std::chrono::ceil<std::chrono::milliseconds>(spare.wait)};
 }
@@ -263,4 +263,4 @@
   Feed(spill::EstimateHeard{*estimate, UnixMilliseconds()});
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/federation/spill_service.h
+++ b/src/proxy/federation/spill_service.h
@@ -3,8 +3,8 @@
 // Spill on this gateway's sockets and clock: requests that the module has refused on their way to a neighbour
 // site and back, the site's spare on its way to the others, and the mark of requests that come from them.
 // Decides nothing: src/spill does.
-#ifndef BRACKENSPOKE_PROXY_FEDERATION_SPILL_SERVICE_H_
-#define BRACKENSPOKE_PROXY_FEDERATION_SPILL_SERVICE_H_
+#ifndef LOAD_BALANCER_PROXY_FEDERATION_SPILL_SERVICE_H_
+#define LOAD_BALANCER_PROXY_FEDERATION_SPILL_SERVICE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -16,23 +16,23 @@
 #include <vector>
 
 #include "backends.h"
-#include "brackenspoke/balancer.h"
 #include "clock.h"
 #include "federation/pool.h"
 #include "fleet/federation/section.h"
 #include "fleet/node/node.h"
+#include "load_balancer/balancer.h"
 #include "request.h"
 #include "spill/ambassador.h"
 #include "spill/section.h"
 #include "spill/spill.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // Whose requests are spilled. Every request offered ends by one call of the four, unless its client goes.
 class SpillHost {
  public:
   virtual ~SpillHost() = default;
-  virtual brackenspoke::Spare SpareNow() const = 0;
+  virtual load_balancer::Spare SpareNow() const = 0;
   virtual void OnSpillBegun(RequestId request, AnswerHead head) = 0;
   virtual void OnSpillServed(RequestId request, HttpResponse answer, Buffers::Hold hold) = 0;
   virtual void OnSpillRefused(RequestId request, Duration retry_after) = 0;
@@ -101,6 +101,6 @@
   boost::asio::steady_timer timer_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FEDERATION_SPILL_SERVICE_H_
+#endif  // LOAD_BALANCER_PROXY_FEDERATION_SPILL_SERVICE_H_
--- a/src/proxy/fleet_link/discovery_duty.cpp
+++ b/src/proxy/fleet_link/discovery_duty.cpp
@@ -12,7 +12,7 @@
 #include "fleet_link/fact_life.h"
 #include "fleet_link/fleet_link.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 Discovery::Options OptionsOf(const Config& config) {
@@ -105,4 +105,4 @@
   if (!published) log::Warn("fleet", published.error());
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/fleet_link/discovery_duty.h
+++ b/src/proxy/fleet_link/discovery_duty.h
@@ -2,8 +2,8 @@
 //
 // Where this process's list of servers comes from: discovery itself, which the duty's holder alone watches,
 // or the holder, who makes what it hears known to the fleet.
-#ifndef BRACKENSPOKE_PROXY_FLEET_LINK_DISCOVERY_DUTY_H_
-#define BRACKENSPOKE_PROXY_FLEET_LINK_DISCOVERY_DUTY_H_
+#ifndef LOAD_BALANCER_PROXY_FLEET_LINK_DISCOVERY_DUTY_H_
+#define LOAD_BALANCER_PROXY_FLEET_LINK_DISCOVERY_DUTY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstdint>
@@ -16,7 +16,7 @@
 #include "fleet/state/state.h"
 #include "members.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Door;
 class FleetLink;
@@ -56,6 +56,6 @@
   Discovery discovery_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FLEET_LINK_DISCOVERY_DUTY_H_
+#endif  // LOAD_BALANCER_PROXY_FLEET_LINK_DISCOVERY_DUTY_H_
--- a/src/proxy/fleet_link/fleet_link.cpp
+++ b/src/proxy/fleet_link/fleet_link.cpp
@@ -12,7 +12,7 @@
 #include "members.h"
 #include "recovery/recovery.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 // Those of the site's fleet.
@@ -68,4 +68,4 @@
   if (fact.duty == fleet::kMaintenanceDuty) maintenance_.OnFact(fact);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/fleet_link/fleet_link.h
+++ b/src/proxy/fleet_link/fleet_link.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // This process as a member of its site's fleet: what the fleet tells goes to the module and to the duties.
-#ifndef BRACKENSPOKE_PROXY_FLEET_LINK_FLEET_LINK_H_
-#define BRACKENSPOKE_PROXY_FLEET_LINK_FLEET_LINK_H_
+#ifndef LOAD_BALANCER_PROXY_FLEET_LINK_FLEET_LINK_H_
+#define LOAD_BALANCER_PROXY_FLEET_LINK_FLEET_LINK_H_
 
 #include <boost/asio/io_context.hpp>
 #include <map>
@@ -13,7 +13,7 @@
 #include "fleet/node/facts.h"
 #include "fleet/node/node.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class DiscoveryDuty;
 class MaintenanceDuty;
@@ -62,6 +62,6 @@
   std::unique_ptr<fleet::Node> node_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FLEET_LINK_FLEET_LINK_H_
+#endif  // LOAD_BALANCER_PROXY_FLEET_LINK_FLEET_LINK_H_
--- a/src/proxy/fleet_link/maintenance_duty.cpp
+++ b/src/proxy/fleet_link/maintenance_duty.cpp
@@ -12,7 +12,7 @@
 #include "fleet_link/fact_life.h"
 #include "fleet_link/fleet_link.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 void MaintenanceDuty::Change(const OperatorCall& call, OnReply reply) {
   const bool out = call.verb == OperatorCall::Verb::kDetach;
@@ -49,4 +49,4 @@
   return Failure(fleet::kNoHolder, fleet::kMaintenanceDuty);
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/fleet_link/maintenance_duty.h
+++ b/src/proxy/fleet_link/maintenance_duty.h
@@ -2,8 +2,8 @@
 //
 // The servers that operators have taken out, as one for a fleet: the duty's holder alone changes them and
 // makes them known.
-#ifndef BRACKENSPOKE_PROXY_FLEET_LINK_MAINTENANCE_DUTY_H_
-#define BRACKENSPOKE_PROXY_FLEET_LINK_MAINTENANCE_DUTY_H_
+#ifndef LOAD_BALANCER_PROXY_FLEET_LINK_MAINTENANCE_DUTY_H_
+#define LOAD_BALANCER_PROXY_FLEET_LINK_MAINTENANCE_DUTY_H_
 
 #include <optional>
 
@@ -12,7 +12,7 @@
 #include "fleet/state/state.h"
 #include "operators.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class FleetLink;
 class MaintenanceController;
@@ -38,6 +38,6 @@
   MaintenanceController& controller_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_FLEET_LINK_MAINTENANCE_DUTY_H_
+#endif  // LOAD_BALANCER_PROXY_FLEET_LINK_MAINTENANCE_DUTY_H_
--- a/src/proxy/hot_restart.cpp
+++ b/src/proxy/hot_restart.cpp
@@ -10,7 +10,7 @@
 #include <system_error>
 #include <utility>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 constexpr int kMaxProcesses = 4;  // at a time; a hot restart has two
@@ -183,4 +183,4 @@
   return all;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/hot_restart.h
+++ b/src/proxy/hot_restart.h
@@ -2,8 +2,8 @@
 //
 // Hot restart: for a while two processes are one proxy, and the new one replaces the old one. The processes
 // coordinate through a page of shared memory, a file that each of them maps.
-#ifndef BRACKENSPOKE_PROXY_HOT_RESTART_H_
-#define BRACKENSPOKE_PROXY_HOT_RESTART_H_
+#ifndef LOAD_BALANCER_PROXY_HOT_RESTART_H_
+#define LOAD_BALANCER_PROXY_HOT_RESTART_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -14,7 +14,7 @@
 
 #include "base/descriptor.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // This process's slot on the shared page, and what the other processes have in theirs. A slot belongs to its
 // process for as long as that holds a lock on it, which the kernel releases however the process ends.
@@ -92,6 +92,6 @@
   std::function<void()> on_poll_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_HOT_RESTART_H_
+#endif  // LOAD_BALANCER_PROXY_HOT_RESTART_H_
--- a/src/proxy/main.cpp
+++ b/src/proxy/main.cpp
@@ -16,9 +16,9 @@
 
 namespace {
 
-namespace proxy = brackenspoke::proxy;
-namespace log = brackenspoke::log;
-using brackenspoke::Failure;
+namespace proxy = load_balancer::proxy;
+namespace log = load_balancer::log;
+using load_balancer::Failure;
 
 struct Options {
   std::optional<std::string> config;  // in place of ROUTER_CONFIG
@@ -108,7 +108,7 @@
 int main(int argc, char** argv) {
   std::setvbuf(stderr, nullptr, _IOLBF, 0);
   CLI::App app(
-      "kestrelline: a load-balancing HTTP/1.1 proxy. With no flags it reads ROUTER_CONFIG and the "
+      "load_balancer_proxy: a load-balancing HTTP/1.1 proxy. With no flags it reads ROUTER_CONFIG and the "
       "other ROUTER_ variables.");
   Options options;
   app.add_option("--config", options.config, "configuration file, in place of $ROUTER_CONFIG");
@@ -117,7 +117,7 @@
   std::string format = "text";
   app.add_option("--log-format", format, "log lines as text (the default) or as JSON objects, one a line")
       ->check(CLI::IsMember({"text", "json"}));
-  app.set_version_flag("--version", std::string("kestrelline ") + KESTRELLINE_VERSION);
+  app.set_version_flag("--version", std::string("load_balancer_proxy ") + LOAD_BALANCER_VERSION);
   CLI11_PARSE(app, argc, argv);
   options.format = format == "json" ? log::Format::kJson : log::Format::kText;
   if (options.check) return Check(EnvironmentOf(options));
--- a/src/proxy/maintenance.cpp
+++ b/src/proxy/maintenance.cpp
@@ -11,7 +11,7 @@
 #include "proxy/failures.h"
 #include "state/snapshot.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 Maintenance::Maintenance(std::string path, HotRestart& hot_restart)
     : path_(std::move(path)), hot_restart_(hot_restart), version_(hot_restart.maintenance_version()) {
@@ -86,4 +86,4 @@
   return true;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/maintenance.h
+++ b/src/proxy/maintenance.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The ids of the servers that operators have taken out, kept in a file for the next process.
-#ifndef BRACKENSPOKE_PROXY_MAINTENANCE_H_
-#define BRACKENSPOKE_PROXY_MAINTENANCE_H_
+#ifndef LOAD_BALANCER_PROXY_MAINTENANCE_H_
+#define LOAD_BALANCER_PROXY_MAINTENANCE_H_
 
 #include <cstdint>
 #include <set>
@@ -10,7 +10,7 @@
 
 #include "hot_restart.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Maintenance {
  public:
@@ -39,6 +39,6 @@
   std::uint64_t version_ = 0;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_MAINTENANCE_H_
+#endif  // LOAD_BALANCER_PROXY_MAINTENANCE_H_
--- a/src/proxy/members.cpp
+++ b/src/proxy/members.cpp
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 using nlohmann::json;
@@ -130,4 +130,4 @@
   }
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/members.h
+++ b/src/proxy/members.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The list of backends in discovery's JSON form, and the numbers that the decision module knows them by.
-#ifndef BRACKENSPOKE_PROXY_MEMBERS_H_
-#define BRACKENSPOKE_PROXY_MEMBERS_H_
+#ifndef LOAD_BALANCER_PROXY_MEMBERS_H_
+#define LOAD_BALANCER_PROXY_MEMBERS_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <cstdint>
@@ -13,9 +13,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 struct Member {
   std::string id;
@@ -68,6 +68,6 @@
   std::unordered_map<ServerId, std::string> taken_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_MEMBERS_H_
+#endif  // LOAD_BALANCER_PROXY_MEMBERS_H_
--- a/src/proxy/object_reader.cpp
+++ b/src/proxy/object_reader.cpp
@@ -3,7 +3,7 @@
 
 #include <utility>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 ObjectReader::Result ObjectReader::Next(std::string* object) {
   while (scanned_ < text_.size()) {
@@ -49,4 +49,4 @@
   return true;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/object_reader.h
+++ b/src/proxy/object_reader.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Finds the JSON objects in a stream, wherever its reads cut it.
-#ifndef BRACKENSPOKE_PROXY_OBJECT_READER_H_
-#define BRACKENSPOKE_PROXY_OBJECT_READER_H_
+#ifndef LOAD_BALANCER_PROXY_OBJECT_READER_H_
+#define LOAD_BALANCER_PROXY_OBJECT_READER_H_
 
 #include <cstddef>
 #include <string>
 #include <string_view>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 // Objects follow one another, each on one line or over several (RFC 8259 allows whitespace between tokens),
 // and empty lines come between them. An empty line within an object, or a line's end within a string, is a
@@ -41,6 +41,6 @@
   bool line_empty_ = true;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_OBJECT_READER_H_
+#endif  // LOAD_BALANCER_PROXY_OBJECT_READER_H_
--- a/src/proxy/operators.cpp
+++ b/src/proxy/operators.cpp
@@ -13,7 +13,7 @@
 #include "base/log.h"
 #include "proxy/failures.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace asio = boost::asio;
@@ -227,4 +227,4 @@
   }
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/operators.h
+++ b/src/proxy/operators.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The operators' listener: one line to a connection, one line back.
-#ifndef BRACKENSPOKE_PROXY_OPERATORS_H_
-#define BRACKENSPOKE_PROXY_OPERATORS_H_
+#ifndef LOAD_BALANCER_PROXY_OPERATORS_H_
+#define LOAD_BALANCER_PROXY_OPERATORS_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -19,7 +19,7 @@
 #include "base/descriptor.h"
 #include "base/error/failure.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 struct OperatorCall {
   enum class Verb { kPing, kDetach, kAttach, kLameduck, kRejoin, kMembers, kState, kLeases };
@@ -83,6 +83,6 @@
   std::vector<Descriptor> reserve_;               // for the places that are free
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_OPERATORS_H_
+#endif  // LOAD_BALANCER_PROXY_OPERATORS_H_
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -7,7 +7,7 @@
 
 #include "base/log.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 constexpr std::size_t kLeastPiece = 4 * 1024, kMostPiece = 16 * 1024;
@@ -127,4 +127,4 @@
 
 std::string Proxy::EstimateText() const { return federation_.EstimateText(); }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -2,8 +2,8 @@
 //
 // The proxy: turns what happens on sockets into events for its Balancer, and carries out the actions. Every
 // decision is the Balancer's. This wires the parts together; each has one concern.
-#ifndef BRACKENSPOKE_PROXY_PROXY_H_
-#define BRACKENSPOKE_PROXY_PROXY_H_
+#ifndef LOAD_BALANCER_PROXY_PROXY_H_
+#define LOAD_BALANCER_PROXY_PROXY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <cstddef>
@@ -32,7 +32,7 @@
 #include "recovery/own_verdicts.h"
 #include "recovery/recovery.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class Proxy : private RequestHandler {
  public:
@@ -93,6 +93,6 @@
   std::unique_ptr<Operators> operators_;  // where the configuration names their address
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_PROXY_H_
+#endif  // LOAD_BALANCER_PROXY_PROXY_H_
--- a/src/proxy/recovery/own_verdicts.cpp
+++ b/src/proxy/recovery/own_verdicts.cpp
@@ -7,7 +7,7 @@
 #include "core/module_driver.h"
 #include "core/server_directory.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 void OwnVerdicts::Note(const std::string& server, double until_unix_ms, int multiplier) {
   verdicts_[server] = {until_unix_ms, multiplier, false};
@@ -44,4 +44,4 @@
   }
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
