--- a/src/proxy/recovery/own_verdicts.h
+++ b/src/proxy/recovery/own_verdicts.h
@@ -2,14 +2,14 @@
 //
 // Servers that this process has taken out on its own answers, and those of a life before whose servers no
 // list has named yet.
-#ifndef BRACKENSPOKE_PROXY_RECOVERY_OWN_VERDICTS_H_
-#define BRACKENSPOKE_PROXY_RECOVERY_OWN_VERDICTS_H_
+#ifndef LOAD_BALANCER_PROXY_RECOVERY_OWN_VERDICTS_H_
+#define LOAD_BALANCER_PROXY_RECOVERY_OWN_VERDICTS_H_
 
 #include <map>
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class ModuleDriver;
 class ServerDirectory;
@@ -42,6 +42,6 @@
   std::map<std::string, Verdict> verdicts_;
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_RECOVERY_OWN_VERDICTS_H_
+#endif  // LOAD_BALANCER_PROXY_RECOVERY_OWN_VERDICTS_H_
--- a/src/proxy/recovery/recovery.cpp
+++ b/src/proxy/recovery/recovery.cpp
@@ -13,7 +13,7 @@
 #include "recovery/own_verdicts.h"
 #include "state/failures.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 Recovery::Recovery(boost::asio::io_context& io, ModuleDriver& module, OwnVerdicts& verdicts,
                    const ServerDirectory& servers, FleetLink& fleet, FederationLink& federation)
@@ -87,4 +87,4 @@
                           body.at("tokens").get<std::map<std::string, fleet::Token>>()});
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/recovery/recovery.h
+++ b/src/proxy/recovery/recovery.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What this process keeps for its next life, and takes from the one before or from a peer.
-#ifndef BRACKENSPOKE_PROXY_RECOVERY_RECOVERY_H_
-#define BRACKENSPOKE_PROXY_RECOVERY_RECOVERY_H_
+#ifndef LOAD_BALANCER_PROXY_RECOVERY_RECOVERY_H_
+#define LOAD_BALANCER_PROXY_RECOVERY_RECOVERY_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
@@ -13,7 +13,7 @@
 #include "config.h"
 #include "state/keeper.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 class FederationLink;
 class FleetLink;
@@ -54,6 +54,6 @@
   std::unique_ptr<state::Keeper> keeper_;  // where the configuration has a state section
 };
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_RECOVERY_RECOVERY_H_
+#endif  // LOAD_BALANCER_PROXY_RECOVERY_RECOVERY_H_
--- a/src/proxy/request.cpp
+++ b/src/proxy/request.cpp
@@ -11,7 +11,7 @@
 
 #include "members.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 namespace {
 
 namespace http = boost::beast::http;
@@ -119,4 +119,4 @@
   return std::nullopt;
 }
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
--- a/src/proxy/request.h
+++ b/src/proxy/request.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Requests as clients send them.
-#ifndef BRACKENSPOKE_PROXY_REQUEST_H_
-#define BRACKENSPOKE_PROXY_REQUEST_H_
+#ifndef LOAD_BALANCER_PROXY_REQUEST_H_
+#define LOAD_BALANCER_PROXY_REQUEST_H_
 
 #include <boost/beast/http/message.hpp>
 #include <boost/beast/http/string_body.hpp>
@@ -15,7 +15,7 @@
 #include "clock.h"
 #include "config.h"
 
-namespace brackenspoke::proxy {
+namespace load_balancer::proxy {
 
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
@@ -45,6 +45,6 @@
 std::optional<Complaint> Understand(HttpRequest message, std::shared_ptr<const Config> in_force,
                                     ClientRequest* request);
 
-}  // namespace brackenspoke::proxy
+}  // namespace load_balancer::proxy
 
-#endif  // BRACKENSPOKE_PROXY_REQUEST_H_
+#endif  // LOAD_BALANCER_PROXY_REQUEST_H_
--- a/src/quota/account.cpp
+++ b/src/quota/account.cpp
@@ -6,7 +6,7 @@
 
 #include "quota/failures.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -209,4 +209,4 @@
   return lines;
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/account.h
+++ b/src/quota/account.h
@@ -3,8 +3,8 @@
 // The gateway's side of quotas: whether a request is within its partner's budget, and what is asked of the
 // allocators. A function of its events: no clock, no socket. The design and why the sum of all gateways never
 // exceeds a budget are in docs/federation.md, the figures in docs/quota.md.
-#ifndef BRACKENSPOKE_QUOTA_ACCOUNT_H_
-#define BRACKENSPOKE_QUOTA_ACCOUNT_H_
+#ifndef LOAD_BALANCER_QUOTA_ACCOUNT_H_
+#define LOAD_BALANCER_QUOTA_ACCOUNT_H_
 
 #include <cstdint>
 #include <map>
@@ -19,7 +19,7 @@
 #include "quota/messages.h"
 #include "quota/partner_account.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 struct AccountOptions {
   std::string site;          // of this gateway
@@ -131,6 +131,6 @@
   bool retired_ = false;
 };
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_ACCOUNT_H_
+#endif  // LOAD_BALANCER_QUOTA_ACCOUNT_H_
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -3,7 +3,7 @@
 
 #include "quota/failures.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using nlohmann::json;
@@ -180,4 +180,4 @@
   return lines;
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -3,8 +3,8 @@
 // The budget allocator: while it holds the lease `treasurer/N`, it divides the budgets of the partners that
 // hash to N among the gateways, as grants that expire. It is a function of its events, without clock or
 // socket. docs/federation.md shows why the sum of the grants never exceeds a budget.
-#ifndef BRACKENSPOKE_QUOTA_ALLOCATOR_H_
-#define BRACKENSPOKE_QUOTA_ALLOCATOR_H_
+#ifndef LOAD_BALANCER_QUOTA_ALLOCATOR_H_
+#define LOAD_BALANCER_QUOTA_ALLOCATOR_H_
 
 #include <cstdint>
 #include <map>
@@ -21,7 +21,7 @@
 #include "quota/messages.h"
 #include "quota/partner_allocator.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 struct AllocatorOptions {
   std::size_t index = 0;       // N of the lease `treasurer/N`
@@ -107,6 +107,6 @@
   std::set<std::string> warned_;
 };
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_ALLOCATOR_H_
+#endif  // LOAD_BALANCER_QUOTA_ALLOCATOR_H_
--- a/src/quota/amount.h
+++ b/src/quota/amount.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Amounts as whole numbers, so that sums of parts are exact and nothing is gained by rounding.
-#ifndef BRACKENSPOKE_QUOTA_AMOUNT_H_
-#define BRACKENSPOKE_QUOTA_AMOUNT_H_
+#ifndef LOAD_BALANCER_QUOTA_AMOUNT_H_
+#define LOAD_BALANCER_QUOTA_AMOUNT_H_
 
 #include <algorithm>
 #include <cstdint>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 // Thousandths of a budget's unit (a request, or a millisecond of hinted work), or of the unit a second.
 using Milli = std::int64_t;
@@ -32,6 +32,6 @@
 inline Part operator+(const Part& a, const Part& b) { return {a.rate + b.rate, a.depth + b.depth}; }
 inline Part operator-(const Part& a, const Part& b) { return {a.rate - b.rate, a.depth - b.depth}; }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_AMOUNT_H_
+#endif  // LOAD_BALANCER_QUOTA_AMOUNT_H_
--- a/src/quota/bucket.cpp
+++ b/src/quota/bucket.cpp
@@ -3,7 +3,7 @@
 
 #include <limits>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 Bucket::Fine Bucket::LevelAt(Time now) const {
   const Fine ns = (now - last_).count();
@@ -60,4 +60,4 @@
   return Span((cost * kFine - level + rate_ - 1) / rate_);
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/bucket.h
+++ b/src/quota/bucket.h
@@ -2,8 +2,8 @@
 //
 // A token bucket whose rate and depth change over its life (Turner, "New Directions in Communications",
 // 1986). In whole numbers: a charge fits exactly from the nanosecond on at which the bucket holds its cost.
-#ifndef BRACKENSPOKE_QUOTA_BUCKET_H_
-#define BRACKENSPOKE_QUOTA_BUCKET_H_
+#ifndef LOAD_BALANCER_QUOTA_BUCKET_H_
+#define LOAD_BALANCER_QUOTA_BUCKET_H_
 
 #include <array>
 #include <cstdint>
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "quota/amount.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 // With all moments of one clock. A moment before an earlier one counts as the earlier one.
 class Bucket {
@@ -57,6 +57,6 @@
   std::int64_t newest_ = 0;  // generation noted
 };
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_BUCKET_H_
+#endif  // LOAD_BALANCER_QUOTA_BUCKET_H_
--- a/src/quota/budget.cpp
+++ b/src/quota/budget.cpp
@@ -3,7 +3,7 @@
 
 #include <xxhash.h>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 Part PartOf(const Budget& budget, Milli rate) {
   if (budget.rate <= 0) return {};
@@ -26,4 +26,4 @@
   return XXH3_64bits(partner.data(), partner.size()) % allocators;
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/budget.h
+++ b/src/quota/budget.h
@@ -2,8 +2,8 @@
 //
 // What each partner may spend over all gateways of the federation, and the parts of it that need no
 // allocator.
-#ifndef BRACKENSPOKE_QUOTA_BUDGET_H_
-#define BRACKENSPOKE_QUOTA_BUDGET_H_
+#ifndef LOAD_BALANCER_QUOTA_BUDGET_H_
+#define LOAD_BALANCER_QUOTA_BUDGET_H_
 
 #include <chrono>
 #include <cstdint>
@@ -16,7 +16,7 @@
 #include "base/time.h"
 #include "quota/amount.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 enum class Unit { kRequests, kWork };  // kWork: milliseconds of hinted work
 enum class Over { kMark, kRefuse };    // what becomes of a request over the budget
@@ -63,6 +63,6 @@
 // Which of `allocators` duties the partner belongs to: XXH3 of its name, modulo. Not for 0 allocators.
 std::size_t AllocatorOf(std::string_view partner, std::size_t allocators);
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_BUDGET_H_
+#endif  // LOAD_BALANCER_QUOTA_BUDGET_H_
--- a/src/quota/commitments.cpp
+++ b/src/quota/commitments.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 void Commitments::Add(GatewayId gateway, const Outstanding& grant) { held_[gateway].grants.push_back(grant); }
 
@@ -105,4 +105,4 @@
   return sums;
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/commitments.h
+++ b/src/quota/commitments.h
@@ -2,8 +2,8 @@
 //
 // What each gateway may have in force of one budget, now and until the last grant that is out has ended, and
 // so how much more can be handed out. Nothing is counted as back before it is sure to be.
-#ifndef BRACKENSPOKE_QUOTA_COMMITMENTS_H_
-#define BRACKENSPOKE_QUOTA_COMMITMENTS_H_
+#ifndef LOAD_BALANCER_QUOTA_COMMITMENTS_H_
+#define LOAD_BALANCER_QUOTA_COMMITMENTS_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 #include "quota/floors.h"
 #include "quota/messages.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 // A grant that may be in force at its gateway.
 struct Outstanding {
@@ -69,6 +69,6 @@
   std::map<GatewayId, Held> held_;
 };
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_COMMITMENTS_H_
+#endif  // LOAD_BALANCER_QUOTA_COMMITMENTS_H_
--- a/src/quota/demand.cpp
+++ b/src/quota/demand.cpp
@@ -3,7 +3,7 @@
 
 #include <cmath>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 constexpr double kSilent = 7;   // charges expected in silence that is the end
@@ -90,4 +90,4 @@
   return 0;
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/demand.h
+++ b/src/quota/demand.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // How much of a partner's traffic comes to one gateway now.
-#ifndef BRACKENSPOKE_QUOTA_DEMAND_H_
-#define BRACKENSPOKE_QUOTA_DEMAND_H_
+#ifndef LOAD_BALANCER_QUOTA_DEMAND_H_
+#define LOAD_BALANCER_QUOTA_DEMAND_H_
 
 #include <algorithm>
 #include <array>
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "quota/amount.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 // Two scales of two windows each: the last second beside its last 150 to 200 ms, and the last 8 s beside
 // their last 1.2 to 1.6 s. The finer scale counts where it holds so many charges that their number tells the
@@ -78,6 +78,6 @@
   Milli largest_ = 0, largest_before_ = 0;                 // of this and the last period
 };
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_DEMAND_H_
+#endif  // LOAD_BALANCER_QUOTA_DEMAND_H_
--- a/src/quota/division.cpp
+++ b/src/quota/division.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using Indices = std::vector<std::size_t>;
@@ -65,4 +65,4 @@
   return parts;
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/division.h
+++ b/src/quota/division.h
@@ -2,15 +2,15 @@
 //
 // How a rate is divided among those who want parts of it: max-min fair by demand, by progressive filling
 // (Bertsekas, Gallager: "Data Networks", 1992, section 6.5).
-#ifndef BRACKENSPOKE_QUOTA_DIVISION_H_
-#define BRACKENSPOKE_QUOTA_DIVISION_H_
+#ifndef LOAD_BALANCER_QUOTA_DIVISION_H_
+#define LOAD_BALANCER_QUOTA_DIVISION_H_
 
 #include <vector>
 
 #include "base/time.h"
 #include "quota/amount.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 struct Claim {
   Milli demand = 0;
@@ -26,6 +26,6 @@
 // none.
 std::vector<Milli> Divide(Milli capacity, const std::vector<Claim>& claims, Time now);
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_DIVISION_H_
+#endif  // LOAD_BALANCER_QUOTA_DIVISION_H_
--- a/src/quota/failures.h
+++ b/src/quota/failures.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What can go wrong with quotas.
-#ifndef BRACKENSPOKE_QUOTA_FAILURES_H_
-#define BRACKENSPOKE_QUOTA_FAILURES_H_
+#ifndef LOAD_BALANCER_QUOTA_FAILURES_H_
+#define LOAD_BALANCER_QUOTA_FAILURES_H_
 
 #include <array>
 
 #include "base/error/failure.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 inline constexpr FailureKind kBadMessage{"QUOTA-1", "a message about draws is out of form and was dropped",
                                          "look for gateways of another version"};
@@ -29,6 +29,6 @@
 inline constexpr std::array kFailures{&kBadMessage, &kOtherRevision, &kBadLedger, &kNoAllocator,
                                       &kUnknownGateway};
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_FAILURES_H_
+#endif  // LOAD_BALANCER_QUOTA_FAILURES_H_
--- a/src/quota/floors.cpp
+++ b/src/quota/floors.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "quota/floors.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 Gateways::Gateways(const Layout& layout) {
   for (const auto& [site, names] : layout) {
@@ -59,4 +59,4 @@
   }
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/floors.h
+++ b/src/quota/floors.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The floors of one partner's budget, gateway by gateway.
-#ifndef BRACKENSPOKE_QUOTA_FLOORS_H_
-#define BRACKENSPOKE_QUOTA_FLOORS_H_
+#ifndef LOAD_BALANCER_QUOTA_FLOORS_H_
+#define LOAD_BALANCER_QUOTA_FLOORS_H_
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 
 #include "quota/budget.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 using GatewayId = std::uint32_t;  // in the order of sites and names
 
@@ -68,6 +68,6 @@
   Part total_;
 };
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_FLOORS_H_
+#endif  // LOAD_BALANCER_QUOTA_FLOORS_H_
--- a/src/quota/messages.cpp
+++ b/src/quota/messages.cpp
@@ -5,7 +5,7 @@
 
 #include "quota/failures.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using nlohmann::json;
@@ -204,4 +204,4 @@
   return packer.Done();
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/messages.h
+++ b/src/quota/messages.h
@@ -2,8 +2,8 @@
 //
 // What gateways and allocators say to each other, on the channel `quota` of the federation pool. One datagram
 // carries what there is for many partners. Each message may be lost, repeated, late or out of order.
-#ifndef BRACKENSPOKE_QUOTA_MESSAGES_H_
-#define BRACKENSPOKE_QUOTA_MESSAGES_H_
+#ifndef LOAD_BALANCER_QUOTA_MESSAGES_H_
+#define LOAD_BALANCER_QUOTA_MESSAGES_H_
 
 #include <compare>
 #include <cstdint>
@@ -14,7 +14,7 @@
 #include "base/error/failure.h"
 #include "quota/amount.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 // Orders all grants of a duty: the allocator's fencing token, and its count of grants.
 struct GrantId {
@@ -88,6 +88,6 @@
 std::vector<Request> Split(const Request& request);
 std::vector<Answer> Split(const Answer& answer);
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_MESSAGES_H_
+#endif  // LOAD_BALANCER_QUOTA_MESSAGES_H_
--- a/src/quota/partner_account.cpp
+++ b/src/quota/partner_account.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 PartnerAccount::PartnerAccount(Time since, const FloorTerms& floor, const Timings& timings)
     : timings_(&timings), floor_(floor), bucket_(since) {
@@ -110,4 +110,4 @@
 
 bool PartnerAccount::Idle(Time now) { return !called_ && now >= grant_until_ && demand_.Estimate(now) == 0; }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/partner_account.h
+++ b/src/quota/partner_account.h
@@ -2,8 +2,8 @@
 //
 // One partner's account at one gateway: the bucket, which follows the grant in force or the floor, and when
 // to ask for another grant.
-#ifndef BRACKENSPOKE_QUOTA_PARTNER_ACCOUNT_H_
-#define BRACKENSPOKE_QUOTA_PARTNER_ACCOUNT_H_
+#ifndef LOAD_BALANCER_QUOTA_PARTNER_ACCOUNT_H_
+#define LOAD_BALANCER_QUOTA_PARTNER_ACCOUNT_H_
 
 #include <optional>
 
@@ -14,7 +14,7 @@
 #include "quota/demand.h"
 #include "quota/messages.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 // The floor is in force from `from` on wherever no grant is.
 struct FloorTerms {
@@ -80,6 +80,6 @@
   Milli asked_for_ = 0;
 };
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_PARTNER_ACCOUNT_H_
+#endif  // LOAD_BALANCER_QUOTA_PARTNER_ACCOUNT_H_
--- a/src/quota/partner_allocator.cpp
+++ b/src/quota/partner_allocator.cpp
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -202,4 +202,4 @@
   return calls;
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/partner_allocator.h
+++ b/src/quota/partner_allocator.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One partner's budget at its allocator: the gateways' demand, and which grants to issue.
-#ifndef BRACKENSPOKE_QUOTA_PARTNER_ALLOCATOR_H_
-#define BRACKENSPOKE_QUOTA_PARTNER_ALLOCATOR_H_
+#ifndef LOAD_BALANCER_QUOTA_PARTNER_ALLOCATOR_H_
+#define LOAD_BALANCER_QUOTA_PARTNER_ALLOCATOR_H_
 
 #include <map>
 #include <vector>
@@ -11,7 +11,7 @@
 #include "quota/division.h"
 #include "quota/messages.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 // A grant, and the process that it is for.
 struct IssuedGrant {
@@ -77,6 +77,6 @@
   Time due_ = Time::max();
 };
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_PARTNER_ALLOCATOR_H_
+#endif  // LOAD_BALANCER_QUOTA_PARTNER_ALLOCATOR_H_
--- a/src/quota/section.cpp
+++ b/src/quota/section.cpp
@@ -6,7 +6,7 @@
 #include "base/config/section.h"
 #include "quota/messages.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using nlohmann::json;
@@ -102,4 +102,4 @@
   }
 }
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/src/quota/section.h
+++ b/src/quota/section.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The configuration's section `quota`: budgets of partners over all gateways.
-#ifndef BRACKENSPOKE_QUOTA_SECTION_H_
-#define BRACKENSPOKE_QUOTA_SECTION_H_
+#ifndef LOAD_BALANCER_QUOTA_SECTION_H_
+#define LOAD_BALANCER_QUOTA_SECTION_H_
 
 #include <chrono>
 #include <nlohmann/json_fwd.hpp>
@@ -12,7 +12,7 @@
 
 #include "quota/budget.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 
 // `quota`: absent, tenants' shares are divided evenly as the settings say. Keys, units and ranges are in
 // docs/configuration.md.
@@ -33,6 +33,6 @@
                 std::chrono::milliseconds lease_term, std::chrono::milliseconds lease_drift,
                 std::vector<std::string>* faults);
 
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
 
-#endif  // BRACKENSPOKE_QUOTA_SECTION_H_
+#endif  // LOAD_BALANCER_QUOTA_SECTION_H_
--- a/src/spill/ambassador.h
+++ b/src/spill/ambassador.h
@@ -2,8 +2,8 @@
 //
 // The site's ambassador: sums what the members could still take and makes the site's estimate. Exclusive: an
 // estimate is made under a lease's guard only, and carries its token.
-#ifndef BRACKENSPOKE_SPILL_AMBASSADOR_H_
-#define BRACKENSPOKE_SPILL_AMBASSADOR_H_
+#ifndef LOAD_BALANCER_SPILL_AMBASSADOR_H_
+#define LOAD_BALANCER_SPILL_AMBASSADOR_H_
 
 #include <concepts>
 #include <cstdint>
@@ -16,7 +16,7 @@
 #include "spill/hysteresis.h"
 #include "spill/options.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 // What one proxy's module would still let through of further own traffic, as Estimate has it: work spilled to
 // it by others is not taken off.
@@ -68,6 +68,6 @@
   Hysteresis over_{kZeroFor, kSpareFor};
 };
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_AMBASSADOR_H_
+#endif  // LOAD_BALANCER_SPILL_AMBASSADOR_H_
--- a/src/spill/estimate.h
+++ b/src/spill/estimate.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a site could still take, as its ambassador makes it known, and what is held of it elsewhere.
-#ifndef BRACKENSPOKE_SPILL_ESTIMATE_H_
-#define BRACKENSPOKE_SPILL_ESTIMATE_H_
+#ifndef LOAD_BALANCER_SPILL_ESTIMATE_H_
+#define LOAD_BALANCER_SPILL_ESTIMATE_H_
 
 #include <cstdint>
 #include <map>
@@ -13,7 +13,7 @@
 #include "base/time.h"
 #include "spill/options.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 using UnixMs = std::uint64_t;
 
@@ -82,6 +82,6 @@
   std::map<std::string, std::uint64_t> fences_;  // the largest token seen of each configured site
 };
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_ESTIMATE_H_
+#endif  // LOAD_BALANCER_SPILL_ESTIMATE_H_
--- a/src/spill/failures.h
+++ b/src/spill/failures.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What can go wrong between sites that spill to each other.
-#ifndef BRACKENSPOKE_SPILL_FAILURES_H_
-#define BRACKENSPOKE_SPILL_FAILURES_H_
+#ifndef LOAD_BALANCER_SPILL_FAILURES_H_
+#define LOAD_BALANCER_SPILL_FAILURES_H_
 
 #include <array>
 
 #include "base/error/failure.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 inline constexpr FailureKind kBadEstimate{
     "SPILL-1", "an estimate is out of form",
@@ -36,6 +36,6 @@
 inline constexpr std::array kSpillFailures{&kBadEstimate, &kFutureEstimate, &kFencedEstimate, &kUnknownSite,
                                            &kBadMark,     &kForeignMark,    &kNeighbourLeft};
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_FAILURES_H_
+#endif  // LOAD_BALANCER_SPILL_FAILURES_H_
--- a/src/spill/hysteresis.h
+++ b/src/spill/hysteresis.h
@@ -2,14 +2,14 @@
 //
 // Whether a site is over capacity: it becomes so only after its spare has been zero for a while without a
 // break, and ceases only after there has been some for a while.
-#ifndef BRACKENSPOKE_SPILL_HYSTERESIS_H_
-#define BRACKENSPOKE_SPILL_HYSTERESIS_H_
+#ifndef LOAD_BALANCER_SPILL_HYSTERESIS_H_
+#define LOAD_BALANCER_SPILL_HYSTERESIS_H_
 
 #include <optional>
 
 #include "base/time.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 class Hysteresis {
  public:
@@ -44,6 +44,6 @@
   std::optional<Time> since_, differs_since_;
 };
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_HYSTERESIS_H_
+#endif  // LOAD_BALANCER_SPILL_HYSTERESIS_H_
--- a/src/spill/incoming.h
+++ b/src/spill/incoming.h
@@ -3,8 +3,8 @@
 // Whether a request that comes in is a spilled one. The mark `Spilled-From: <site>/<gateway>` counts only
 // from an address of that gateway; from anybody else it is to be removed and the request handled as a
 // client's.
-#ifndef BRACKENSPOKE_SPILL_INCOMING_H_
-#define BRACKENSPOKE_SPILL_INCOMING_H_
+#ifndef LOAD_BALANCER_SPILL_INCOMING_H_
+#define LOAD_BALANCER_SPILL_INCOMING_H_
 
 #include <boost/asio/ip/address.hpp>
 #include <string>
@@ -15,7 +15,7 @@
 #include "spill/neighbours.h"
 #include "spill/options.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 inline constexpr std::string_view kMarkHeader = "Spilled-From";
 inline constexpr std::string_view kEstimateHeader = "Spill-Estimate";  // of answers: ToJson's text
@@ -43,6 +43,6 @@
   return from;
 }
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_INCOMING_H_
+#endif  // LOAD_BALANCER_SPILL_INCOMING_H_
--- a/src/spill/neighbours.cpp
+++ b/src/spill/neighbours.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <boost/random/uniform_int_distribution.hpp>
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 Neighbours::Neighbours(const Directory& sites, const std::string& own_site, std::mt19937_64& random)
     : random_(random) {
@@ -84,4 +84,4 @@
   return in_service;
 }
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
--- a/src/spill/neighbours.h
+++ b/src/spill/neighbours.h
@@ -3,8 +3,8 @@
 // The neighbours' gateways: which are present, and which are left for a while because they refuse or fail, by
 // gRFC A50's failure percentage with its multiplied ejection time. All of them may be left at once: a spilled
 // request is a chance, and nobody depends on it.
-#ifndef BRACKENSPOKE_SPILL_NEIGHBOURS_H_
-#define BRACKENSPOKE_SPILL_NEIGHBOURS_H_
+#ifndef LOAD_BALANCER_SPILL_NEIGHBOURS_H_
+#define LOAD_BALANCER_SPILL_NEIGHBOURS_H_
 
 #include <compare>
 #include <map>
@@ -15,7 +15,7 @@
 #include "base/time.h"
 #include "spill/options.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 struct Neighbour {
   std::string site, gateway;
@@ -59,6 +59,6 @@
   std::map<Neighbour, Health> health_;
 };
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_NEIGHBOURS_H_
+#endif  // LOAD_BALANCER_SPILL_NEIGHBOURS_H_
--- a/src/spill/options.h
+++ b/src/spill/options.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What spilling is set to, and who may take part in it.
-#ifndef BRACKENSPOKE_SPILL_OPTIONS_H_
-#define BRACKENSPOKE_SPILL_OPTIONS_H_
+#ifndef LOAD_BALANCER_SPILL_OPTIONS_H_
+#define LOAD_BALANCER_SPILL_OPTIONS_H_
 
 #include <algorithm>
 #include <boost/asio/ip/tcp.hpp>
@@ -12,7 +12,7 @@
 #include <map>
 #include <string>
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 using Milliseconds = std::chrono::milliseconds;
 
@@ -44,6 +44,6 @@
 // Site, then gateway, as configured at all gateways alike.
 using Directory = std::map<std::string, std::map<std::string, Gateway>>;
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_OPTIONS_H_
+#endif  // LOAD_BALANCER_SPILL_OPTIONS_H_
--- a/src/spill/price.h
+++ b/src/spill/price.h
@@ -3,8 +3,8 @@
 // What a spilled request must be worth while neighbours offer less than is asked of them: the demand of the
 // last seconds, by worth per work, against what is offered. Higher worth goes first; the class at the margin
 // goes by chance, as far as the offer reaches.
-#ifndef BRACKENSPOKE_SPILL_PRICE_H_
-#define BRACKENSPOKE_SPILL_PRICE_H_
+#ifndef LOAD_BALANCER_SPILL_PRICE_H_
+#define LOAD_BALANCER_SPILL_PRICE_H_
 
 #include <algorithm>
 #include <chrono>
@@ -13,7 +13,7 @@
 
 #include "base/time.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 class Price {
  public:
@@ -56,6 +56,6 @@
   Time faded_{};
 };
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_PRICE_H_
+#endif  // LOAD_BALANCER_SPILL_PRICE_H_
--- a/src/spill/rules.cpp
+++ b/src/spill/rules.cpp
@@ -3,7 +3,7 @@
 
 #include <array>
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 namespace {
 
 constexpr std::array<std::string_view, kWhys> kNames{
@@ -31,4 +31,4 @@
   return 2 * options.way + Milliseconds(wait_ms) + std::chrono::duration_cast<Span>(work);
 }
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
--- a/src/spill/rules.h
+++ b/src/spill/rules.h
@@ -1,18 +1,18 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Which requests may be spilled at all.
-#ifndef BRACKENSPOKE_SPILL_RULES_H_
-#define BRACKENSPOKE_SPILL_RULES_H_
+#ifndef LOAD_BALANCER_SPILL_RULES_H_
+#define LOAD_BALANCER_SPILL_RULES_H_
 
 #include <cstdint>
 #include <optional>
 #include <string_view>
 
 #include "base/time.h"
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 #include "spill/options.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 // A request that the module has refused. Times are what is left of them now.
 struct Refused {
@@ -55,6 +55,6 @@
 // Until an answer would be back: the way there and back, the neighbour's wait, and the work itself.
 Span Needs(const Options& options, std::uint64_t wait_ms, double work_ms);
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_RULES_H_
+#endif  // LOAD_BALANCER_SPILL_RULES_H_
--- a/src/spill/section.cpp
+++ b/src/spill/section.cpp
@@ -5,7 +5,7 @@
 
 #include "base/config/section.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 SpillSection ReadSpill(const nlohmann::json& root, std::vector<std::string>* faults) {
   SpillSection spill;
@@ -41,4 +41,4 @@
     faults->push_back("spill: fleet.lease_term_ms is missing, as the ambassador needs a lease");
 }
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
--- a/src/spill/section.h
+++ b/src/spill/section.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The configuration's section `spill`.
-#ifndef BRACKENSPOKE_SPILL_SECTION_H_
-#define BRACKENSPOKE_SPILL_SECTION_H_
+#ifndef LOAD_BALANCER_SPILL_SECTION_H_
+#define LOAD_BALANCER_SPILL_SECTION_H_
 
 #include <nlohmann/json_fwd.hpp>
 #include <string>
@@ -10,7 +10,7 @@
 
 #include "spill/options.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 // `spill`: absent, nothing is spilled and spilled requests are refused.
 struct SpillSection {
@@ -26,6 +26,6 @@
 void CheckSpill(const SpillSection& spill, const Directory& sites, const std::string& own_site,
                 Milliseconds lease_term, std::vector<std::string>* faults);
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_SECTION_H_
+#endif  // LOAD_BALANCER_SPILL_SECTION_H_
--- a/src/spill/share.h
+++ b/src/spill/share.h
@@ -2,15 +2,15 @@
 //
 // This gateway's share of what a neighbour site offers: a token bucket of hinted work (ms). Over any window W
 // it lets through at most rate x W + depth + the largest request.
-#ifndef BRACKENSPOKE_SPILL_SHARE_H_
-#define BRACKENSPOKE_SPILL_SHARE_H_
+#ifndef LOAD_BALANCER_SPILL_SHARE_H_
+#define LOAD_BALANCER_SPILL_SHARE_H_
 
 #include <algorithm>
 #include <chrono>
 
 #include "base/time.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 class Share {
  public:
@@ -52,6 +52,6 @@
   double rate_ = 0, depth_ = 0, level_ = 0;
 };
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_SHARE_H_
+#endif  // LOAD_BALANCER_SPILL_SHARE_H_
--- a/src/spill/spill.cpp
+++ b/src/spill/spill.cpp
@@ -8,7 +8,7 @@
 
 #include "spill/failures.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 namespace {
 
 // Of a share's depth, for requests of higher worth, when these alone ask for all that is offered (trunk
@@ -254,4 +254,4 @@
   return line;
 }
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
--- a/src/spill/spill.h
+++ b/src/spill/spill.h
@@ -2,8 +2,8 @@
 //
 // Spill: whether a request that this site cannot serve goes to a gateway of a neighbour site, and to which.
 // A function of its events and its seed: no clock, no socket, no threads. State and rules: docs/spill.md.
-#ifndef BRACKENSPOKE_SPILL_SPILL_H_
-#define BRACKENSPOKE_SPILL_SPILL_H_
+#ifndef LOAD_BALANCER_SPILL_SPILL_H_
+#define LOAD_BALANCER_SPILL_SPILL_H_
 
 #include <array>
 #include <cstdint>
@@ -25,7 +25,7 @@
 #include "spill/share.h"
 #include "spill/sticky.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 // ---- events, besides Refused of rules.h ---------------------------------------------------------------
 // An estimate of any site, this one's among them: from the federation pool, an answer's header, or made by
@@ -166,6 +166,6 @@
   Counts counts_;
 };
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_SPILL_H_
+#endif  // LOAD_BALANCER_SPILL_SPILL_H_
--- a/src/spill/sticky.h
+++ b/src/spill/sticky.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Keys stay with the neighbour that served them while they are warm there.
-#ifndef BRACKENSPOKE_SPILL_STICKY_H_
-#define BRACKENSPOKE_SPILL_STICKY_H_
+#ifndef LOAD_BALANCER_SPILL_STICKY_H_
+#define LOAD_BALANCER_SPILL_STICKY_H_
 
 #include <cstdint>
 #include <map>
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "spill/neighbours.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 class StickyKeys {
  public:
@@ -47,6 +47,6 @@
   std::set<std::pair<Time, std::uint64_t>> by_end_;
 };
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_SPILL_STICKY_H_
+#endif  // LOAD_BALANCER_SPILL_STICKY_H_
--- a/src/state/failures.h
+++ b/src/state/failures.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What can go wrong with what a process keeps on disk.
-#ifndef BRACKENSPOKE_STATE_FAILURES_H_
-#define BRACKENSPOKE_STATE_FAILURES_H_
+#ifndef LOAD_BALANCER_STATE_FAILURES_H_
+#define LOAD_BALANCER_STATE_FAILURES_H_
 
 #include <array>
 
 #include "base/error/failure.h"
 
-namespace brackenspoke::state {
+namespace load_balancer::state {
 
 inline constexpr FailureKind kSnapshotRefused{"STATE-1", "a snapshot was not used",
                                               "none is needed once; if it recurs, see in docs/recovery.md "
@@ -22,6 +22,6 @@
 
 inline constexpr std::array kStateFailures{&kSnapshotRefused, &kSnapshotNotWritten, &kSnapshotNotWhole};
 
-}  // namespace brackenspoke::state
+}  // namespace load_balancer::state
 
-#endif  // BRACKENSPOKE_STATE_FAILURES_H_
+#endif  // LOAD_BALANCER_STATE_FAILURES_H_
--- a/src/state/keeper.cpp
+++ b/src/state/keeper.cpp
@@ -11,7 +11,7 @@
 #include "base/log.h"
 #include "state/failures.h"
 
-namespace brackenspoke::state {
+namespace load_balancer::state {
 namespace {
 
 UnixMs Now() {
@@ -73,4 +73,4 @@
   });
 }
 
-}  // namespace brackenspoke::state
+}  // namespace load_balancer::state
--- a/src/state/keeper.h
+++ b/src/state/keeper.h
@@ -2,8 +2,8 @@
 //
 // Keeps a process's snapshot: reads the last one at the start and writes a new one at each interval, by a
 // thread of its own, since the disk may be slow and requests must not wait for it.
-#ifndef BRACKENSPOKE_STATE_KEEPER_H_
-#define BRACKENSPOKE_STATE_KEEPER_H_
+#ifndef LOAD_BALANCER_STATE_KEEPER_H_
+#define LOAD_BALANCER_STATE_KEEPER_H_
 
 #include <atomic>
 #include <boost/asio/io_context.hpp>
@@ -16,7 +16,7 @@
 
 #include "snapshot.h"
 
-namespace brackenspoke::state {
+namespace load_balancer::state {
 
 struct KeeperOptions {
   std::string path;  // of the snapshot
@@ -51,6 +51,6 @@
   std::function<nlohmann::json()> collect_;
 };
 
-}  // namespace brackenspoke::state
+}  // namespace load_balancer::state
 
-#endif  // BRACKENSPOKE_STATE_KEEPER_H_
+#endif  // LOAD_BALANCER_STATE_KEEPER_H_
--- a/src/state/section.cpp
+++ b/src/state/section.cpp
@@ -3,7 +3,7 @@
 
 #include "base/config/section.h"
 
-namespace brackenspoke::state {
+namespace load_balancer::state {
 
 StateSection ReadState(const nlohmann::json& root, std::vector<std::string>* faults) {
   StateSection state;
@@ -16,4 +16,4 @@
   return state;
 }
 
-}  // namespace brackenspoke::state
+}  // namespace load_balancer::state
--- a/src/state/section.h
+++ b/src/state/section.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The configuration's section `state`: where a process keeps what must outlive it.
-#ifndef BRACKENSPOKE_STATE_SECTION_H_
-#define BRACKENSPOKE_STATE_SECTION_H_
+#ifndef LOAD_BALANCER_STATE_SECTION_H_
+#define LOAD_BALANCER_STATE_SECTION_H_
 
 #include <chrono>
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 #include <vector>
 
-namespace brackenspoke::state {
+namespace load_balancer::state {
 
 using Milliseconds = std::chrono::milliseconds;
 
@@ -25,6 +25,6 @@
 // Reads `state` of the file's root object. Appends one line per fault to `faults`.
 StateSection ReadState(const nlohmann::json& root, std::vector<std::string>* faults);
 
-}  // namespace brackenspoke::state
+}  // namespace load_balancer::state
 
-#endif  // BRACKENSPOKE_STATE_SECTION_H_
+#endif  // LOAD_BALANCER_STATE_SECTION_H_
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -16,7 +16,7 @@
 
 #include "base/descriptor.h"
 
-namespace brackenspoke::state {
+namespace load_balancer::state {
 namespace {
 
 using nlohmann::json;
@@ -147,4 +147,4 @@
   return best;
 }
 
-}  // namespace brackenspoke::state
+}  // namespace load_balancer::state
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -2,8 +2,8 @@
 //
 // A process's snapshot on disk: written whole or not at all, and verified before a byte of it is believed.
 // The format and the order of the writes are in docs/recovery.md.
-#ifndef BRACKENSPOKE_STATE_SNAPSHOT_H_
-#define BRACKENSPOKE_STATE_SNAPSHOT_H_
+#ifndef LOAD_BALANCER_STATE_SNAPSHOT_H_
+#define LOAD_BALANCER_STATE_SNAPSHOT_H_
 
 #include <cstdint>
 #include <functional>
@@ -14,7 +14,7 @@
 #include <variant>
 #include <vector>
 
-namespace brackenspoke::state {
+namespace load_balancer::state {
 
 using UnixMs = std::uint64_t;
 
@@ -70,6 +70,6 @@
                                         const std::function<void(const std::string&, Refusal)>& refused);
 std::string PreviousOf(const std::string& path);
 
-}  // namespace brackenspoke::state
+}  // namespace load_balancer::state
 
-#endif  // BRACKENSPOKE_STATE_SNAPSHOT_H_
+#endif  // LOAD_BALANCER_STATE_SNAPSHOT_H_
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -14,7 +14,7 @@
 #include "hex.h"
 #include "sample_settings.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 namespace {
 
 using testing::Hex;
@@ -32,7 +32,7 @@
 }
 
 ProcessRun Adapter(const std::string& input) {
-  std::string base = ::testing::TempDir() + "brackenspoke_adapter_XXXXXX";
+  std::string base = ::testing::TempDir() + "load_balancer_simulator_adapter_XXXXXX";
   if (mkdtemp(base.data()) == nullptr) return {};
   std::ofstream(base + "/in", std::ios::binary) << input;
   const std::string command =
@@ -122,4 +122,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace load_balancer
--- a/tests/backend/bench.h
+++ b/tests/backend/bench.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Backends on an event loop that the test runs itself, step by step; the test is the backend.
-#ifndef BRACKENSPOKE_TESTS_BACKEND_BENCH_H_
-#define BRACKENSPOKE_TESTS_BACKEND_BENCH_H_
+#ifndef LOAD_BALANCER_TESTS_BACKEND_BENCH_H_
+#define LOAD_BALANCER_TESTS_BACKEND_BENCH_H_
 
 #include <gtest/gtest.h>
 
@@ -15,7 +15,7 @@
 #include "backends.h"
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 using proxy::AttemptId;
 using proxy::AttemptResult;
@@ -96,6 +96,6 @@
   std::optional<AttemptResult> result;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_BACKEND_BENCH_H_
+#endif  // LOAD_BALANCER_TESTS_BACKEND_BENCH_H_
--- a/tests/backend/deadline_test.cpp
+++ b/tests/backend/deadline_test.cpp
@@ -10,7 +10,7 @@
 #include "backend/bench.h"
 #include "backend/held_listener.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -122,4 +122,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/backend/gone_test.cpp
+++ b/tests/backend/gone_test.cpp
@@ -9,7 +9,7 @@
 #include "backend/bench.h"
 #include "backend/held_listener.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 constexpr Duration kLong{30000};
@@ -119,4 +119,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/backend/held_listener.h
+++ b/tests/backend/held_listener.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A listening socket to which no connection comes up until the test lets it.
-#ifndef BRACKENSPOKE_TESTS_BACKEND_HELD_LISTENER_H_
-#define BRACKENSPOKE_TESTS_BACKEND_HELD_LISTENER_H_
+#ifndef LOAD_BALANCER_TESTS_BACKEND_HELD_LISTENER_H_
+#define LOAD_BALANCER_TESTS_BACKEND_HELD_LISTENER_H_
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -12,7 +12,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 // Its queue of connections that nobody has accepted is full: the system drops what else asks for one, and
 // whoever asks tries again about a second later.
@@ -65,6 +65,6 @@
   std::list<Tcp::socket> fillers_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_BACKEND_HELD_LISTENER_H_
+#endif  // LOAD_BALANCER_TESTS_BACKEND_HELD_LISTENER_H_
--- a/tests/backend/odd_answers_test.cpp
+++ b/tests/backend/odd_answers_test.cpp
@@ -10,7 +10,7 @@
 
 #include "backend/bench.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 constexpr Duration kLong{30000};
@@ -206,4 +206,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/backend/second_answer_test.cpp
+++ b/tests/backend/second_answer_test.cpp
@@ -8,7 +8,7 @@
 
 #include "backend/bench.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 constexpr Duration kLong{30000};
@@ -102,4 +102,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/backend/written_test.cpp
+++ b/tests/backend/written_test.cpp
@@ -6,7 +6,7 @@
 
 #include "backend/bench.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 constexpr Duration kLong{30000};
@@ -112,4 +112,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/backends_test.cpp
+++ b/tests/backends_test.cpp
@@ -11,7 +11,7 @@
 
 #include "backend/bench.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 // The event loop gets to the time-out and to the rest of the answer in one round: the time-out first.
@@ -170,4 +170,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The module's decisions, each at its boundary. Events are written out; no bench is needed.
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
 #include <gtest/gtest.h>
 
@@ -19,7 +19,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 namespace {
 
 using testing::At;
@@ -1427,4 +1427,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace load_balancer
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -5,7 +5,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 Submit Upload(const Rig& rig, RequestId id, double patience = 1000) {
@@ -89,4 +89,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/body_test.cpp
+++ b/tests/body_test.cpp
@@ -7,7 +7,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 // Bytes that differ from place to place.
@@ -386,4 +386,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/client/gone_test.cpp
+++ b/tests/client/gone_test.cpp
@@ -8,7 +8,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -226,4 +226,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/client/malformed_test.cpp
+++ b/tests/client/malformed_test.cpp
@@ -6,7 +6,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -127,4 +127,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/client/resting_test.cpp
+++ b/tests/client/resting_test.cpp
@@ -7,7 +7,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -144,4 +144,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/client/signals_test.cpp
+++ b/tests/client/signals_test.cpp
@@ -10,7 +10,7 @@
 #include "leased_port.h"
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using fleet::Folder;
@@ -217,4 +217,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -10,10 +10,10 @@
 
 #include "hex.h"
 
-namespace brackenspoke::adapter {
+namespace load_balancer::adapter {
 namespace {
 
-using brackenspoke::testing::Hex;
+using load_balancer::testing::Hex;
 
 Batch Read(const std::string& bytes) {
   std::istringstream in(bytes);
@@ -174,4 +174,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::adapter
+}  // namespace load_balancer::adapter
--- a/tests/cold/cold_count.h
+++ b/tests/cold/cold_count.h
@@ -3,14 +3,14 @@
 // The operators' rule on cold servers, counted over all processes: a server that is not warm yet falls when
 // it gets more than N + 2 roots of N + 2 requests of mean work within the time that the settings name, N
 // being what they allow it at that moment. Shares no code with the module.
-#ifndef BRACKENSPOKE_TESTS_COLD_COLD_COUNT_H_
-#define BRACKENSPOKE_TESTS_COLD_COLD_COUNT_H_
+#ifndef LOAD_BALANCER_TESTS_COLD_COLD_COUNT_H_
+#define LOAD_BALANCER_TESTS_COLD_COLD_COUNT_H_
 
 #include <algorithm>
 #include <cmath>
 #include <deque>
 
-namespace brackenspoke::cold {
+namespace load_balancer::cold {
 
 struct Received {
   double at = 0, work = 0;
@@ -51,6 +51,6 @@
   std::deque<Received> received_;
 };
 
-}  // namespace brackenspoke::cold
+}  // namespace load_balancer::cold
 
-#endif  // BRACKENSPOKE_TESTS_COLD_COLD_COUNT_H_
+#endif  // LOAD_BALANCER_TESTS_COLD_COLD_COUNT_H_
--- a/tests/cold/cold_fleet_test.cpp
+++ b/tests/cold/cold_fleet_test.cpp
@@ -12,7 +12,7 @@
 
 #include "fleet_day.h"
 
-namespace brackenspoke::cold {
+namespace load_balancer::cold {
 namespace {
 
 constexpr std::uint64_t kSeeds = 40, kFirstSeed = 2026120201;
@@ -62,4 +62,4 @@
                          [](const auto& info) { return std::string(info.param.name); });
 
 }  // namespace
-}  // namespace brackenspoke::cold
+}  // namespace load_balancer::cold
--- a/tests/cold/fleet_day.cpp
+++ b/tests/cold/fleet_day.cpp
@@ -5,7 +5,7 @@
 #include <utility>
 #include <variant>
 
-namespace brackenspoke::cold {
+namespace load_balancer::cold {
 namespace {
 
 constexpr double kTrafficFromMs = 1000;
@@ -347,4 +347,4 @@
   Feed(attempt.process, ended);
 }
 
-}  // namespace brackenspoke::cold
+}  // namespace load_balancer::cold
--- a/tests/cold/fleet_day.h
+++ b/tests/cold/fleet_day.h
@@ -2,8 +2,8 @@
 //
 // A planned day in virtual time: clients, processes that are each a Balancer of their own and share nothing,
 // and servers that count what they get while they are cold. Deterministic.
-#ifndef BRACKENSPOKE_TESTS_COLD_FLEET_DAY_H_
-#define BRACKENSPOKE_TESTS_COLD_FLEET_DAY_H_
+#ifndef LOAD_BALANCER_TESTS_COLD_FLEET_DAY_H_
+#define LOAD_BALANCER_TESTS_COLD_FLEET_DAY_H_
 
 #include <deque>
 #include <functional>
@@ -15,7 +15,7 @@
 #include "cold_count.h"
 #include "plan.h"
 
-namespace brackenspoke::cold {
+namespace load_balancer::cold {
 
 struct Verdict {
   // Most that a cold server got over what it may get: by number and, where clients hint at the work of their
@@ -121,6 +121,6 @@
   RequestId last_request_ = 0;
 };
 
-}  // namespace brackenspoke::cold
+}  // namespace load_balancer::cold
 
-#endif  // BRACKENSPOKE_TESTS_COLD_FLEET_DAY_H_
+#endif  // LOAD_BALANCER_TESTS_COLD_FLEET_DAY_H_
--- a/tests/cold/plan.cpp
+++ b/tests/cold/plan.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <numbers>
 
-namespace brackenspoke::cold {
+namespace load_balancer::cold {
 namespace {
 
 constexpr double kDayMs = 36000;
@@ -144,4 +144,4 @@
   return plan;
 }
 
-}  // namespace brackenspoke::cold
+}  // namespace load_balancer::cold
--- a/tests/cold/plan.h
+++ b/tests/cold/plan.h
@@ -2,16 +2,16 @@
 //
 // What happens on one drawn day of a fleet whose servers start cold: settings, servers, traffic and troubles.
 // All of it follows from the deployment, the number of processes and the seed.
-#ifndef BRACKENSPOKE_TESTS_COLD_PLAN_H_
-#define BRACKENSPOKE_TESTS_COLD_PLAN_H_
+#ifndef LOAD_BALANCER_TESTS_COLD_PLAN_H_
+#define LOAD_BALANCER_TESTS_COLD_PLAN_H_
 
 #include <cstdint>
 #include <random>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::cold {
+namespace load_balancer::cold {
 
 // Deterministic from its seed on every platform, as the standard distributions are not.
 class Draw {
@@ -80,6 +80,6 @@
 
 Plan DrawPlan(const Deployment& deployment, std::size_t processes, std::uint64_t seed);
 
-}  // namespace brackenspoke::cold
+}  // namespace load_balancer::cold
 
-#endif  // BRACKENSPOKE_TESTS_COLD_PLAN_H_
+#endif  // LOAD_BALANCER_TESTS_COLD_PLAN_H_
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -11,7 +11,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using nlohmann::json;
@@ -26,7 +26,8 @@
                      {"probe_interval_ms", 200},
                      {"suspicion_multiplier", 5},
                      {"indirect_probes", 2}};
-  config["state"] = {{"dir", "/var/lib/kestrelline"}, {"snapshot_interval_ms", 1000}, {"max_age_ms", 30000}};
+  config["state"] = {
+      {"dir", "/var/lib/load_balancer_proxy"}, {"snapshot_interval_ms", 1000}, {"max_age_ms", 30000}};
   return config;
 }
 
@@ -64,7 +65,7 @@
   EXPECT_EQ(config.fleet.probe_interval, std::chrono::milliseconds(200));
   EXPECT_EQ(config.fleet.suspicion_multiplier, 5);
   EXPECT_EQ(config.fleet.indirect_probes, 2);
-  EXPECT_EQ(config.state.dir, "/var/lib/kestrelline");
+  EXPECT_EQ(config.state.dir, "/var/lib/load_balancer_proxy");
   EXPECT_EQ(config.state.max_age, std::chrono::milliseconds(30000));
 }
 
@@ -125,4 +126,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/discovery/ask_test.cpp
+++ b/tests/discovery/ask_test.cpp
@@ -8,7 +8,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 namespace {
 
 using testing::Entry;
@@ -108,4 +108,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace load_balancer
--- a/tests/discovery/framing_test.cpp
+++ b/tests/discovery/framing_test.cpp
@@ -7,7 +7,7 @@
 
 #include "scripted_discovery.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -177,4 +177,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/discovery/object_reader_test.cpp
+++ b/tests/discovery/object_reader_test.cpp
@@ -7,7 +7,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using proxy::ObjectReader;
@@ -73,4 +73,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/discovery/races_test.cpp
+++ b/tests/discovery/races_test.cpp
@@ -8,7 +8,7 @@
 
 #include "scripted_discovery.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -287,4 +287,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/discovery/ready_test.cpp
+++ b/tests/discovery/ready_test.cpp
@@ -7,7 +7,7 @@
 
 #include "scripted_discovery.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -116,4 +116,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/discovery/scripted_discovery.h
+++ b/tests/discovery/scripted_discovery.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A discovery that serves each call as a test says, and what follows it.
-#ifndef BRACKENSPOKE_TESTS_DISCOVERY_SCRIPTED_DISCOVERY_H_
-#define BRACKENSPOKE_TESTS_DISCOVERY_SCRIPTED_DISCOVERY_H_
+#ifndef LOAD_BALANCER_TESTS_DISCOVERY_SCRIPTED_DISCOVERY_H_
+#define LOAD_BALANCER_TESTS_DISCOVERY_SCRIPTED_DISCOVERY_H_
 
 #include <sys/socket.h>
 
@@ -20,7 +20,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 // Serves the nth call, from 0, as the test says; each connection then stays open and silent.
 class ScriptedDiscovery {
@@ -135,6 +135,6 @@
   std::thread thread_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_DISCOVERY_SCRIPTED_DISCOVERY_H_
+#endif  // LOAD_BALANCER_TESTS_DISCOVERY_SCRIPTED_DISCOVERY_H_
--- a/tests/discovery/told_in_time_test.cpp
+++ b/tests/discovery/told_in_time_test.cpp
@@ -7,7 +7,7 @@
 
 #include "scripted_discovery.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -222,4 +222,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/discovery/watch_test.cpp
+++ b/tests/discovery/watch_test.cpp
@@ -5,7 +5,7 @@
 
 #include "scripted_discovery.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -85,4 +85,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/discovery/whole_list_test.cpp
+++ b/tests/discovery/whole_list_test.cpp
@@ -6,7 +6,7 @@
 #include "members.h"
 #include "scripted_discovery.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 constexpr std::chrono::milliseconds kLong{60000};
@@ -182,4 +182,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -10,7 +10,7 @@
 
 #include "proxy/failure_kinds.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 namespace {
 
 // By code, the rest of each row of docs/errors.md: "what | advice".
@@ -50,4 +50,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace load_balancer
--- a/tests/federation/client.h
+++ b/tests/federation/client.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A client on a connection of its own that gives up on a gateway that does not answer.
-#ifndef BRACKENSPOKE_TESTS_FEDERATION_CLIENT_H_
-#define BRACKENSPOKE_TESTS_FEDERATION_CLIENT_H_
+#ifndef LOAD_BALANCER_TESTS_FEDERATION_CLIENT_H_
+#define LOAD_BALANCER_TESTS_FEDERATION_CLIENT_H_
 
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
@@ -14,7 +14,7 @@
 
 #include "base/descriptor.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 
 class PatientClient {
  public:
@@ -73,6 +73,6 @@
   std::string answer_;
 };
 
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
 
-#endif  // BRACKENSPOKE_TESTS_FEDERATION_CLIENT_H_
+#endif  // LOAD_BALANCER_TESTS_FEDERATION_CLIENT_H_
--- a/tests/federation/gateways.h
+++ b/tests/federation/gateways.h
@@ -3,8 +3,8 @@
 // Gateways of several sites as processes, each on a loopback address of its own, with the fault relay on
 // every path between sites: that of the federation's pool, and that of spilled requests, whose route
 // `a1>b2` is where gateway a1 has b2 by its configuration.
-#ifndef BRACKENSPOKE_TESTS_FEDERATION_GATEWAYS_H_
-#define BRACKENSPOKE_TESTS_FEDERATION_GATEWAYS_H_
+#ifndef LOAD_BALANCER_TESTS_FEDERATION_GATEWAYS_H_
+#define LOAD_BALANCER_TESTS_FEDERATION_GATEWAYS_H_
 
 #include <array>
 #include <atomic>
@@ -13,7 +13,7 @@
 #include "cluster.h"
 #include "sites.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 
 using fleet::kBound;
 using fleet::milliseconds;
@@ -204,6 +204,6 @@
   std::size_t count_ = 0;
 };
 
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
 
-#endif  // BRACKENSPOKE_TESTS_FEDERATION_GATEWAYS_H_
+#endif  // LOAD_BALANCER_TESTS_FEDERATION_GATEWAYS_H_
--- a/tests/federation/ledger.h
+++ b/tests/federation/ledger.h
@@ -2,8 +2,8 @@
 //
 // What became of every request of a test: what its client sent and heard, and which sites' servers saw it.
 // The ground truth for what is promised of spilled requests.
-#ifndef BRACKENSPOKE_TESTS_FEDERATION_LEDGER_H_
-#define BRACKENSPOKE_TESTS_FEDERATION_LEDGER_H_
+#ifndef LOAD_BALANCER_TESTS_FEDERATION_LEDGER_H_
+#define LOAD_BALANCER_TESTS_FEDERATION_LEDGER_H_
 
 #include <algorithm>
 #include <array>
@@ -14,7 +14,7 @@
 #include <string>
 #include <vector>
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 
 using Steady = std::chrono::steady_clock;
 
@@ -99,6 +99,6 @@
   std::vector<Entry> entries_;
 };
 
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
 
-#endif  // BRACKENSPOKE_TESTS_FEDERATION_LEDGER_H_
+#endif  // LOAD_BALANCER_TESTS_FEDERATION_LEDGER_H_
--- a/tests/federation/load.h
+++ b/tests/federation/load.h
@@ -2,8 +2,8 @@
 //
 // Clients of gateways at set rates, whatever the answers do: each request on a connection that has none under
 // way, given up when it is overdue.
-#ifndef BRACKENSPOKE_TESTS_FEDERATION_LOAD_H_
-#define BRACKENSPOKE_TESTS_FEDERATION_LOAD_H_
+#ifndef LOAD_BALANCER_TESTS_FEDERATION_LOAD_H_
+#define LOAD_BALANCER_TESTS_FEDERATION_LOAD_H_
 
 #include <atomic>
 #include <boost/asio/co_spawn.hpp>
@@ -24,7 +24,7 @@
 
 #include "ledger.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 
 class Load {
  public:
@@ -119,6 +119,6 @@
   std::vector<std::atomic<double>> rates_;
 };
 
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
 
-#endif  // BRACKENSPOKE_TESTS_FEDERATION_LOAD_H_
+#endif  // LOAD_BALANCER_TESTS_FEDERATION_LOAD_H_
--- a/tests/federation/quota_bed.h
+++ b/tests/federation/quota_bed.h
@@ -2,8 +2,8 @@
 //
 // 9 gateways of 3 sites as processes that share budgets, a server behind them that counts, and clients that
 // send more to each gateway than is its part.
-#ifndef BRACKENSPOKE_TESTS_FEDERATION_QUOTA_BED_H_
-#define BRACKENSPOKE_TESTS_FEDERATION_QUOTA_BED_H_
+#ifndef LOAD_BALANCER_TESTS_FEDERATION_QUOTA_BED_H_
+#define LOAD_BALANCER_TESTS_FEDERATION_QUOTA_BED_H_
 
 #include <gtest/gtest.h>
 
@@ -14,7 +14,7 @@
 #include "client.h"
 #include "gateways.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 
 constexpr const char* kHandsOut = "hands out draws";
 constexpr milliseconds kGrantLife{1000}, kDrift{100};
@@ -145,6 +145,6 @@
   std::vector<std::thread> clients_;
 };
 
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
 
-#endif  // BRACKENSPOKE_TESTS_FEDERATION_QUOTA_BED_H_
+#endif  // LOAD_BALANCER_TESTS_FEDERATION_QUOTA_BED_H_
--- a/tests/federation/quota_change_test.cpp
+++ b/tests/federation/quota_change_test.cpp
@@ -3,7 +3,7 @@
 // Budgets of 9 gateways, as processes, while on-call staff drain gateways.
 #include "quota_bed.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 namespace {
 
 constexpr int kOffered = 60;  // a second, at each gateway
@@ -30,4 +30,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
--- a/tests/federation/quota_test.cpp
+++ b/tests/federation/quota_test.cpp
@@ -4,7 +4,7 @@
 // within rate x window + burst.
 #include "quota_bed.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 namespace {
 
 constexpr double kRate = 200, kBurst = 100;  // requests a second; requests
@@ -114,4 +114,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
--- a/tests/federation/section_test.cpp
+++ b/tests/federation/section_test.cpp
@@ -12,7 +12,7 @@
 #include "loopback.h"
 #include "sites.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 namespace {
 
 using nlohmann::json;
@@ -166,4 +166,4 @@
                          [](const auto& info) { return std::to_string(info.index); });
 
 }  // namespace
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
--- a/tests/federation/sites.h
+++ b/tests/federation/sites.h
@@ -2,13 +2,13 @@
 //
 // A `sites` section for tests: sites a, b and c of so many gateways each, every gateway on a loopback address
 // of its own.
-#ifndef BRACKENSPOKE_TESTS_FEDERATION_SITES_H_
-#define BRACKENSPOKE_TESTS_FEDERATION_SITES_H_
+#ifndef LOAD_BALANCER_TESTS_FEDERATION_SITES_H_
+#define LOAD_BALANCER_TESTS_FEDERATION_SITES_H_
 
 #include <nlohmann/json.hpp>
 #include <string>
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 
 inline std::string GatewayName(int site, int gateway) {
   return std::string(1, static_cast<char>('a' + site)) + std::to_string(gateway + 1);
@@ -31,6 +31,6 @@
   return section;
 }
 
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
 
-#endif  // BRACKENSPOKE_TESTS_FEDERATION_SITES_H_
+#endif  // LOAD_BALANCER_TESTS_FEDERATION_SITES_H_
--- a/tests/federation/spill_faults_test.cpp
+++ b/tests/federation/spill_faults_test.cpp
@@ -9,7 +9,7 @@
 
 #include "spill_scene.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 namespace {
 
 constexpr int kA = 0, kB = 1, kC = 2;
@@ -190,4 +190,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
--- a/tests/federation/spill_members_test.cpp
+++ b/tests/federation/spill_members_test.cpp
@@ -7,7 +7,7 @@
 #include "client.h"
 #include "spill_scene.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 namespace {
 
 constexpr const char* kOwner = "Req-Owner: isar\r\n";
@@ -87,4 +87,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
--- a/tests/federation/spill_scene.h
+++ b/tests/federation/spill_scene.h
@@ -2,8 +2,8 @@
 //
 // Three sites of three gateways that spill to each other, with their own stand-in discovery and servers,
 // clients at set rates, and a ledger that says what became of every request.
-#ifndef BRACKENSPOKE_TESTS_FEDERATION_SPILL_SCENE_H_
-#define BRACKENSPOKE_TESTS_FEDERATION_SPILL_SCENE_H_
+#ifndef LOAD_BALANCER_TESTS_FEDERATION_SPILL_SCENE_H_
+#define LOAD_BALANCER_TESTS_FEDERATION_SPILL_SCENE_H_
 
 #include <gtest/gtest.h>
 
@@ -13,7 +13,7 @@
 #include "load.h"
 #include "standin/site.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 
 class SpillScene {
  public:
@@ -186,6 +186,6 @@
   std::thread thread_;
 };
 
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
 
-#endif  // BRACKENSPOKE_TESTS_FEDERATION_SPILL_SCENE_H_
+#endif  // LOAD_BALANCER_TESTS_FEDERATION_SPILL_SCENE_H_
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -11,29 +11,29 @@
 #include "loopback.h"
 #include "spill/incoming.h"
 
-namespace brackenspoke::testing::federation {
+namespace load_balancer::testing::federation {
 namespace {
 
-class Quiet : public brackenspoke::fleet::Facts {
+class Quiet : public load_balancer::fleet::Facts {
   bool Listed(const std::string&) const override { return false; }
-  void OnVerdict(const brackenspoke::fleet::Verdict&) override {}
-  void OnKey(const brackenspoke::fleet::KeySite&, brackenspoke::fleet::UnixMs) override {}
+  void OnVerdict(const load_balancer::fleet::Verdict&) override {}
+  void OnKey(const load_balancer::fleet::KeySite&, load_balancer::fleet::UnixMs) override {}
   void OnShare(int) override {}
   void OnJoined() override {}
-  void OnRole(const std::string&, brackenspoke::fleet::Role) override {}
-  void OnDutyFact(const brackenspoke::fleet::DutyFact&) override {}
+  void OnRole(const std::string&, load_balancer::fleet::Role) override {}
+  void OnDutyFact(const load_balancer::fleet::DutyFact&) override {}
 };
 
 class Origin : public proxy::SpillHost, public proxy::Pool::Host {
  public:
-  brackenspoke::Spare SpareNow() const override { return {}; }
+  load_balancer::Spare SpareNow() const override { return {}; }
   void OnSpillBegun(RequestId, proxy::AnswerHead) override { ends.push_back("begun"); }
   void OnSpillServed(RequestId, HttpResponse answer, proxy::Buffers::Hold) override {
     ends.push_back("served " + answer.body());
   }
   void OnSpillRefused(RequestId, Duration) override { ends.push_back("refused"); }
   void OnSpillFailed(RequestId) override { ends.push_back("failed"); }
-  void OnPoolFact(const brackenspoke::fleet::DutyFact&) override {}
+  void OnPoolFact(const load_balancer::fleet::DutyFact&) override {}
   std::vector<std::string> ends;
 };
 
@@ -62,8 +62,8 @@
   }
   ~SpillOnSockets() override { neighbour_.Stop(); }
 
-  brackenspoke::fleet::SitesSection Sites() const {
-    brackenspoke::fleet::SitesSection sites;
+  load_balancer::fleet::SitesSection Sites() const {
+    load_balancer::fleet::SitesSection sites;
     const auto udp = [this](std::size_t i) {
       return fleet::Udp::endpoint(kAnyPort.address(), ports_[i].port());
     };
@@ -75,8 +75,8 @@
     sites.voters = {udp(0), udp(1), udp(2)};
     return sites;
   }
-  brackenspoke::fleet::FleetSection SiteFleet() const {
-    brackenspoke::fleet::FleetSection section;
+  load_balancer::fleet::FleetSection SiteFleet() const {
+    load_balancer::fleet::FleetSection section;
     section.bind = section.advertise = fleet::Udp::endpoint(kAnyPort.address(), ports_[3].port());
     return section;
   }
@@ -112,12 +112,12 @@
   Backend neighbour_;
   std::vector<LeasedPort> ports_;
   asio::io_context io_;
-  brackenspoke::fleet::SitesSection sites_;
+  load_balancer::fleet::SitesSection sites_;
   proxy::Buffers buffers_;
   Origin origin_;
   Quiet facts_;
   proxy::Pool pool_;
-  brackenspoke::fleet::Node site_;
+  load_balancer::fleet::Node site_;
   proxy::SpillService service_;
   RequestId last_ = 0;
 };
@@ -159,4 +159,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::federation
+}  // namespace load_balancer::testing::federation
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -9,7 +9,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 Submit Request(const Rig& rig, RequestId id, Share share, bool spilled, int cls = 2) {
@@ -162,4 +162,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/fleet/cluster.h
+++ b/tests/fleet/cluster.h
@@ -2,8 +2,8 @@
 //
 // Proxies that are members of one fleet, with the fault relay on every path between them: each member is
 // reached at its route, and a route tells its senders apart, so that a fault can be one pair's.
-#ifndef BRACKENSPOKE_TESTS_FLEET_CLUSTER_H_
-#define BRACKENSPOKE_TESTS_FLEET_CLUSTER_H_
+#ifndef LOAD_BALANCER_TESTS_FLEET_CLUSTER_H_
+#define LOAD_BALANCER_TESTS_FLEET_CLUSTER_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <functional>
@@ -12,7 +12,7 @@
 #include "harness.h"
 #include "loopback.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 
 using Udp = boost::asio::ip::udp;
 
@@ -132,6 +132,6 @@
   Fleet fleet_;
 };
 
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
 
-#endif  // BRACKENSPOKE_TESTS_FLEET_CLUSTER_H_
+#endif  // LOAD_BALANCER_TESTS_FLEET_CLUSTER_H_
--- a/tests/fleet/harness.h
+++ b/tests/fleet/harness.h
@@ -3,8 +3,8 @@
 // The process harness that every fleet test uses: real processes of the program, and of the fault relay, each
 // with its own ports and $TMPDIR; their log lines read as they come, waited on with a bound; signals by id;
 // and at the end every process killed and reaped and every folder removed, whatever the test did.
-#ifndef BRACKENSPOKE_TESTS_FLEET_HARNESS_H_
-#define BRACKENSPOKE_TESTS_FLEET_HARNESS_H_
+#ifndef LOAD_BALANCER_TESTS_FLEET_HARNESS_H_
+#define LOAD_BALANCER_TESTS_FLEET_HARNESS_H_
 
 #include <fcntl.h>
 #include <signal.h>
@@ -36,7 +36,7 @@
 
 extern char** environ;
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 
 using Tcp = boost::asio::ip::tcp;
 using std::chrono::milliseconds;
@@ -297,6 +297,6 @@
   Tcp::endpoint control_;
 };
 
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
 
-#endif  // BRACKENSPOKE_TESTS_FLEET_HARNESS_H_
+#endif  // LOAD_BALANCER_TESTS_FLEET_HARNESS_H_
--- a/tests/fleet/harness_test.cpp
+++ b/tests/fleet/harness_test.cpp
@@ -11,7 +11,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
 nlohmann::json Config() { return ConfigJson(Tcp::endpoint(kAnyPort.address(), 9), {}); }
@@ -90,4 +90,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/fleet/lease_actor.cpp
+++ b/tests/fleet/lease_actor.cpp
@@ -22,7 +22,7 @@
 namespace {
 
 namespace asio = boost::asio;
-namespace fl = brackenspoke::fleet;
+namespace fl = load_balancer::fleet;
 using Steady = std::chrono::steady_clock;
 using Tcp = asio::ip::tcp;
 using std::chrono::milliseconds;
@@ -115,9 +115,10 @@
   CLI11_PARSE(app, argc, argv);
   fl::FleetSection section;
   section.on = true;
-  section.bind = brackenspoke::ParseUdpEndpoint(bind).value();
-  section.advertise = brackenspoke::ParseUdpEndpoint(advertise).value();
-  for (const std::string& seed : seeds) section.seeds.push_back(brackenspoke::ParseUdpEndpoint(seed).value());
+  section.bind = load_balancer::ParseUdpEndpoint(bind).value();
+  section.advertise = load_balancer::ParseUdpEndpoint(advertise).value();
+  for (const std::string& seed : seeds)
+    section.seeds.push_back(load_balancer::ParseUdpEndpoint(seed).value());
   section.probe_interval = milliseconds(200);
   section.sync_interval = milliseconds(500);
   section.lease_term = milliseconds(term);
--- a/tests/fleet/lease_chaos_test.cpp
+++ b/tests/fleet/lease_chaos_test.cpp
@@ -10,7 +10,7 @@
 
 #include "cluster.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
 using Steady = std::chrono::steady_clock;
@@ -244,4 +244,4 @@
 INSTANTIATE_TEST_SUITE_P(Seeds, LeaseChaos, ::testing::ValuesIn(Seeds()));
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/fleet/lease_late_test.cpp
+++ b/tests/fleet/lease_late_test.cpp
@@ -9,10 +9,10 @@
 
 #include "fleet/lease/leases.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
-namespace fl = brackenspoke::fleet;
+namespace fl = load_balancer::fleet;
 using std::chrono::milliseconds;
 
 constexpr milliseconds kTerm(3000), kDrift(100), kStep(1);
@@ -65,8 +65,8 @@
     void Send(const Udp::endpoint& to, const fl::LeaseMessage& message) override {
       table->Put(address.port() - 1u, to.port() - 1u, message);
     }
-    void OnRole(const std::string&, fl::Role, fl::Token, brackenspoke::Span, std::string_view) override {}
-    void OnFailure(const brackenspoke::Failure& failure) override { ADD_FAILURE() << failure.Text(); }
+    void OnRole(const std::string&, fl::Role, fl::Token, load_balancer::Span, std::string_view) override {}
+    void OnFailure(const load_balancer::Failure& failure) override { ADD_FAILURE() << failure.Text(); }
     LateGrants* table = nullptr;
     Udp::endpoint address;
     std::unique_ptr<fl::Leases> leases;
@@ -74,7 +74,7 @@
 
   void Put(std::size_t from, std::size_t to, const fl::LeaseMessage& message) {
     if (from == victim_ && message.verb == fl::LeaseMessage::Verb::kAsk) {
-      if (first_round_ == brackenspoke::Time{}) first_round_ = now_;
+      if (first_round_ == load_balancer::Time{}) first_round_ = now_;
       if (now_ != first_round_) return;
     }
     const auto delay = to == victim_ ? late_ : milliseconds(1 + random_() % 10);
@@ -89,9 +89,9 @@
 
   const milliseconds late_;
   std::mt19937_64 random_;
-  brackenspoke::Time now_{std::chrono::hours(1)}, late_from_, first_round_{};
+  load_balancer::Time now_{std::chrono::hours(1)}, late_from_, first_round_{};
   std::size_t victim_ = 3;
-  std::multimap<brackenspoke::Time, Letter> posts_;
+  std::multimap<load_balancer::Time, Letter> posts_;
   std::array<Seat, 3> seats_;
 };
 
@@ -111,4 +111,4 @@
 INSTANTIATE_TEST_SUITE_P(By, Late, ::testing::Values(700, 1500));
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/fleet/lease_test.cpp
+++ b/tests/fleet/lease_test.cpp
@@ -9,10 +9,10 @@
 #include "fleet/state/state.h"
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
-namespace fl = brackenspoke::fleet;
+namespace fl = load_balancer::fleet;
 
 constexpr milliseconds kTerm(1200), kDrift(100);
 
@@ -290,11 +290,11 @@
     void Send(const Udp::endpoint& to, const fl::LeaseMessage& message) override {
       table->posts.push_back({address, to, message});
     }
-    void OnRole(const std::string&, fl::Role role, fl::Token token, brackenspoke::Span,
+    void OnRole(const std::string&, fl::Role role, fl::Token token, load_balancer::Span,
                 std::string_view) override {
       if (role == fl::Role::kHolder) tokens.push_back(token);
     }
-    void OnFailure(const brackenspoke::Failure& failure) override { ADD_FAILURE() << failure.Text(); }
+    void OnFailure(const load_balancer::Failure& failure) override { ADD_FAILURE() << failure.Text(); }
     Table* table = nullptr;
     Udp::endpoint address;
     std::unique_ptr<fl::Leases> leases;
@@ -336,7 +336,7 @@
     return 3;
   }
 
-  brackenspoke::Time now{std::chrono::hours(1)};
+  load_balancer::Time now{std::chrono::hours(1)};
   std::deque<Post> posts;
   std::array<Seat, 3> seats;
 };
@@ -392,4 +392,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/fleet/lease_voter_test.cpp
+++ b/tests/fleet/lease_voter_test.cpp
@@ -15,14 +15,14 @@
 #include "harness.h"
 #include "quota/allocator.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
-namespace fl = brackenspoke::fleet;
+namespace fl = load_balancer::fleet;
 using Verb = fl::LeaseMessage::Verb;
 using Why = fl::LeaseMessage::Why;
 
-const brackenspoke::Time kNow{std::chrono::hours(1)};
+const load_balancer::Time kNow{std::chrono::hours(1)};
 const fl::LeaseTerms kTerms{milliseconds(3000), milliseconds(100), 7};
 
 fl::LeaseMessage AskOf(const std::string& holder, fl::Token token) {
@@ -39,8 +39,8 @@
   void Send(const fl::Leases::Endpoint&, const fl::LeaseMessage& message) override {
     sent.push_back(message);
   }
-  void OnRole(const std::string&, fl::Role, fl::Token, brackenspoke::Span, std::string_view) override {}
-  void OnFailure(const brackenspoke::Failure& failure) override { failures.push_back(failure.Text()); }
+  void OnRole(const std::string&, fl::Role, fl::Token, load_balancer::Span, std::string_view) override {}
+  void OnFailure(const load_balancer::Failure& failure) override { failures.push_back(failure.Text()); }
   std::vector<fl::LeaseMessage> sent;
   std::vector<std::string> failures;
 };
@@ -184,7 +184,7 @@
 
 // Until the grants that it has handed out have ended, whoever tells it to go.
 TEST(Guard, AnAllocatorWithGrantsOutDoesNotGiveItsLeaseBack) {
-  namespace qt = brackenspoke::quota;
+  namespace qt = load_balancer::quota;
   auto budgets = std::make_shared<qt::Budgets>();
   budgets->revision = 1;
   budgets->partners["isar"].rate = budgets->partners["isar"].burst = 300 * qt::kOne;
@@ -244,4 +244,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -11,10 +11,10 @@
 #include "cluster.h"
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
-namespace fl = brackenspoke::fleet;
+namespace fl = load_balancer::fleet;
 using fl::Message;
 
 const nlohmann::json kQuick{{"probe_interval_ms", 200}, {"sync_interval_ms", 1000}};
@@ -210,7 +210,7 @@
     sent.push_back(message);
   }
   void Changed(const fl::Member&, std::optional<fl::MemberState>, std::string_view) override {}
-  void Stalled(brackenspoke::Span) override {}
+  void Stalled(load_balancer::Span) override {}
   void Displaced(const Udp::endpoint&) override { displaced = true; }
   void Hear(fl::Update claim, Message::Kind kind = Message::Kind::kAck) {
     Message message;
@@ -220,7 +220,7 @@
     membership.Receive(now, message);
   }
 
-  brackenspoke::Time now;
+  load_balancer::Time now;
   std::vector<Message> sent;
   bool displaced = false;
   fl::Membership membership;
@@ -272,7 +272,7 @@
   EXPECT_EQ(lone.membership.health(), 1);
   lone.Hear({"n1", Lone::At(9), fl::MemberState::kAlive, 20, ""});
   EXPECT_TRUE(lone.displaced);
-  EXPECT_EQ(lone.membership.Next(), brackenspoke::Time::max()) << "it is silent";
+  EXPECT_EQ(lone.membership.Next(), load_balancer::Time::max()) << "it is silent";
 }
 
 TEST(Protocol, NewsArePassedOnABoundedNumberOfTimesInWholeDatagrams) {
@@ -291,4 +291,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/fleet/payload_test.cpp
+++ b/tests/fleet/payload_test.cpp
@@ -9,10 +9,10 @@
 #include "fleet/node/node.h"
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
-namespace fl = brackenspoke::fleet;
+namespace fl = load_balancer::fleet;
 using fl::Message;
 
 const Udp::endpoint kLongestAddress(boost::asio::ip::make_address("1111:2222:3333:4444:5555:6666:7777:8888"),
@@ -138,4 +138,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/fleet/relay_test.cpp
+++ b/tests/fleet/relay_test.cpp
@@ -9,7 +9,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
 namespace asio = boost::asio;
@@ -139,4 +139,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -11,10 +11,10 @@
 #include "cluster.h"
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
-namespace fl = brackenspoke::fleet;
+namespace fl = load_balancer::fleet;
 
 const nlohmann::json kQuick{{"probe_interval_ms", 200}, {"sync_interval_ms", 500}};
 const Tcp::endpoint kNobody(kAnyPort.address(), 9);
@@ -261,4 +261,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A Balancer under test, its clock, and short ways to say what happens.
-#ifndef BRACKENSPOKE_TESTS_HARNESS_H_
-#define BRACKENSPOKE_TESTS_HARNESS_H_
+#ifndef LOAD_BALANCER_TESTS_HARNESS_H_
+#define LOAD_BALANCER_TESTS_HARNESS_H_
 
 #include <map>
 #include <optional>
@@ -11,9 +11,9 @@
 #include <variant>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
@@ -118,7 +118,7 @@
   }
 
   Pace Learnt() const { return balancer_.Learnt(); }
-  brackenspoke::Spare Spare() const { return balancer_.Spare(At(now)); }
+  load_balancer::Spare Spare() const { return balancer_.Spare(At(now)); }
 
   std::vector<Dispatch> sent;
 
@@ -127,6 +127,6 @@
   std::map<RequestId, int> attempts_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_HARNESS_H_
+#endif  // LOAD_BALANCER_TESTS_HARNESS_H_
--- a/tests/hex.h
+++ b/tests/hex.h
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef BRACKENSPOKE_TESTS_HEX_H_
-#define BRACKENSPOKE_TESTS_HEX_H_
+#ifndef LOAD_BALANCER_TESTS_HEX_H_
+#define LOAD_BALANCER_TESTS_HEX_H_
 
 #include <string>
 #include <string_view>
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 // Bytes from hexadecimal digits; blanks are for the reader.
 inline std::string Hex(std::string_view text) {
@@ -19,6 +19,6 @@
   return bytes;
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_HEX_H_
+#endif  // LOAD_BALANCER_TESTS_HEX_H_
--- a/tests/leased_port.h
+++ b/tests/leased_port.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Port numbers for programs that a test starts, and that cannot tell which port they took.
-#ifndef BRACKENSPOKE_TESTS_LEASED_PORT_H_
-#define BRACKENSPOKE_TESTS_LEASED_PORT_H_
+#ifndef LOAD_BALANCER_TESTS_LEASED_PORT_H_
+#define LOAD_BALANCER_TESTS_LEASED_PORT_H_
 
 #include <fcntl.h>
 #include <unistd.h>
@@ -16,7 +16,7 @@
 #include <string>
 #include <utility>
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 // A TCP and UDP port of loopback that no other test with the same temporary folder has until this goes, also
 // while nothing is bound to it. It lies below the ports that Linux gives to sockets by itself (from 32768
@@ -85,6 +85,6 @@
   int file_ = -1;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_LEASED_PORT_H_
+#endif  // LOAD_BALANCER_TESTS_LEASED_PORT_H_
--- a/tests/limit_test.cpp
+++ b/tests/limit_test.cpp
@@ -7,7 +7,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 // Requests come evenly, each answered after its time.
@@ -75,4 +75,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -14,7 +14,7 @@
 #include <thread>
 #include <vector>
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using nlohmann::json;
@@ -65,4 +65,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/loopback.h
+++ b/tests/loopback.h
@@ -2,8 +2,8 @@
 //
 // A proxy on loopback sockets with backends and a discovery that do as the test says. Everything waits for
 // events; the only time limit is the one after which a test is given up.
-#ifndef BRACKENSPOKE_TESTS_LOOPBACK_H_
-#define BRACKENSPOKE_TESTS_LOOPBACK_H_
+#ifndef LOAD_BALANCER_TESTS_LOOPBACK_H_
+#define LOAD_BALANCER_TESTS_LOOPBACK_H_
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
@@ -27,7 +27,7 @@
 
 #include "proxy.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
@@ -385,6 +385,6 @@
 inline std::string Change() { return Post("change", "Idempotency-Key: 7e\r\n"); }
 inline std::string Book() { return Post("book"); }
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_LOOPBACK_H_
+#endif  // LOAD_BALANCER_TESTS_LOOPBACK_H_
--- a/tests/maintenance_test.cpp
+++ b/tests/maintenance_test.cpp
@@ -5,7 +5,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 TEST(Maintenance, NothingIsDispatchedToADetachedServerWhateverListsSay) {
@@ -173,4 +173,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/model/chatter.h
+++ b/tests/model/chatter.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Programs that send numbered packets round and note what they get, for tests of the model itself.
-#ifndef BRACKENSPOKE_TESTS_MODEL_CHATTER_H_
-#define BRACKENSPOKE_TESTS_MODEL_CHATTER_H_
+#ifndef LOAD_BALANCER_TESTS_MODEL_CHATTER_H_
+#define LOAD_BALANCER_TESTS_MODEL_CHATTER_H_
 
 #include <string>
 #include <vector>
 
 #include "model/world.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 
 inline Endpoint AddressOf(std::size_t machine) {
   const auto ip = boost::asio::ip::address_v4(0x0a000000u + static_cast<std::uint32_t>(machine) + 1);
@@ -66,6 +66,6 @@
         [=](Host& host) { return std::make_unique<Chatter>(host, i, machines, every, seen); }, clock);
 }
 
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
 
-#endif  // BRACKENSPOKE_TESTS_MODEL_CHATTER_H_
+#endif  // LOAD_BALANCER_TESTS_MODEL_CHATTER_H_
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -10,7 +10,7 @@
 #include "model/fleet/federation.h"
 #include "model/trace.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using std::chrono::milliseconds;
@@ -212,4 +212,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/tests/model/registers.h
+++ b/tests/model/registers.h
@@ -1,17 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A member's registers of shared state alone, for tests.
-#ifndef BRACKENSPOKE_TESTS_MODEL_REGISTERS_H_
-#define BRACKENSPOKE_TESTS_MODEL_REGISTERS_H_
+#ifndef LOAD_BALANCER_TESTS_MODEL_REGISTERS_H_
+#define LOAD_BALANCER_TESTS_MODEL_REGISTERS_H_
 
 #include <string>
 #include <vector>
 
 #include "fleet/state/state.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
-namespace fl = brackenspoke::fleet;
+namespace fl = load_balancer::fleet;
 
 inline constexpr fl::UnixMs kNow = 1700000000000;
 
@@ -42,6 +42,6 @@
   return {"ambassador/" + site, "estimate/" + site, 1, until, {{"mean", number}}};
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_MODEL_REGISTERS_H_
+#endif  // LOAD_BALANCER_TESTS_MODEL_REGISTERS_H_
--- a/tests/model/registers_test.cpp
+++ b/tests/model/registers_test.cpp
@@ -8,7 +8,7 @@
 
 #include "fleet/wire/codec.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 TEST(Registers, TheLaterWriteWinsAtBothWhateverTheOrderAndDigestsAgree) {
@@ -166,4 +166,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/model/site_test.cpp
+++ b/tests/model/site_test.cpp
@@ -7,7 +7,7 @@
 #include "model/site/scene.h"
 #include "model/trace.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using std::chrono::milliseconds;
@@ -132,4 +132,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/tests/model/sync_test.cpp
+++ b/tests/model/sync_test.cpp
@@ -10,7 +10,7 @@
 #include "model/fleet/federation.h"
 #include "registers.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using std::chrono::milliseconds;
@@ -182,4 +182,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/tests/model/trace_test.cpp
+++ b/tests/model/trace_test.cpp
@@ -8,7 +8,7 @@
 
 #include "model/shrink.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 FaultOptions Options() {
@@ -85,4 +85,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/tests/model/world_test.cpp
+++ b/tests/model/world_test.cpp
@@ -9,7 +9,7 @@
 #include "chatter.h"
 #include "model/fault.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using std::chrono::milliseconds;
@@ -220,4 +220,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -7,7 +7,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using Verb = proxy::OperatorCall::Verb;
@@ -212,4 +212,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/process_test.cpp
+++ b/tests/process_test.cpp
@@ -12,7 +12,7 @@
 #include "leased_port.h"
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using Env = std::map<std::string, std::string>;
@@ -341,4 +341,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -9,7 +9,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 struct Site {
@@ -583,4 +583,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/quota/account_test.cpp
+++ b/tests/quota/account_test.cpp
@@ -5,7 +5,7 @@
 
 #include "quota/failures.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -183,4 +183,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/tests/quota/bucket_test.cpp
+++ b/tests/quota/bucket_test.cpp
@@ -9,7 +9,7 @@
 #include "quota/budget.h"
 #include "quota/demand.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -129,4 +129,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/tests/quota/commitments_test.cpp
+++ b/tests/quota/commitments_test.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -50,4 +50,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/tests/quota/demand_test.cpp
+++ b/tests/quota/demand_test.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using std::chrono::milliseconds;
@@ -78,4 +78,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/tests/quota/messages_test.cpp
+++ b/tests/quota/messages_test.cpp
@@ -5,7 +5,7 @@
 
 #include "quota/failures.h"
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using nlohmann::json;
@@ -106,4 +106,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/tests/quota/scale_test.cpp
+++ b/tests/quota/scale_test.cpp
@@ -5,7 +5,7 @@
 
 #include "model/quota/scale/run.h"
 
-namespace brackenspoke::model::scale {
+namespace load_balancer::model::scale {
 namespace {
 
 using std::chrono::seconds;
@@ -42,4 +42,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::model::scale
+}  // namespace load_balancer::model::scale
--- a/tests/quota/search.cpp
+++ b/tests/quota/search.cpp
@@ -10,7 +10,7 @@
 #include "model/shrink.h"
 #include "model/trace.h"
 
-using namespace brackenspoke::model;
+using namespace load_balancer::model;
 
 int main(int argc, char** argv) {
   if (argc != 3) return std::fprintf(stderr, "usage: quota_search FROM COUNT\n"), 2;
--- a/tests/quota/section_test.cpp
+++ b/tests/quota/section_test.cpp
@@ -5,7 +5,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace brackenspoke::quota {
+namespace load_balancer::quota {
 namespace {
 
 using nlohmann::json;
@@ -77,4 +77,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::quota
+}  // namespace load_balancer::quota
--- a/tests/quota/use_test.cpp
+++ b/tests/quota/use_test.cpp
@@ -5,7 +5,7 @@
 
 #include "model/quota/gateways.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using quota::kOne;
@@ -91,4 +91,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -5,7 +5,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 const Tcp::endpoint kNowhere(asio::ip::make_address("127.0.0.1"), 9);
@@ -112,4 +112,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -14,7 +14,7 @@
 
 #include "harness.h"
 
-namespace brackenspoke {
+namespace load_balancer {
 namespace {
 
 using testing::At;
@@ -378,4 +378,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke
+}  // namespace load_balancer
--- a/tests/sample_settings.h
+++ b/tests/sample_settings.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
-#ifndef BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
-#define BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
+#ifndef LOAD_BALANCER_TESTS_SAMPLE_SETTINGS_H_
+#define LOAD_BALANCER_TESTS_SAMPLE_SETTINGS_H_
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 inline constexpr char kSampleSettings[] = R"(
 balancers=2
@@ -40,6 +40,6 @@
 zone=0
 )";
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_SAMPLE_SETTINGS_H_
+#endif  // LOAD_BALANCER_TESTS_SAMPLE_SETTINGS_H_
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -7,10 +7,10 @@
 
 #include "sample_settings.h"
 
-namespace brackenspoke::adapter {
+namespace load_balancer::adapter {
 namespace {
 
-using brackenspoke::testing::kSampleSettings;
+using load_balancer::testing::kSampleSettings;
 
 std::string Without(const std::string& key) {
   std::string text(kSampleSettings);
@@ -90,4 +90,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::adapter
+}  // namespace load_balancer::adapter
--- a/tests/sites/config_file_test.cpp
+++ b/tests/sites/config_file_test.cpp
@@ -13,7 +13,7 @@
 #include "config/file.h"
 #include "fleet/harness.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using fleet::Folder;
@@ -90,4 +90,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/sites/deployments_test.cpp
+++ b/tests/sites/deployments_test.cpp
@@ -10,7 +10,7 @@
 
 #include "site_config.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using nlohmann::json;
@@ -161,4 +161,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/sites/played_day.cpp
+++ b/tests/sites/played_day.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <cstdio>
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 constexpr int kServers = 8, kZones = 2, kKinds = 2, kCells = 3;
@@ -173,4 +173,4 @@
 
 void PlayedDay::Note(const std::string& line) { actions_ += Figure(now_ms_) + " " + line + "\n"; }
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/sites/played_day.h
+++ b/tests/sites/played_day.h
@@ -3,8 +3,8 @@
 // A decision module under a day's traffic in virtual time, one event a step. The traffic comes from the
 // indices and times of the settings and a seed of its own, so two days under equal settings are the same day
 // as long as the module does the same.
-#ifndef BRACKENSPOKE_TESTS_SITES_PLAYED_DAY_H_
-#define BRACKENSPOKE_TESTS_SITES_PLAYED_DAY_H_
+#ifndef LOAD_BALANCER_TESTS_SITES_PLAYED_DAY_H_
+#define LOAD_BALANCER_TESTS_SITES_PLAYED_DAY_H_
 
 #include <functional>
 #include <map>
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "brackenspoke/balancer.h"
+#include "load_balancer/balancer.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 class PlayedDay {
  public:
@@ -80,6 +80,6 @@
   Seen seen_;
 };
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_SITES_PLAYED_DAY_H_
+#endif  // LOAD_BALANCER_TESTS_SITES_PLAYED_DAY_H_
--- a/tests/sites/refusal_test.cpp
+++ b/tests/sites/refusal_test.cpp
@@ -17,7 +17,7 @@
 #include "leased_port.h"
 #include "site_config.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using fleet::Folder;
@@ -600,4 +600,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/sites/side_by_side_test.cpp
+++ b/tests/sites/side_by_side_test.cpp
@@ -14,7 +14,7 @@
 #include "settings.h"
 #include "site_config.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using nlohmann::json;
@@ -293,4 +293,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/sites/site_config.h
+++ b/tests/sites/site_config.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Configurations of processes of our own deployments.
-#ifndef BRACKENSPOKE_TESTS_SITES_SITE_CONFIG_H_
-#define BRACKENSPOKE_TESTS_SITES_SITE_CONFIG_H_
+#ifndef LOAD_BALANCER_TESTS_SITES_SITE_CONFIG_H_
+#define LOAD_BALANCER_TESTS_SITES_SITE_CONFIG_H_
 
 #include <string>
 #include <vector>
@@ -10,7 +10,7 @@
 #include "loopback.h"
 #include "site_file.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 inline const Tcp::endpoint kNoDiscovery(asio::ip::make_address("127.0.0.1"), 9);
 
@@ -41,6 +41,6 @@
          "\r\nReq-Owner: " + tenant + (safe ? "\r\n\r\n" : "\r\nContent-Length: 4\r\n\r\ntext");
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_SITES_SITE_CONFIG_H_
+#endif  // LOAD_BALANCER_TESTS_SITES_SITE_CONFIG_H_
--- a/tests/sites/site_file.cpp
+++ b/tests/sites/site_file.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using nlohmann::json;
@@ -164,4 +164,4 @@
   return settings;
 }
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tests/sites/site_file.h
+++ b/tests/sites/site_file.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The deployments under deploy/sites, and the settings that a process of one of them gets.
-#ifndef BRACKENSPOKE_TESTS_SITES_SITE_FILE_H_
-#define BRACKENSPOKE_TESTS_SITES_SITE_FILE_H_
+#ifndef LOAD_BALANCER_TESTS_SITES_SITE_FILE_H_
+#define LOAD_BALANCER_TESTS_SITES_SITE_FILE_H_
 
 #include <filesystem>
 #include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 
 // As much of TOML as the deployments use: tables, lists of tables, and values on one line each, which are
 // JSON.
@@ -30,6 +30,6 @@
 // The same settings with every name another one, which none of the sites has.
 nlohmann::json Renamed(nlohmann::json settings);
 
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
 
-#endif  // BRACKENSPOKE_TESTS_SITES_SITE_FILE_H_
+#endif  // LOAD_BALANCER_TESTS_SITES_SITE_FILE_H_
--- a/tests/spill/bed.h
+++ b/tests/spill/bed.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What the tests of spilling share: sites with loopback addresses, estimates, and a Spill with its clock.
-#ifndef BRACKENSPOKE_TESTS_SPILL_BED_H_
-#define BRACKENSPOKE_TESTS_SPILL_BED_H_
+#ifndef LOAD_BALANCER_TESTS_SPILL_BED_H_
+#define LOAD_BALANCER_TESTS_SPILL_BED_H_
 
 #include <optional>
 #include <string>
@@ -11,7 +11,7 @@
 
 #include "spill/spill.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 
 inline constexpr UnixMs kWall = 1700000000000;
 inline constexpr Time kStart{std::chrono::hours(1)};
@@ -90,6 +90,6 @@
   return request;
 }
 
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
 
-#endif  // BRACKENSPOKE_TESTS_SPILL_BED_H_
+#endif  // LOAD_BALANCER_TESTS_SPILL_BED_H_
--- a/tests/spill/estimate_test.cpp
+++ b/tests/spill/estimate_test.cpp
@@ -10,7 +10,7 @@
 #include "spill/failures.h"
 #include "spill/section.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 namespace {
 
 using nlohmann::json;
@@ -129,4 +129,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
--- a/tests/spill/herd_test.cpp
+++ b/tests/spill/herd_test.cpp
@@ -10,7 +10,7 @@
 #include "bed.h"
 #include "spill/ambassador.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 namespace {
 
 constexpr Milliseconds kStep{50};
@@ -137,4 +137,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
--- a/tests/spill/incoming_test.cpp
+++ b/tests/spill/incoming_test.cpp
@@ -5,7 +5,7 @@
 
 #include "bed.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 namespace {
 
 TEST(Incoming, AMarkCountsOnlyFromTheGatewayThatItNames) {
@@ -27,4 +27,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
--- a/tests/spill/model_test.cpp
+++ b/tests/spill/model_test.cpp
@@ -7,7 +7,7 @@
 
 #include "model/spill/federation.h"
 
-namespace brackenspoke::model {
+namespace load_balancer::model {
 namespace {
 
 using std::chrono::seconds;
@@ -109,4 +109,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::model
+}  // namespace load_balancer::model
--- a/tests/spill/neighbours_test.cpp
+++ b/tests/spill/neighbours_test.cpp
@@ -7,7 +7,7 @@
 #include "bed.h"
 #include "spill/share.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 namespace {
 
 using std::chrono::milliseconds;
@@ -127,4 +127,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
--- a/tests/spill/spill_test.cpp
+++ b/tests/spill/spill_test.cpp
@@ -8,7 +8,7 @@
 #include "bed.h"
 #include "spill/failures.h"
 
-namespace brackenspoke::spill {
+namespace load_balancer::spill {
 namespace {
 
 const std::vector<Estimate> kBothHaveSpare{Spare("b", 8000), Spare("c", 8000)};
@@ -291,4 +291,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::spill
+}  // namespace load_balancer::spill
--- a/tests/state/recovery_test.cpp
+++ b/tests/state/recovery_test.cpp
@@ -8,10 +8,10 @@
 #include "fleet/cluster.h"
 #include "state/snapshot.h"
 
-namespace brackenspoke::testing::fleet {
+namespace load_balancer::testing::fleet {
 namespace {
 
-namespace st = brackenspoke::state;
+namespace st = load_balancer::state;
 
 constexpr st::UnixMs kNow = 1700000000000;
 const st::Expected kExpected{"n1", kNow, 60000, 500};
@@ -237,4 +237,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing::fleet
+}  // namespace load_balancer::testing::fleet
--- a/tests/stop_test.cpp
+++ b/tests/stop_test.cpp
@@ -7,7 +7,7 @@
 
 #include "loopback.h"
 
-namespace brackenspoke::testing {
+namespace load_balancer::testing {
 namespace {
 
 using std::chrono::milliseconds;
@@ -151,4 +151,4 @@
 }
 
 }  // namespace
-}  // namespace brackenspoke::testing
+}  // namespace load_balancer::testing
--- a/tools/federation_check.cpp
+++ b/tools/federation_check.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-using namespace brackenspoke::model;
+using namespace load_balancer::model;
 
 void Report(std::uint64_t seed, const SystemOptions& options, std::vector<Fault> faults, bool shrinks) {
   if (shrinks)
--- a/tools/lease_check.cpp
+++ b/tools/lease_check.cpp
@@ -20,7 +20,7 @@
 
 namespace {
 
-using namespace brackenspoke::model;
+using namespace load_balancer::model;
 
 double SecondsSince(std::chrono::steady_clock::time_point began) {
   return std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
--- a/tools/standin/main.cpp
+++ b/tools/standin/main.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 namespace asio = boost::asio;
-using namespace brackenspoke;
+using namespace load_balancer;
 
 std::string Text(const standin::Tcp::endpoint& at) {
   return at.address().to_string() + ":" + std::to_string(at.port());
--- a/tools/standin/site.cpp
+++ b/tools/standin/site.cpp
@@ -13,7 +13,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace brackenspoke::standin {
+namespace load_balancer::standin {
 namespace {
 
 namespace asio = boost::asio;
@@ -171,4 +171,4 @@
   return nlohmann::json{{"revision", revision_}, {"complete", true}, {"members", members}}.dump();
 }
 
-}  // namespace brackenspoke::standin
+}  // namespace load_balancer::standin
--- a/tools/standin/site.h
+++ b/tools/standin/site.h
@@ -2,8 +2,8 @@
 //
 // Stand-ins for what the proxies of one site need about them, on loopback and free ports: a discovery, and
 // servers that it lists, each with so many cores and a queue.
-#ifndef BRACKENSPOKE_TOOLS_STANDIN_SITE_H_
-#define BRACKENSPOKE_TOOLS_STANDIN_SITE_H_
+#ifndef LOAD_BALANCER_TOOLS_STANDIN_SITE_H_
+#define LOAD_BALANCER_TOOLS_STANDIN_SITE_H_
 
 #include <boost/asio/awaitable.hpp>
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,7 @@
 #include <string>
 #include <vector>
 
-namespace brackenspoke::standin {
+namespace load_balancer::standin {
 
 using Tcp = boost::asio::ip::tcp;
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
@@ -74,6 +74,6 @@
   int revision_ = 1;
 };
 
-}  // namespace brackenspoke::standin
+}  // namespace load_balancer::standin
 
-#endif  // BRACKENSPOKE_TOOLS_STANDIN_SITE_H_
+#endif  // LOAD_BALANCER_TOOLS_STANDIN_SITE_H_
