--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -13,8 +13,8 @@
 
   Settings settings;
   ClassSettings reads;
-  reads.effect = Effect::kSafe;
-  reads.aim = milliseconds(100);
+  reads.idempotency = Idempotency::kIdempotent;
+  reads.latency_objective = milliseconds(100);
   reads.deadline = milliseconds(400);
   settings.classes = {reads};
   settings.max_attempts = 3;
@@ -32,10 +32,10 @@
   balancer.Handle(now, list, &actions);
 
   actions.clear();
-  Submit submit;
-  submit.request = 1;
-  submit.due = now + milliseconds(400);
-  balancer.Handle(now, submit, &actions);
+  RequestReceived received;
+  received.request = 1;
+  received.due = now + milliseconds(400);
+  balancer.Handle(now, received, &actions);
 
   for (const Action& action : actions) {
     if (const auto* dispatch = std::get_if<Dispatch>(&action)) {
@@ -45,7 +45,7 @@
       end.request = dispatch->request;
       end.server = dispatch->server;
       end.outcome = Outcome::kOk;
-      end.settled = true;
+      end.is_request_finished = true;
       end.took = milliseconds(12);
       std::vector<Action> none;
       balancer.Handle(now + end.took, end, &none);
--- a/model/site/gateway.cpp
+++ b/model/site/gateway.cpp
@@ -88,18 +88,18 @@
   request.client = packet.from;
   request.came = host_.Now();
   request.due = request.came + ask.left;
-  Submit& submit = request.submit;
-  submit.request = id;
-  submit.due = PointOf(request.due);
-  submit.request_class = ask.request_class;
-  submit.tenant = ask.tenant;
-  submit.key = ask.key;
-  submit.has_hint = true;
-  submit.client_retry = ask.tried > 0;
-  submit.work_ms = ask.work_ms;
+  RequestReceived& received = request.received;
+  received.request = id;
+  received.due = PointOf(request.due);
+  received.request_class = ask.request_class;
+  received.tenant = ask.tenant;
+  received.key = ask.key;
+  received.has_hint = true;
+  received.client_retry = ask.tried > 0;
+  received.work_ms = ask.work_ms;
   if (!OnArrival(id, request)) return ForgetIfOver(id);
   wakes_.emplace(request.due, Wake{Wake::Kind::kDue, id, 0});
-  Feed(Submit(submit));
+  Feed(RequestReceived(received));
 }
 
 void GatewayProgram::Do(const Dispatch& action) {
@@ -107,8 +107,9 @@
   const int attempt = found == requests_.end() ? 0 : found->second.attempts++;
   if (found == requests_.end() || found->second.answered || found->second.attempt_out ||
       host_.Now() >= found->second.due || attempt >= options_.settings.max_attempts) {
-    const bool settled = found == requests_.end() || found->second.answered;
-    return Feed(AttemptEnded{action.request, attempt, action.server, settled, true, Outcome::kMoot, {}});
+    const bool is_request_finished = found == requests_.end() || found->second.answered;
+    return Feed(AttemptEnded{
+        action.request, attempt, action.server, is_request_finished, true, Outcome::kNotSent, {}});
   }
   Request& request = found->second;
   request.attempt_out = true;
@@ -131,15 +132,15 @@
   out_.erase(out);
   Request& request = requests_.at(id);
   request.attempt_out = false;
-  request.may_have_run |= outcome != Outcome::kFull;
+  request.may_have_run |= outcome != Outcome::kOverloaded;
   const Duration took(host_.Now() - request.sent_at);
   if (outcome == Outcome::kOk) Finish(id, Ending::kServed);
-  const bool settled = requests_.at(id).answered;
-  Feed(AttemptEnded{id, attempt, server, settled, true, outcome, took});
+  const bool is_request_finished = requests_.at(id).answered;
+  Feed(AttemptEnded{id, attempt, server, is_request_finished, true, outcome, took});
   ForgetIfOver(id);
 }
 
-void GatewayProgram::Do(const Refuse& action) {
+void GatewayProgram::Do(const Reject& action) {
   const auto found = requests_.find(action.request);
   if (found == requests_.end() || found->second.answered) return;
   if (OnRefused(action.request, found->second, SpanOf(action.retry_after))) return;
@@ -147,7 +148,7 @@
   ForgetIfOver(action.request);
 }
 
-void GatewayProgram::Do(const Fail& action) {
+void GatewayProgram::Do(const FailRequest& action) {
   if (const Request* request = Find(action.request); request && !request->answered) {
     Finish(action.request, Ending::kFailed);
     OnFailed(action.request, *request);
@@ -169,7 +170,7 @@
 void GatewayProgram::Finish(RequestId id, Ending ending, Span retry_after) {
   const auto found = requests_.find(id);
   if (found == requests_.end() || std::exchange(found->second.answered, true)) return;
-  const auto& [ask, spilled] = std::tie(found->second.ask, found->second.submit.spilled);
+  const auto& [ask, spilled] = std::tie(found->second.ask, found->second.received.is_overflow);
   if (!spilled) ledger_.Answered(ask.call, ask.tried);
   host_.Send(found->second.client,
              ClientAnswer{ask.call, ask.tried, ending, retry_after, spilled ? EstimateText() : ""},
--- a/model/site/gateway.h
+++ b/model/site/gateway.h
@@ -44,7 +44,7 @@
     ClientAsk ask;
     Endpoint client;
     Time due{};
-    Submit submit;  // as the module has it
+    RequestReceived received;  // as the module has it
     Time came{};
     bool answered = false;
     bool attempt_out = false;
@@ -87,8 +87,8 @@
   void OnWake(const Wake& wake);
 
   void Do(const Dispatch& action);
-  void Do(const Refuse& action);
-  void Do(const Fail& action);
+  void Do(const Reject& action);
+  void Do(const FailRequest& action);
   void Do(const SetTimer& action);
   void Do(const Subscribe&) { Feed(ListUpdate{ListKind::kDelta, {}}); }
   void Do(const CloseIdle&) {}
--- a/model/site/ledger.h
+++ b/model/site/ledger.h
@@ -23,7 +23,7 @@
   struct Call {
     int site = 0, request_class = 0, tenant = 0;
     bool unsafe = false;
-    double worth = 0, work_ms = 0;
+    double priority_weight = 0, work_ms = 0;
     Moment asked{0}, ended{0};
     int ran = 0, ends = 0;
     std::map<int, int> runs;     // of them, those of each try
@@ -67,8 +67,8 @@
   }
 
   struct Sum {
-    std::array<std::uint64_t, 4> ended{};  // by Ending
-    double worth = 0, work_ms = 0;         // of those that were served
+    std::array<std::uint64_t, 4> ended{};     // by Ending
+    double priority_weight = 0, work_ms = 0;  // of those that were served
   };
   // Of the calls that `wanted` picks.
   template <typename Wanted>
@@ -78,7 +78,7 @@
       if (call.ends == 0 || !wanted(call)) continue;
       ++sum.ended[static_cast<std::size_t>(call.ending)];
       if (call.ending != Ending::kServed) continue;
-      sum.worth += call.worth;
+      sum.priority_weight += call.priority_weight;
       sum.work_ms += call.work_ms;
     }
     return sum;
--- a/model/site/scene.cpp
+++ b/model/site/scene.cpp
@@ -20,8 +20,8 @@
 Federation::Maker MakerOf(const SceneOptions& options, Scene::Maker maker, Ledger& ledger) {
   return [options, maker = std::move(maker), &ledger](Host& host, const FleetSetup& setup) {
     GatewayOptions of{options.settings, {}, setup.site_pool.seed};
-    of.settings.balancers = static_cast<int>(options.federation.members);
-    of.settings.me = static_cast<int>(setup.member);
+    of.settings.balancer_count = static_cast<int>(options.federation.members);
+    of.settings.balancer_index = static_cast<int>(setup.member);
     for (std::size_t i = 0; i < options.servers; ++i) of.servers.push_back(ServerAt(setup.site, i));
     return maker(host, setup, of, ledger);
   };
--- a/model/site/server.cpp
+++ b/model/site/server.cpp
@@ -10,9 +10,9 @@
     : host_(host), options_(options), ledger_(ledger), started_(host.Now()) {}
 
 double StandServer::Pace() const {
-  if (options_.warm_up <= Span(0)) return 1;
-  const double up = std::chrono::duration<double>(host_.Now() - started_) / options_.warm_up;
-  return options_.cold_from + (1 - options_.cold_from) * std::min(1.0, up);
+  if (options_.slow_start_window <= Span(0)) return 1;
+  const double up = std::chrono::duration<double>(host_.Now() - started_) / options_.slow_start_window;
+  return options_.slow_start_min_share + (1 - options_.slow_start_min_share) * std::min(1.0, up);
 }
 
 void StandServer::Receive(const Packet& packet) {
@@ -20,7 +20,7 @@
   if (!ask || !ledger_.First(packet.from, host_.Address(), ask->request, ask->attempt)) return;
   Job job{packet.from, *ask, host_.Now() + ask->left};
   if (running_.size() < options_.cores) return Start(std::move(job));
-  if (waiting_.size() >= options_.queue) return Answer(job, Outcome::kFull);
+  if (waiting_.size() >= options_.queue) return Answer(job, Outcome::kOverloaded);
   waiting_.push_back(std::move(job));
 }
 
--- a/model/site/server.h
+++ b/model/site/server.h
@@ -13,10 +13,10 @@
 namespace load_balancer::model {
 
 struct ServerOptions {
-  std::size_t cores = 4;   // requests at a time, each at its own pace
-  std::size_t queue = 32;  // that wait; more are answered as full
-  double cold_from = 1;    // a server that starts has this share of its pace
-  Span warm_up{0};         // and all of it after this time, linearly
+  std::size_t cores = 4;            // requests at a time, each at its own pace
+  std::size_t queue = 32;           // that wait; more are answered as full
+  double slow_start_min_share = 1;  // a server that starts has this share of its pace
+  Span slow_start_window{0};        // and all of it after this time, linearly
 };
 
 class StandServer : public Program {
--- a/model/spill/federation.cpp
+++ b/model/spill/federation.cpp
@@ -64,7 +64,8 @@
 bool SpillFederation::WorthIt(const Ask& ask) {
   double offered = 0;
   for (std::size_t s = 0; s < options_.sites; ++s) offered += s == ask.site ? 0 : servers_[s].Offer();
-  const double chance = price_.Ask(Time(world_.now()), ask.demand->worth, ask.work_ms, offered).chance;
+  const double chance =
+      price_.Ask(Time(world_.now()), ask.demand->priority_weight, ask.work_ms, offered).chance;
   return std::uniform_real_distribution<double>(0, 1)(world_.random()) < chance;
 }
 
@@ -72,11 +73,11 @@
   if (ask.at < count_from_) return;
   Tally& tally = tallies_[ask.site];
   ++tally.asked;
-  tally.offered += ask.demand->worth;
+  tally.offered += ask.demand->priority_weight;
 }
 
 void SpillFederation::Ran(const Ask& ask) {
-  if (ask.demand->effect == Effect::kUnsafe && ++unsafe_runs_[ask.id] == 2) ++ran_twice_;
+  if (ask.demand->idempotency == Idempotency::kNotIdempotent && ++unsafe_runs_[ask.id] == 2) ++ran_twice_;
 }
 
 bool SpillFederation::Final(const Ask& ask) {
@@ -90,18 +91,18 @@
   if (!Final(ask)) return;
   Tally& tally = tallies_[ask.site];
   ++tally.answered;
-  if (world_.now() - ask.at > ask.demand->aim) {
-    tally.late += ask.demand->worth;
+  if (world_.now() - ask.at > ask.demand->latency_objective) {
+    tally.late += ask.demand->priority_weight;
     return;
   }
-  (elsewhere ? tally.elsewhere : tally.own) += ask.demand->worth;
+  (elsewhere ? tally.elsewhere : tally.own) += ask.demand->priority_weight;
 }
 
 void SpillFederation::GivenUp(const Ask& ask, std::optional<spill::Why> why) {
   if (!Final(ask)) return;
   Tally& tally = tallies_[ask.site];
   ++tally.given_up;
-  if (why) tally.lost[static_cast<std::size_t>(*why)] += ask.demand->worth;
+  if (why) tally.lost[static_cast<std::size_t>(*why)] += ask.demand->priority_weight;
 }
 
 void SpillFederation::CountSpilled(const Ask& ask) {
--- a/model/spill/gateway.cpp
+++ b/model/spill/gateway.cpp
@@ -113,11 +113,11 @@
   if (strategy == Strategy::kRandom) return HandOn({ask, {}, host_.Now() + demand.deadline, {}});
   spill::Refused refused;
   refused.request = ask.id;
-  refused.effect = demand.effect;
-  refused.aim_left = demand.aim;
+  refused.idempotency = demand.idempotency;
+  refused.latency_objective_left = demand.latency_objective;
   refused.deadline_left = demand.deadline;
   refused.work_ms = ask.work_ms;
-  refused.worth = demand.worth;
+  refused.priority_weight = demand.priority_weight;
   refused.key = ask.key;
   Handle(refused, ask);
 }
@@ -164,7 +164,7 @@
 }
 
 void SpillGateway::SendInformed(const Ask& ask, std::set<std::size_t> tried) {
-  const auto most = static_cast<std::size_t>(spill::MostAttempts(ask.demand->effect));
+  const auto most = static_cast<std::size_t>(spill::MostAttempts(ask.demand->idempotency));
   std::size_t best = site_;
   for (std::size_t s = 0; s < federation_.options().sites && tried.size() < most; ++s) {
     if (s == site_ || tried.contains(s) || federation_.servers(s).Offer() == 0) continue;
@@ -188,7 +188,7 @@
 
 void SpillGateway::HandOn(Pending pending) {
   const bool may =
-      pending.tried.size() < static_cast<std::size_t>(spill::MostAttempts(pending.ask.demand->effect));
+      pending.tried.size() < static_cast<std::size_t>(spill::MostAttempts(pending.ask.demand->idempotency));
   std::optional<spill::Neighbour> to;
   if (may) to = PickRandom(pending.tried);
   if (!to) return federation_.GivenUp(pending.ask);
@@ -216,7 +216,8 @@
   if (ok) federation_.Answered(pending.ask, true);
   if (federation_.options().strategy == Strategy::kEstimates) return Handle(answer, pending.ask);
   if (ok) return;
-  const bool again = pending.ask.demand->effect == Effect::kSafe && host_.Now() < pending.timeout;
+  const bool again =
+      pending.ask.demand->idempotency == Idempotency::kIdempotent && host_.Now() < pending.timeout;
   if (!again) return federation_.GivenUp(pending.ask);
   HandOn(std::move(pending));
 }
--- a/model/spill/traffic.h
+++ b/model/spill/traffic.h
@@ -17,15 +17,17 @@
 namespace load_balancer::model {
 
 struct Demand {
-  Effect effect;
+  Idempotency idempotency;
   double share;  // of all requests
-  double worth, work_ms;
-  std::chrono::milliseconds aim, deadline;
+  double priority_weight, work_ms;
+  std::chrono::milliseconds latency_objective, deadline;
 };
 inline constexpr std::array<Demand, 3> kDemands{
-    {{Effect::kSafe, 0.6, 1, 15, std::chrono::milliseconds(400), std::chrono::milliseconds(1000)},
-     {Effect::kUnsafe, 0.3, 4, 25, std::chrono::milliseconds(800), std::chrono::milliseconds(1500)},
-     {Effect::kSafe, 0.1, 0.5, 50, std::chrono::milliseconds(1000), std::chrono::milliseconds(2000)}}};
+    {{Idempotency::kIdempotent, 0.6, 1, 15, std::chrono::milliseconds(400), std::chrono::milliseconds(1000)},
+     {Idempotency::kNotIdempotent, 0.3, 4, 25, std::chrono::milliseconds(800),
+      std::chrono::milliseconds(1500)},
+     {Idempotency::kIdempotent, 0.1, 0.5, 50, std::chrono::milliseconds(1000),
+      std::chrono::milliseconds(2000)}}};
 inline constexpr double kMeanWork = 0.6 * 15 + 0.3 * 25 + 0.1 * 50;  // ms
 
 struct Ask {
--- a/model/system/checks.cpp
+++ b/model/system/checks.cpp
@@ -65,11 +65,13 @@
   charges_.at(partner).at(number).credited = true;
 }
 
-void Checks::Spilled(const std::string& site, const std::string& to, const Submit& request, Try one) {
+void Checks::Spilled(const std::string& site, const std::string& to, const RequestReceived& request,
+                     Try one) {
   ++spilled_;
   const std::string what = Name(one) + " goes from " + site + " to " + to;
-  if (request.spilled) Break(what + " though it was spilled to " + site + At(now()));
-  if (request.share == Share::kOver) Break(what + " though its partner is over its budget" + At(now()));
+  if (request.is_overflow) Break(what + " though it was spilled to " + site + At(now()));
+  if (request.quota_status == QuotaStatus::kOverQuota)
+    Break(what + " though its partner is over its budget" + At(now()));
   const double over = offers_.at(to).Sent(now(), request.work_ms);
   if (!skew_kept_) return;
   if (over > 0) Break(what + ", which is " + std::to_string(over) + " ms of work over its offer" + At(now()));
--- a/model/system/checks.h
+++ b/model/system/checks.h
@@ -42,7 +42,7 @@
   // A request got its answer because its partner is over a budget that refuses.
   void OverBudget(Try one) { over_budget_.insert(one); }
   // A request that came in at `site` goes to a gateway of `to`.
-  void Spilled(const std::string& site, const std::string& to, const Submit& request, Try one);
+  void Spilled(const std::string& site, const std::string& to, const RequestReceived& request, Try one);
   // The ambassador of a site has made an estimate of which so much is offered, ms of work a second.
   void Estimated(const std::string& site, double offer);
 
--- a/model/system/gateway.cpp
+++ b/model/system/gateway.cpp
@@ -23,7 +23,7 @@
       checks_(checks),
       quota_(host, *wide(), setup_.machine, wiring, checks),
       spill_(host, site(), *wide(), setup_.machine, wiring, checks, *this) {
-  Feed(SpillShare{wiring.spill.most_part});
+  Feed(OverflowShare{wiring.spill.most_part});
 }
 
 void SystemGateway::Receive(const Packet& packet) {
@@ -69,7 +69,9 @@
   quota_.Resume();
 }
 
-load_balancer::Spare SystemGateway::SpareNow() const { return balancer().Spare(PointOf(host().Now())); }
+load_balancer::SpareCapacity SystemGateway::SpareNow() const {
+  return balancer().EstimateSpareCapacity(PointOf(host().Now()));
+}
 
 std::string SystemGateway::LeftOpen() const {
   std::string left;
@@ -84,8 +86,8 @@
 
 // ---- requests -----------------------------------------------------------------------------------------
 bool SystemGateway::OnArrival(RequestId id, Request& request) {
-  request.submit.spilled = spill_.TakeMark(&request.ask, request.client);
-  if (request.submit.spilled || Admit(request, id)) return true;
+  request.received.is_overflow = spill_.TakeMark(&request.ask, request.client);
+  if (request.received.is_overflow || Admit(request, id)) return true;
   return false;
 }
 
@@ -97,7 +99,8 @@
   if (charged.verdict == quota::Verdict::kInside)
     charged_[id] = {checks_.Admitted(partner, one, charged.ticket.cost), charged.ticket};
   if (charged.verdict != quota::Verdict::kUnknown)
-    request.submit.share = charged.verdict == quota::Verdict::kInside ? Share::kInside : Share::kOver;
+    request.received.quota_status =
+        charged.verdict == quota::Verdict::kInside ? QuotaStatus::kWithinQuota : QuotaStatus::kOverQuota;
   if (charged.verdict != quota::Verdict::kOver || charged.over != quota::Over::kRefuse) return true;
   checks_.OverBudget(one);
   const Span most = std::chrono::duration_cast<Span>(options_.settings.max_retry_after);
@@ -123,17 +126,18 @@
   const Time now = host().Now();
   spill::Refused refused;
   refused.request = id;
-  refused.effect = rules.effect;
-  refused.aim_left = request.came + std::chrono::duration_cast<Span>(rules.aim) - now;
+  refused.idempotency = rules.idempotency;
+  refused.latency_objective_left =
+      request.came + std::chrono::duration_cast<Span>(rules.latency_objective) - now;
   refused.deadline_left = request.due - now;
-  refused.work_ms = request.submit.work_ms;
-  refused.worth = rules.worth;
+  refused.work_ms = request.received.work_ms;
+  refused.priority_weight = rules.priority_weight;
   refused.key = request.ask.key;
-  refused.within_budget = request.submit.share != Share::kOver;
-  refused.spilled = request.submit.spilled;
+  refused.within_budget = request.received.quota_status != QuotaStatus::kOverQuota;
+  refused.spilled = request.received.is_overflow;
   refused.retry_after = retry_after;
   request.may_have_run = true;  // until it comes back as refused
-  spill_.Offer(refused, request.ask, request.submit);
+  spill_.Offer(refused, request.ask, request.received);
   return true;
 }
 
--- a/model/system/gateway.h
+++ b/model/system/gateway.h
@@ -50,7 +50,7 @@
   void Leave();
   void Rejoin();
 
-  load_balancer::Spare SpareNow() const override;
+  load_balancer::SpareCapacity SpareNow() const override;
   bool HasEstimateOf(const std::string& site) const { return spill_.HasEstimateOf(site); }
   // What is open that nobody waits for; empty: nothing.
   std::string LeftOpen() const;
--- a/model/system/scenario.cpp
+++ b/model/system/scenario.cpp
@@ -68,16 +68,16 @@
 
 std::vector<ClassSettings> Classes() {
   ClassSettings safe, unsafe, slow;
-  safe.effect = slow.effect = Effect::kSafe;
-  safe.aim = Duration(400);
+  safe.idempotency = slow.idempotency = Idempotency::kIdempotent;
+  safe.latency_objective = Duration(400);
   safe.deadline = Duration(1000);
-  unsafe.effect = Effect::kUnsafe;
-  unsafe.aim = Duration(800);
+  unsafe.idempotency = Idempotency::kNotIdempotent;
+  unsafe.latency_objective = Duration(800);
   unsafe.deadline = Duration(1500);
-  unsafe.worth = 4;
-  slow.aim = Duration(1000);
+  unsafe.priority_weight = 4;
+  slow.latency_objective = Duration(1000);
   slow.deadline = Duration(2000);
-  slow.worth = 0.5;
+  slow.priority_weight = 0.5;
   return {safe, unsafe, slow};
 }
 
--- a/model/system/spill_side.cpp
+++ b/model/system/spill_side.cpp
@@ -33,10 +33,10 @@
       next_look_(host.Now()) {}
 
 // ---- requests on their way ----------------------------------------------------------------------------
-void SpillSide::Offer(const spill::Refused& refused, const ClientAsk& ask, const Submit& submit) {
+void SpillSide::Offer(const spill::Refused& refused, const ClientAsk& ask, const RequestReceived& received) {
   Open& open = open_[refused.request];
   open.ask = ask;
-  open.submit = submit;
+  open.received = received;
   Feed(refused);
 }
 
@@ -60,7 +60,7 @@
   ClientAsk ask = open.ask;
   ask.left = action.timeout;
   ask.mark = spill::MarkOf({own_site_, host_.Name()});
-  checks_.Spilled(own_site_, open.at.site, open.submit, {ask.call, ask.tried});
+  checks_.Spilled(own_site_, open.at.site, open.received, {ask.call, ask.tried});
   host_.Send(wiring_.addresses.at(open.at.gateway), std::move(ask), kAskBytes);
 }
 
@@ -155,8 +155,8 @@
 }
 
 spill::MemberSpare SpillSide::OwnSpare() const {
-  const load_balancer::Spare spare = requests_.SpareNow();
-  return {spare.work_per_ms * kPerSecond, spare.least_work_per_ms * kPerSecond,
+  const load_balancer::SpareCapacity spare = requests_.SpareNow();
+  return {spare.work_per_ms * kPerSecond, spare.work_per_ms_lower_bound * kPerSecond,
           std::chrono::ceil<std::chrono::milliseconds>(spare.wait)};
 }
 
--- a/model/system/spill_side.h
+++ b/model/system/spill_side.h
@@ -23,7 +23,7 @@
 class SpillHost {
  public:
   virtual ~SpillHost() = default;
-  virtual load_balancer::Spare SpareNow() const = 0;
+  virtual load_balancer::SpareCapacity SpareNow() const = 0;
   virtual void OnSpillServed(RequestId request) = 0;
   virtual void OnSpillRefused(RequestId request, Span retry_after) = 0;
   virtual void OnSpillFailed(RequestId request) = 0;
@@ -37,7 +37,7 @@
   SpillSide(Host& host, PoolMember& site, PoolMember& wide, std::size_t machine, const Wiring& wiring,
             Checks& checks, SpillHost& requests);
 
-  void Offer(const spill::Refused& refused, const ClientAsk& ask, const Submit& submit);
+  void Offer(const spill::Refused& refused, const ClientAsk& ask, const RequestReceived& received);
   void Gone(RequestId request);
   // A neighbour's answer, if anybody here waits for it.
   void Receive(const Endpoint& from, const ClientAnswer& answer);
@@ -57,7 +57,7 @@
  private:
   struct Open {
     ClientAsk ask;
-    Submit submit;
+    RequestReceived received;
     spill::Neighbour at;
     Time sent{}, timeout = Time::max();
   };
--- a/src/adapter/codec.cpp
+++ b/src/adapter/codec.cpp
@@ -72,7 +72,7 @@
     case 500:
       return Outcome::kError;
     case 503:
-      return Outcome::kFull;
+      return Outcome::kOverloaded;
     case 504:
       return Outcome::kTimeout;
     case 502:
@@ -82,7 +82,7 @@
     case 499:
       return Outcome::kCancelled;
     case 410:
-      return Outcome::kMoot;
+      return Outcome::kNotSent;
     default:
       return Outcome::kUnknown;
   }
@@ -113,24 +113,24 @@
   return update;
 }
 
-Submit ReadSubmit(Reader& in) {
-  Submit submit;
-  submit.request = in.Get<std::uint64_t>();
-  submit.due = At(in.Get<double>());
-  submit.tenant = in.Get<std::uint16_t>();
+RequestReceived ReadRequestReceived(Reader& in) {
+  RequestReceived received;
+  received.request = in.Get<std::uint64_t>();
+  received.due = At(in.Get<double>());
+  received.tenant = in.Get<std::uint16_t>();
   const auto flags = in.Get<std::uint16_t>();
-  submit.has_hint = (flags & kFlagHint) != 0;
-  submit.client_retry = (flags & kFlagRepeat) != 0;
-  submit.key = in.Get<std::uint64_t>();
-  submit.request_class = in.Get<std::uint16_t>();
-  submit.work_ms = in.Get<double>();
-  return submit;
+  received.has_hint = (flags & kFlagHint) != 0;
+  received.client_retry = (flags & kFlagRepeat) != 0;
+  received.key = in.Get<std::uint64_t>();
+  received.request_class = in.Get<std::uint16_t>();
+  received.work_ms = in.Get<double>();
+  return received;
 }
 
 AttemptEnded ReadAttemptEnd(Reader& in) {
   AttemptEnded end;
   end.request = in.Get<std::uint64_t>();
-  end.settled = in.Get<std::uint8_t>() != 0;
+  end.is_request_finished = in.Get<std::uint8_t>() != 0;
   end.server = in.Get<std::uint32_t>();
   end.attempt = in.Get<std::uint8_t>();
   end.outcome = OutcomeOf(in.Get<std::uint16_t>());
@@ -150,7 +150,7 @@
     case kDiscovery:
       return Event(ReadDiscovery(in));
     case kSubmit:
-      return Event(ReadSubmit(in));
+      return Event(ReadRequestReceived(in));
     case kOpened: {
       StreamStarted started;
       started.request = in.Get<std::uint64_t>();
@@ -197,12 +197,12 @@
     Put(out, a.server);
     return kDispatch;
   }
-  std::uint8_t operator()(const Refuse& a) const {
+  std::uint8_t operator()(const Reject& a) const {
     Put(out, a.request);
     Put(out, a.retry_after.count());
     return kSayNo;
   }
-  std::uint8_t operator()(const Fail& a) const {
+  std::uint8_t operator()(const FailRequest& a) const {
     Put(out, a.request);
     return kAbort;
   }
--- a/src/adapter/settings.cpp
+++ b/src/adapter/settings.cpp
@@ -95,26 +95,27 @@
 
 ClassSettings ReadClass(Pairs& pairs, const std::string& at) {
   ClassSettings c;
-  c.effect = pairs.OneOf<Effect>(at + "effect", {{"non_idempotent", Effect::kUnsafe},
-                                                 {"idempotency_key", Effect::kKeyed},
-                                                 {"read_like", Effect::kSafe}});
-  if (c.effect == Effect::kKeyed) {
-    c.group = pairs.OneOf<Group>(at + "group",
-                                 {{"all", Group::kAll}, {"zone", Group::kZone}, {"cell", Group::kCell}});
-    c.window = pairs.Time(at + "windowMs");
+  c.idempotency = pairs.OneOf<Idempotency>(at + "effect", {{"non_idempotent", Idempotency::kNotIdempotent},
+                                                           {"idempotency_key", Idempotency::kIdempotencyKey},
+                                                           {"read_like", Idempotency::kIdempotent}});
+  if (c.idempotency == Idempotency::kIdempotencyKey) {
+    c.idempotency_scope = pairs.OneOf<IdempotencyScope>(at + "group", {{"all", IdempotencyScope::kAll},
+                                                                       {"zone", IdempotencyScope::kZone},
+                                                                       {"cell", IdempotencyScope::kCell}});
+    c.idempotency_window = pairs.Time(at + "windowMs");
   }
-  c.aim = pairs.Time(at + "goalTimeMs");
+  c.latency_objective = pairs.Time(at + "goalTimeMs");
   c.deadline = pairs.Time(at + "deadlineMs");
-  c.worth = pairs.NumberOr(at + "worth", 1);
-  c.late_worth = pairs.NumberOr(at + "lateWorth", 0, 0, 1);
+  c.priority_weight = pairs.NumberOr(at + "worth", 1);
+  c.late_priority_share = pairs.NumberOr(at + "lateWorth", 0, 0, 1);
   return c;
 }
 
 void ReadAllowed(Pairs& pairs, Settings* settings) {
   const std::string_view mode = pairs.WordOr("registryMode", "push");
   if (mode != "push" && mode != "ask") pairs.Fault("of unknown meaning", "registryMode");
-  settings->must_ask_for_list = mode == "ask";
-  if (settings->must_ask_for_list) settings->must_ask_within = pairs.Time("rules.mustAskInMs");
+  settings->must_poll_for_list = mode == "ask";
+  if (settings->must_poll_for_list) settings->max_poll_interval = pairs.Time("rules.mustAskInMs");
   settings->max_attempts = pairs.Whole("permissions.maxAttempts", 1, kMostAttempts);
   if (pairs.WordOr("permissions.retryAfter", "false") == "true")
     settings->max_retry_after = Duration(pairs.NumberOr("permissions.maxRetryAfterMs", 0));
@@ -128,8 +129,8 @@
 Settings ParseSettings(std::string_view text) {
   Pairs pairs(text);
   Settings settings;
-  settings.balancers = pairs.Whole("balancers", 1, kMostListItems);
-  settings.me = pairs.WholeOr("me", 0, 0, kMostListItems);
+  settings.balancer_count = pairs.Whole("balancers", 1, kMostListItems);
+  settings.balancer_index = pairs.WholeOr("me", 0, 0, kMostListItems);
   settings.zone = pairs.Whole("zone", 0, kMostListItems);
 
   const int classes = pairs.Whole("classes.count", 1, kMostListItems);
@@ -142,16 +143,16 @@
     settings.tenants.push_back(tenant);
   }
 
-  settings.over_share_worth = pairs.NumberOr("overShareWorth", 1, 0, 1);
-  settings.price_cross_zone = pairs.NumberOr("deductions.crossZone", 0);
-  settings.warm_keys = pairs.WordOr("specifics.warmKeys", "false") == "true";
+  settings.over_quota_priority_share = pairs.NumberOr("overShareWorth", 1, 0, 1);
+  settings.cross_zone_price = pairs.NumberOr("deductions.crossZone", 0);
+  settings.session_affinity = pairs.WordOr("specifics.warmKeys", "false") == "true";
   ReadAllowed(pairs, &settings);
   settings.tick = Duration(pairs.NumberOr("periodMs", 1));
 
-  settings.cold_from = pairs.Number("rules.coldFrom", 0, 1);
-  settings.warm_up = pairs.Time("rules.warmUpMs");
-  settings.fall_multiple = pairs.Number("rules.fallMultiple");
-  settings.overload_for = pairs.Time("rules.overloadForMs");
+  settings.slow_start_min_share = pairs.Number("rules.coldFrom", 0, 1);
+  settings.slow_start_window = pairs.Time("rules.warmUpMs");
+  settings.overload_multiple = pairs.Number("rules.fallMultiple");
+  settings.overload_window = pairs.Time("rules.overloadForMs");
   if (!pairs.faults().empty()) throw BadSettings(pairs.faults());
   return settings;
 }
--- a/src/fleet/state/gossip.cpp
+++ b/src/fleet/state/gossip.cpp
@@ -23,7 +23,7 @@
   options.affinity_entries = static_cast<std::size_t>(section.affinity_entries);
   options.affinity_ttl = static_cast<UnixMs>(section.affinity_ttl.count());
   options.most_skew = static_cast<UnixMs>(section.most_skew.count());
-  options.longest_ejection = static_cast<UnixMs>(kLongestEjection.count());
+  options.longest_ejection = static_cast<UnixMs>(kMaxEjectionDuration.count());
   options.way = static_cast<UnixMs>(2 * section.probe_interval.count());
   return options;
 }
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -32,13 +32,13 @@
   // try later can still be of use. Counted, not weighed: one huge request must neither be shut out nor shut
   // out others.
   double Limit() const {
-    const double least = std::max(Floor(), kLeastPerServer * servers.listed / x.settings.balancers);
+    const double least = std::max(Floor(), kLeastPerServer * servers.listed / x.settings.balancer_count);
     const double mean = traffic.served_rate * Useful();
     return std::max(least, mean + kChance * std::sqrt(mean));
   }
   double Useful() const {  // ms that a request may take at that limit
     const double uncrowded =
-        traffic.stretch > 0 ? traffic.stretch * traffic.request_work.mean : traffic.mean_aim.mean;
+        traffic.time_per_work > 0 ? traffic.time_per_work * traffic.request_work.mean : traffic.mean_aim.mean;
     return std::min(kQueueShare * traffic.mean_aim.mean, kCrowding * uncrowded);
   }
 
@@ -48,25 +48,27 @@
   bool Throttled(const Request& r) const {
     const double pressure = Pressure();
     if (!servers.detector.thin || pressure <= 1) return false;
-    const bool over_share = r.value < r.rules.worth;
+    const bool over_share = r.value < r.rules.priority_weight;
     return x.random.Unit() > std::pow(pressure, over_share ? -4 : -2);
   }
 
   // What is too large to be in time is worth little, or nothing: it must not take the place of others. Each
   // such finding weakens the next: a slow spell must not shut a class out for good.
-  void Value(Request& r, const Submit& e, Duration aim) {
-    const bool inside = e.spilled || WithinShare(e.tenant, e.share);  // what is spilled was charged before
-    r.value = r.rules.worth * (inside ? 1 : x.settings.over_share_worth);
+  void Value(Request& r, const RequestReceived& e, Duration latency_objective) {
+    const bool inside =
+        e.is_overflow || WithinShare(e.tenant, e.quota_status);  // what is spilled was charged before
+    r.value = r.rules.priority_weight * (inside ? 1 : x.settings.over_quota_priority_share);
     const bool at_ease = servers.detector.thin && Pressure() < kAtEase;  // it takes nobody's place
-    const Duration alone(at_ease || traffic.stretch_votes < kLeastVotes ? 0 : r.work * traffic.stretch);
-    if (alone > aim) r.value *= x.now + alone > r.due ? 0 : r.rules.late_worth;
-    if (alone > r.rules.aim) traffic.stretch *= 1 - 5 * kStretchGain;
+    const Duration alone(
+        at_ease || traffic.time_per_work_votes < kLeastVotes ? 0 : r.work * traffic.time_per_work);
+    if (alone > latency_objective) r.value *= x.now + alone > r.due ? 0 : r.rules.late_priority_share;
+    if (alone > r.rules.latency_objective) traffic.time_per_work *= 1 - 5 * kStretchGain;
   }
 
   // Exception: what has passed of a client's deadline has passed of its aim. A client's last try has what is
   // left of its deadline, all others of a class have the same time: the usual one, found by vote.
-  Duration Elapsed(const Submit& e, ClassState& seen) const {
-    if (e.uploading || e.spilled) return Duration(0);
+  Duration Elapsed(const RequestReceived& e, ClassState& seen) const {
+    if (e.is_body_pending || e.is_overflow) return Duration(0);
     const Duration left = e.due - x.now;
     const bool as_usual = std::abs((left - seen.usual_time).count()) <= kSameTime * seen.usual_time.count();
     if (as_usual) {
@@ -81,7 +83,7 @@
 
   void Refill(double elapsed) {
     for (std::size_t t = 0; t < tokens.size(); ++t) {
-      const double rate = x.settings.tenants[t].quota_per_s / x.settings.balancers / 1000;
+      const double rate = x.settings.tenants[t].quota_per_s / x.settings.balancer_count / 1000;
       tokens[t] = std::min(std::max(1.0, rate * 2000), tokens[t] + rate * elapsed);
     }
   }
@@ -94,8 +96,8 @@
 
   double Pressure() const { return std::max(traffic.crowding / kComfort, traffic.of_aim / kAimShare); }
 
-  bool WithinShare(int tenant, Share share) {
-    if (share != Share::kUnknown) return share == Share::kInside;
+  bool WithinShare(int tenant, QuotaStatus quota_status) {
+    if (quota_status != QuotaStatus::kUnknown) return quota_status == QuotaStatus::kWithinQuota;
     if (tenant < 0 || tenant >= static_cast<int>(tokens.size())) return true;
     if (tokens[tenant] < 1) return false;
     tokens[tenant] -= 1;
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -47,11 +47,11 @@
     x_.out = nullptr;
   }
 
-  Pace Learnt() const {
-    return {traffic_.served_rate, traffic_.work_rate, cold_.warm_rate, traffic_.stretch};
+  LearnedRates learned_rates() const {
+    return {traffic_.served_rate, traffic_.work_rate, cold_.warm_rate, traffic_.time_per_work};
   }
 
-  load_balancer::Spare Spare(TimePoint now) const {
+  load_balancer::SpareCapacity EstimateSpareCapacity(TimePoint now) const {
     const double limit = admission_.Limit(), useful = admission_.Useful();
     const double left = limit - static_cast<double>(awaited_.size()) - spilled_;
     if (left <= 0 || !held_.empty())
@@ -69,39 +69,40 @@
 
   Server& LastServer(const Request& r) { return servers_.all[r.attempts.back().server]; }
 
-  void On(const Submit& e) {
+  void On(const RequestReceived& e) {
     if (requests_.count(e.request)) return;
     // Where its class is not known, nothing is of what it may do twice; it never ran: it may be tried again.
     if (e.request_class < 0 || e.request_class >= static_cast<int>(x_.settings.classes.size()))
-      return x_.Do(Refuse{e.request, Duration(0)});
+      return x_.Do(Reject{e.request, Duration(0)});
     Request r;
-    r.id = e.request, r.key = e.key, r.uploading = e.uploading, r.spilled = e.spilled;
+    r.id = e.request, r.key = e.key, r.is_body_pending = e.is_body_pending, r.is_overflow = e.is_overflow;
     r.arrived = x_.now, r.due = e.due;
     r.rules = x_.settings.classes[e.request_class], r.seen = classes_[e.request_class];
-    r.most_attempts = e.spilled ? 1 : x_.settings.max_attempts;
+    r.most_attempts = e.is_overflow ? 1 : x_.settings.max_attempts;
     ClassState& seen = *r.seen;
     Spread& all = traffic_.request_work;
-    const Duration aim = r.rules.aim - admission_.Elapsed(e, seen);
+    const Duration latency_objective = r.rules.latency_objective - admission_.Elapsed(e, seen);
     const bool hinted = e.has_hint && std::isfinite(e.work_ms) && e.work_ms > 0;
     r.work = hinted ? std::min(e.work_ms, kMostWork) : all.samples > 0 ? all.mean : 1;
     if (hinted || all.samples == 0) all.Add(r.work), seen.work.Add(r.work);
     traffic_.Asked(r);
-    admission_.Value(r, e, aim);
+    admission_.Value(r, e, latency_objective);
     if (r.value <= 0 || admission_.Throttled(r)) return Finish(r);
-    const Duration useful = aim - Duration(seen.latency.mean + seen.latency.deviation);
-    r.refuse_at = std::min(r.due - x_.settings.tick * 2, x_.now + std::max(useful, r.rules.aim / 4));
-    if (r.spilled) r.refuse_at = x_.now;
+    const Duration useful = latency_objective - Duration(seen.latency.mean + seen.latency.deviation);
+    r.refuse_at =
+        std::min(r.due - x_.settings.tick * 2, x_.now + std::max(useful, r.rules.latency_objective / 4));
+    if (r.is_overflow) r.refuse_at = x_.now;
     Place(requests_.emplace(r.id, std::move(r)).first->second);
     Forget(requests_.at(e.request));
   }
 
   // A request's time, and that of its attempt, counts from its last byte.
-  void On(const Uploaded& e) {
+  void On(const BodyReceived& e) {
     Request* r = Find(e.request);
     if (!r) return;
     const bool held = r->held;
     Unhold(*r);  // its place among the held goes by its time
-    r->uploading = false, r->arrived = x_.now, r->due = e.due;
+    r->is_body_pending = false, r->arrived = x_.now, r->due = e.due;
     if (held) Hold(*r);
     if (!r->Outstanding()) return;
     Server& s = LastServer(*r);
@@ -130,15 +131,15 @@
     Attempt& a = r->attempts[e.attempt];
     if (!a.outstanding) return;
     a.outstanding = false;
-    a.may_have_run =
-        !(e.outcome == Outcome::kFull || e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kMoot);
+    a.may_have_run = !(e.outcome == Outcome::kOverloaded || e.outcome == Outcome::kConnectFailed ||
+                       e.outcome == Outcome::kNotSent);
     awaited_.erase({a.overdue_at, r->id, e.attempt});
     Learn(*r, e, servers_.all[a.server]);
     room_ = true;
-    if (e.settled) r->finished = true;
-    r->repeatable = e.repeatable;
+    if (e.is_request_finished) r->finished = true;
+    r->is_replayable = e.is_replayable;
     if (!r->finished && !r->Outstanding() && !r->held)
-      Again(*r, a.may_have_run || e.outcome == Outcome::kFull);
+      Again(*r, a.may_have_run || e.outcome == Outcome::kOverloaded);
     Forget(*r);
   }
 
@@ -154,7 +155,7 @@
   // Exception: a neighbour's request goes behind all that is held, into a part of the room that is left.
   bool HasRoom(const Request& r) const {
     const double left = admission_.Limit() - static_cast<double>(awaited_.size());
-    return r.spilled ? held_.empty() && spilled_ + 1 <= most_spilled_ * left : left > 0;
+    return r.is_overflow ? held_.empty() && spilled_ + 1 <= most_spilled_ * left : left > 0;
   }
 
   // Sends the request or holds it; true if sent.
@@ -198,11 +199,11 @@
                                        : std::max(0.0, retry_tokens_ - 1);
     const Duration timeout = TimeoutFor(r, s);
     if (s.own_count == 0) s.quiet_since = x_.now;
-    s.own_work += r.work, ++s.own_count, spilled_ += r.spilled;
+    s.own_work += r.work, ++s.own_count, spilled_ += r.is_overflow;
     cold_.Sent(s, r.work);
-    if (x_.settings.warm_keys && r.key != 0) keys_.Met(r.key, servers_.IndexOf(s), x_.now);
+    if (x_.settings.session_affinity && r.key != 0) keys_.Met(r.key, servers_.IndexOf(s), x_.now);
     r.attempts.push_back({.server = servers_.IndexOf(s), .sent_at = x_.now});
-    if (!r.uploading) Await(r);
+    if (!r.is_body_pending) Await(r);
     x_.Do(Dispatch{r.id, s.entry.server, timeout});
   }
 
@@ -210,7 +211,7 @@
   void Await(Request& r) {
     Attempt& a = r.attempts.back();
     a.overdue_at = r.seen->latency.samples < kYoung ? kNever : x_.now + r.seen->Unlikely(r.work);
-    if (!r.spilled) awaited_.emplace(a.overdue_at, r.id, r.attempts.size() - 1);
+    if (!r.is_overflow) awaited_.emplace(a.overdue_at, r.id, r.attempts.size() - 1);
   }
 
   // Only a server that has gone silent gets a time-out short of the client's own: it owes answers, and has
@@ -218,8 +219,9 @@
   // late doubled its work on every site. Zero also where no repeat is permitted or would come in time.
   Duration TimeoutFor(const Request& r, const Server& s) const {
     const ClassState& seen = *r.seen;
-    if (r.rules.effect == Effect::kUnsafe || r.uploading || seen.latency.samples < kYoung ||
-        s.own_count == 0 || retry_tokens_ < 1 || static_cast<int>(r.attempts.size()) + 1 >= r.most_attempts)
+    if (r.rules.idempotency == Idempotency::kNotIdempotent || r.is_body_pending ||
+        seen.latency.samples < kYoung || s.own_count == 0 || retry_tokens_ < 1 ||
+        static_cast<int>(r.attempts.size()) + 1 >= r.most_attempts)
       return Duration(0);
     const Duration repeat((seen.latency.mean + seen.latency.deviation) * seen.Scale(r.work));
     const Duration unlikely = seen.Unlikely(r.work);
@@ -229,16 +231,18 @@
 
   // Exception, where clients listen: one whose aim could not be met would come back only to be late, and take
   // the place of one in time. It is told to stay away for as long as it would have come back.
-  void Finish(Request& r) { Finish(r, std::min(x_.settings.max_retry_after, r.rules.deadline) * !r.spilled); }
+  void Finish(Request& r) {
+    Finish(r, std::min(x_.settings.max_retry_after, r.rules.deadline) * !r.is_overflow);
+  }
   void Finish(Request& r, Duration retry_after) {
     const bool refuse = Permitted(r, x_.now, servers_.all).refuse;
     x_.Say(
         Context::kEnding, refuse ? "refusing: " : "failing: ",
         r.attempts.empty() ? "not in time" : "last at server " + std::to_string(LastServer(r).entry.server),
         "; ", awaited_.size(), " in flight, ", held_.size(), " held");
-    refuse ? x_.Do(Refuse{r.id, retry_after}) : x_.Do(Fail{r.id});
+    refuse ? x_.Do(Reject{r.id, retry_after}) : x_.Do(FailRequest{r.id});
     r.finished = true;
-    if (!r.spilled && r.attempts.empty()) refused_at_ = x_.now;
+    if (!r.is_overflow && r.attempts.empty()) refused_at_ = x_.now;
   }
 
   void Forget(Request& r) {
@@ -248,15 +252,16 @@
   }
 
   void Learn(const Request& r, const AttemptEnded& e, Server& s) {
-    s.own_work -= r.work, spilled_ -= r.spilled;
+    s.own_work -= r.work, spilled_ -= r.is_overflow;
     if (e.outcome != Outcome::kTimeout) s.quiet_since = x_.now;
     if (--s.own_count == 0) s.own_work = 0;
     const bool ok = e.outcome == Outcome::kOk;
-    if (e.outcome == Outcome::kCancelled || e.outcome == Outcome::kMoot || e.outcome == Outcome::kUnknown)
+    if (e.outcome == Outcome::kCancelled || e.outcome == Outcome::kNotSent || e.outcome == Outcome::kUnknown)
       return;
     ClassState& seen = *r.seen;
     const double took = (ok ? e.took : std::min(e.took, seen.Unlikely(r.work))).count();
-    picker_.LearnZone(r, s, ok && (r.streaming ? r.begun : x_.now) <= r.arrived + r.rules.aim, ok);
+    picker_.LearnZone(r, s, ok && (r.streaming ? r.begun : x_.now) <= r.arrived + r.rules.latency_objective,
+                      ok);
     // A time-out of a server that has answered others since is an answer lost on the way and tells no pace.
     // Of one that has not, it tells that an answer hardly comes any more: the class is as slow as that.
     const bool silent = s.quiet_since <= r.attempts[e.attempt].sent_at;
@@ -280,7 +285,7 @@
                   s.health.multiplier});
   }
 
-  void On(const PeerVerdict& e) {
+  void On(const PeerEjection& e) {
     Server* s = servers_.Find(e.server);
     if (!s || !s->Usable()) return;
     const auto advised = std::count_if(servers_.all.begin(), servers_.all.end(), [](const Server& other) {
@@ -293,49 +298,51 @@
   }
 
   // Its own verdict of a life before holds for the time that it had left.
-  void On(const Restored& e) {
+  void On(const RestoredEjection& e) {
     Server* s = servers_.Find(e.server);
     if (!s || !s->Usable() || e.until <= x_.now || s->health.ejected) return;
     servers_.detector.Eject(s->health);
     s->health.multiplier = std::max(1, e.multiplier);
-    s->health.return_at = std::min(e.until, x_.now + kLongestEjection);
+    s->health.return_at = std::min(e.until, x_.now + kMaxEjectionDuration);
     servers_.LeaveService(*s);
   }
 
   // A young proxy that knows the pace of a life before does not start from nothing.
-  void On(const Pace& e) {
+  void On(const LearnedRates& e) {
     if (traffic_.outcomes > 0) return;
-    traffic_.served_rate = e.answers_per_ms, traffic_.work_rate = e.work_per_ms;
+    traffic_.served_rate = e.responses_per_ms, traffic_.work_rate = e.work_per_ms;
     traffic_.young_samples = traffic_.samples = kYoung;
-    if (e.stretch > 0) traffic_.stretch = e.stretch, traffic_.stretch_votes = kLeastVotes;
+    if (e.time_per_work > 0)
+      traffic_.time_per_work = e.time_per_work, traffic_.time_per_work_votes = kLeastVotes;
     cold_.warm_rate = e.warm_work_per_ms;
   }
 
-  void On(const PeerKey& e) {
+  void On(const PeerAffinity& e) {
     const Server* s = servers_.Find(e.server);
-    if (!x_.settings.warm_keys || !s) return;
+    if (!x_.settings.session_affinity || !s) return;
     const ServerIndex index = servers_.IndexOf(*s);
-    if (!keys_.Warm(e.key, index, x_.now)) keys_.Met(e.key, index, std::min(x_.now, e.met));
+    if (!keys_.Warm(e.key, index, x_.now)) keys_.Met(e.key, index, std::min(x_.now, e.sent_at));
   }
 
-  void On(const ServerShare& e) { picker_.share = e.most_in_flight, room_ = true; }
-  void On(const Sharing& e) { cold_.processes = std::max(1, e.processes); }
-  void On(const SpillShare& e) { most_spilled_ = std::clamp(e.most_part, 0.0, 1.0); }
+  void On(const ServerConcurrencyLimit& e) { picker_.share = e.max_in_flight, room_ = true; }
+  void On(const ProcessCount& e) { cold_.processes = std::max(1, e.processes); }
+  void On(const OverflowShare& e) { most_spilled_ = std::clamp(e.max_fraction, 0.0, 1.0); }
   void On(const TimerFired&) {}
 
   void On(const ListUpdate& e) {
     calls_.Follow(e.kind);
     if (e.kind != ListKind::kFailed) servers_.Update(e), room_ = true;
   }
-  void On(const Detach& e) { room_ |= servers_.Detach(e.server); }
-  void On(const Attach& e) { room_ |= servers_.Attach(e.server); }
+  void On(const StartMaintenance& e) { room_ |= servers_.Detach(e.server); }
+  void On(const EndMaintenance& e) { room_ |= servers_.Attach(e.server); }
 
   // What was learnt of a class goes on under its new index. Requests keep that of their own class.
   void On(const NewSettings& e) {
     x_.settings = *e.settings;
-    classes_ = Moved(classes_, x_.settings.classes.size(), e.classes_before, std::make_shared<ClassState>);
+    classes_ =
+        Moved(classes_, x_.settings.classes.size(), e.previous_class_indices, std::make_shared<ClassState>);
     admission_.tokens =
-        Moved(admission_.tokens, x_.settings.tenants.size(), e.tenants_before, [] { return 1.0; });
+        Moved(admission_.tokens, x_.settings.tenants.size(), e.previous_tenant_indices, [] { return 1.0; });
     servers_.Changed();
     room_ = true;
   }
@@ -407,8 +414,10 @@
 Balancer::~Balancer() = default;
 Balancer::Balancer(Balancer&&) noexcept = default;
 Balancer& Balancer::operator=(Balancer&&) noexcept = default;
-Pace Balancer::Learnt() const { return impl_->Learnt(); }
-Spare Balancer::Spare(TimePoint now) const { return impl_->Spare(now); }
+LearnedRates Balancer::learned_rates() const { return impl_->learned_rates(); }
+SpareCapacity Balancer::EstimateSpareCapacity(TimePoint now) const {
+  return impl_->EstimateSpareCapacity(now);
+}
 
 void Balancer::Handle(TimePoint now, const Event& e, std::vector<Action>* out) { impl_->Handle(now, e, out); }
 
--- a/src/policy/cold_budget.h
+++ b/src/policy/cold_budget.h
@@ -27,7 +27,7 @@
   bool Fits(Server& s, double hinted) const {
     const double share = servers.WarmShare(s);
     if (share >= 1) return true;
-    const Duration window = x.settings.overload_for * kWindowSlack;
+    const Duration window = x.settings.overload_window * kWindowSlack;
     std::erase_if(s.sent, [&](const auto& sent) { return x.now - sent.first > window; });
     double sent = hinted;
     for (const auto& [at, work] : s.sent) sent += work;
@@ -36,10 +36,10 @@
     const double mean = traffic.request_work.mean;
     const double counted = std::max(sent, mean * static_cast<double>(s.sent.size() + 1));
     const double weaker = std::max(1.0, s.SlownessAt(x.now) * share);  // than a warm one at its share
-    const double rate = kColdCaution * x.settings.fall_multiple * share * warm_rate / processes / weaker;
-    if (counted <= rate * x.settings.overload_for.count()) return true;
-    const double least =
-        x.settings.fall_multiple * x.settings.cold_from * kColdLeast / (x.settings.balancers * processes);
+    const double rate = kColdCaution * x.settings.overload_multiple * share * warm_rate / processes / weaker;
+    if (counted <= rate * x.settings.overload_window.count()) return true;
+    const double least = x.settings.overload_multiple * x.settings.slow_start_min_share * kColdLeast /
+                         (x.settings.balancer_count * processes);
     const double paid = std::max(rate, least);
     return paid > 0 &&
            x.now - s.turn_since >= s.turn_phase * std::max(window, Duration(std::max(hinted, mean) / paid));
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -10,7 +10,7 @@
 constexpr Duration kInterval{2000};          // counts reset: long enough for the volume floor at 2 requests/s
 constexpr Duration kBaseEjectionTime{2000};  // first ejection: as long as one interval
 constexpr Duration kMaxEjectionTime{16000};  // a recovered server is tried again within this
-static_assert(kMaxEjectionTime * 1.25 <= kLongestEjection);
+static_assert(kMaxEjectionTime * 1.25 <= kMaxEjectionDuration);
 constexpr int kRequestVolume = 3;  // a proxy sees few requests a server; 3 of 3 failing is no chance
 constexpr Duration kLongestInterval{10000};  // A50's own; where traffic is thin counts have to be kept longer
 constexpr double kByChance = 0.01;      // thin traffic: failures that come together less often are no chance
@@ -67,7 +67,7 @@
   // Exception, on a peer's word, where a fleet shares its verdicts. The peer's sample must do for this rule;
   // the server is out no longer than by this proxy's own backoff and at the peer, so that all return
   // together.
-  bool Advise(Host& host, const PeerVerdict& peer, int advised, TimePoint now) {
+  bool Advise(Host& host, const PeerEjection& peer, int advised, TimePoint now) {
     if (host.ejected || peer.until <= now || peer.attempts < (thin ? kMinimumHosts : kRequestVolume) ||
         !(peer.failures > kThreshold * peer.attempts) || !MayEject() ||
         !(100.0 * advised < kMaxAdvisedPercent * hosts))
--- a/src/policy/pick.h
+++ b/src/policy/pick.h
@@ -38,31 +38,31 @@
   // every request there while other zones stood idle (incident ib02092). It counts in the share of picks that
   // this finding leaves.
   void LearnZone(const Request& r, const Server& s, bool in_time, bool ok) {
-    const double lost = in_time ? 0 : ok ? 1 - r.rules.late_worth : 1;
+    const double lost = in_time ? 0 : ok ? 1 - r.rules.late_priority_share : 1;
     const bool home = s.entry.zone == x.settings.zone;
     double& seen = home ? lost_home : lost_away;
     seen += kZoneGain * (lost - seen);
     if (home) lost_away *= 1 - kZoneGain / 4;  // what is not looked at any more may have recovered
-    const bool leave = lost_home - lost_away > x.settings.price_cross_zone;
+    const bool leave = lost_home - lost_away > x.settings.cross_zone_price;
     home_first = std::clamp(home_first + (leave ? -kZoneGain : kZoneGain), 0.0, 1.0);
   }
 
  private:
-  static bool InGroup(Group group, const ServerEntry& anchor, const ServerEntry& s) {
-    return group == Group::kAll ||
-           (s.zone == anchor.zone && (group == Group::kZone || s.cell == anchor.cell));
+  static bool InGroup(IdempotencyScope group, const ServerEntry& anchor, const ServerEntry& s) {
+    return group == IdempotencyScope::kAll ||
+           (s.zone == anchor.zone && (group == IdempotencyScope::kZone || s.cell == anchor.cell));
   }
 
   Server* PickFrom(const std::vector<ServerIndex>& from, const Request& r, const Server* anchor,
                    bool* in_service) {
-    const bool home_counts = x.settings.price_cross_zone > 0 && x.random.Unit() < home_first;
-    const double crossing = kCrossingWeight * x.settings.price_cross_zone * traffic.request_work.mean;
+    const bool home_counts = x.settings.cross_zone_price > 0 && x.random.Unit() < home_first;
+    const double crossing = kCrossingWeight * x.settings.cross_zone_price * traffic.request_work.mean;
     Server* best = nullptr;
     int best_rank = 0, ties = 0;
     double best_score = 0;
     for (const ServerIndex index : from) {
       Server& s = servers.all[index];
-      if (!s.Usable() || (anchor && !InGroup(r.rules.group, anchor->entry, s.entry))) continue;
+      if (!s.Usable() || (anchor && !InGroup(r.rules.idempotency_scope, anchor->entry, s.entry))) continue;
       *in_service |= !s.health.ejected;
       if (share > 0 && s.own_count >= share) continue;  // the fleet's limit of the server
       if (!cold.Fits(s, r.work)) {
--- a/src/policy/records.h
+++ b/src/policy/records.h
@@ -68,8 +68,8 @@
   TimePoint arrived{}, due{}, refuse_at{};
   std::vector<Attempt> attempts{};
   TimePoint begun{};  // of a streamed answer
-  bool finished = false, streaming = false, held = false, repeatable = true;
-  bool uploading = false, spilled = false;  // its last byte has not come; from a neighbour site
+  bool finished = false, streaming = false, held = false, is_replayable = true;
+  bool is_body_pending = false, is_overflow = false;  // its last byte has not come; from a neighbour site
   bool Outstanding() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.outstanding; });
   }
--- a/src/policy/repeats.h
+++ b/src/policy/repeats.h
@@ -22,14 +22,15 @@
   Permission may;
   if (r.finished || r.streaming) return may;
   may.dispatch = now < r.due && static_cast<int>(r.attempts.size()) < r.most_attempts && !r.Outstanding() &&
-                 r.repeatable;
+                 r.is_replayable;
   may.refuse = true;
   const auto first_run =
       std::find_if(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return a.may_have_run; });
-  if (first_run == r.attempts.end() || r.rules.effect == Effect::kSafe) return may;
-  may.refuse = r.rules.effect == Effect::kKeyed && r.rules.group == Group::kAll;
-  may.dispatch &=
-      r.rules.effect == Effect::kKeyed && now - first_run->sent_at <= r.rules.window * kWindowMargin;
+  if (first_run == r.attempts.end() || r.rules.idempotency == Idempotency::kIdempotent) return may;
+  may.refuse = r.rules.idempotency == Idempotency::kIdempotencyKey &&
+               r.rules.idempotency_scope == IdempotencyScope::kAll;
+  may.dispatch &= r.rules.idempotency == Idempotency::kIdempotencyKey &&
+                  now - first_run->sent_at <= r.rules.idempotency_window * kWindowMargin;
   may.anchor = &servers[first_run->server];
   return may;
 }
--- a/src/policy/server_list.h
+++ b/src/policy/server_list.h
@@ -27,7 +27,7 @@
   Duration backoff{0};
 
   void Follow(ListKind kind) {
-    if (!x.settings.must_ask_for_list) return;
+    if (!x.settings.must_poll_for_list) return;
     if (kind == ListKind::kFailed) return BackOff();
     backoff = Duration(0);
     at = kind == ListKind::kCached ? x.now : kNever;  // a new life: nothing is subscribed yet
@@ -35,7 +35,7 @@
 
   // With jitter, from a twentieth to a quarter of the time within which the rules want a call.
   void BackOff() {
-    const Duration within = x.settings.must_ask_within, left = at == kNever ? kAfterWatch : at - x.now;
+    const Duration within = x.settings.max_poll_interval, left = at == kNever ? kAfterWatch : at - x.now;
     backoff = std::clamp(backoff * 2, within / 20, within / 4);
     at = x.now + std::min(backoff, left) * (0.5 + 0.5 * x.random.Unit());
   }
@@ -43,7 +43,7 @@
   void AskIfDue() {
     if (x.now < at) return;
     x.Do(Subscribe{});
-    at = x.now + std::min(kNextCall, x.settings.must_ask_within * 0.9);
+    at = x.now + std::min(kNextCall, x.settings.max_poll_interval * 0.9);
   }
 };
 
@@ -69,9 +69,10 @@
   double WarmShare(const Server& s) const {
     const TimePoint up_since = std::max(s.entry.up_since, s.attached_at);
     if (up_since.time_since_epoch().count() <= 0) return 1;
-    const double age = (x.now - up_since).count(), warm_up = x.settings.warm_up.count();
-    if (warm_up <= 0 || age >= warm_up) return 1;
-    return x.settings.cold_from + (1 - x.settings.cold_from) * std::max(0.0, age) / warm_up;
+    const double age = (x.now - up_since).count(), slow_start_window = x.settings.slow_start_window.count();
+    if (slow_start_window <= 0 || age >= slow_start_window) return 1;
+    return x.settings.slow_start_min_share +
+           (1 - x.settings.slow_start_min_share) * std::max(0.0, age) / slow_start_window;
   }
 
   void Update(const ListUpdate& e) {
@@ -209,10 +210,10 @@
   void BuildSubset() {
     std::erase_if(ring, [this](ServerIndex i) { return !all[i].Usable(); });
     const std::vector<ServerIndex> before = std::exchange(subset, {});
-    const double shared = kMostSharers * static_cast<double>(ring.size()) / x.settings.balancers;
+    const double shared = kMostSharers * static_cast<double>(ring.size()) / x.settings.balancer_count;
     const std::size_t size =
         std::max(judged, static_cast<std::size_t>(std::clamp<double>(shared, kFewest, kLeastSubset)));
-    const bool stays = x.settings.price_cross_zone > kWorthStaying;
+    const bool stays = x.settings.cross_zone_price > kWorthStaying;
     std::vector<ServerIndex> home, away;
     for (const ServerIndex i : ring)
       (stays && all[i].entry.zone == x.settings.zone ? home : away).push_back(i);
@@ -225,7 +226,8 @@
   }
 
   void AddArc(const std::vector<ServerIndex>& arc, std::size_t size) {
-    const double start = std::fmod(x.settings.me * kGoldenRatio, 1) * static_cast<double>(arc.size());
+    const double start =
+        std::fmod(x.settings.balancer_index * kGoldenRatio, 1) * static_cast<double>(arc.size());
     std::size_t serving = 0;
     for (std::size_t k = 0; k < arc.size() && serving < size; ++k) {
       const ServerIndex i = arc[(static_cast<std::size_t>(start) + k) % arc.size()];
--- a/src/policy/traffic.h
+++ b/src/policy/traffic.h
@@ -23,8 +23,8 @@
   Spread request_work{}, mean_aim{};
   double of_aim = 0;    // share of their aims that answers take
   double crowding = 3;  // time of answers over what they take uncrowded
-  int stretch_votes = 0;
-  double stretch = 0;  // time over work that large requests take at the least
+  int time_per_work_votes = 0;
+  double time_per_work = 0;  // time over work that large requests take at the least
   int samples = 0, young_samples = 0;
   TimePoint asked_at{}, asked_from = kNever;                              // last; first, after a while
   double answered = 0, served_rate = 0;                                   // since the last sample; a ms
@@ -32,7 +32,7 @@
   int outcomes = 0;                                                       // attempts ended, to kYoung
 
   void Asked(const Request& r) {
-    mean_aim.Add(r.rules.aim.count());
+    mean_aim.Add(r.rules.latency_objective.count());
     if (r.arrived - std::exchange(asked_at, r.arrived) > kUnasked) asked_from = r.arrived;
     asked_work += r.work;
   }
@@ -40,16 +40,17 @@
   void Ended(const Request& r, double took, bool ok, bool timed) {
     outcomes = std::min(kYoung, outcomes + 1);
     if (ok) served_work += r.work, ++answered;
-    if (timed && stretch > 0 && took > 0) {
-      const double usual =
-          std::min(stretch * std::max(r.work, request_work.mean / 2), 0.5 * r.rules.aim.count());
+    if (timed && time_per_work > 0 && took > 0) {
+      const double usual = std::min(time_per_work * std::max(r.work, request_work.mean / 2),
+                                    0.5 * r.rules.latency_objective.count());
       crowding += kCrowdingGain * (std::min(took / usual, kMostCrowding) - crowding);
-      of_aim += kCrowdingGain * (std::min(took / r.rules.aim.count(), kMostCrowding) - of_aim);
+      of_aim += kCrowdingGain * (std::min(took / r.rules.latency_objective.count(), kMostCrowding) - of_aim);
     }
     if (ok && r.work >= request_work.mean && took > 0) {
       const double seen = took / r.work;
-      const double gain = seen < stretch ? 10 * kStretchGain : kStretchGain;
-      stretch += (++stretch_votes <= kFirmVotes ? 1.0 / stretch_votes : gain) * (seen - stretch);
+      const double gain = seen < time_per_work ? 10 * kStretchGain : kStretchGain;
+      time_per_work +=
+          (++time_per_work_votes <= kFirmVotes ? 1.0 / time_per_work_votes : gain) * (seen - time_per_work);
     }
   }
 
--- a/src/proxy/admin/maintenance_controller.cpp
+++ b/src/proxy/admin/maintenance_controller.cpp
@@ -34,13 +34,13 @@
   const ServerNumbers& numbers = servers_.numbers();
   for (const std::string& id : applied_) {
     if (before.contains(id)) continue;
-    module_.Feed(Detach{numbers.Of(id)});
+    module_.Feed(StartMaintenance{numbers.Of(id)});
     backends_.Detach(numbers.Of(id));
   }
   for (const std::string& id : before) {
     if (applied_.contains(id)) continue;
     backends_.Attach(numbers.Of(id));
-    module_.Feed(Attach{numbers.Of(id)});
+    module_.Feed(EndMaintenance{numbers.Of(id)});
   }
 }
 
--- a/src/proxy/backend/connection.cpp
+++ b/src/proxy/backend/connection.cpp
@@ -25,8 +25,8 @@
 Outcome OutcomeOf(const AnswerReader::Head& response, bool of_proxy) {
   const unsigned status = response.result_int();
   if (status == 200) return Outcome::kOk;
-  if (of_proxy && (status == 503 || status == 429)) return Outcome::kFull;
-  if ((status == 503 || status == 504) && response["Srv-Declined"] == "1") return Outcome::kFull;
+  if (of_proxy && (status == 503 || status == 429)) return Outcome::kOverloaded;
+  if ((status == 503 || status == 504) && response["Srv-Declined"] == "1") return Outcome::kOverloaded;
   return Outcome::kError;
 }
 
@@ -52,7 +52,7 @@
   if (const auto& local = owner_->limits_.local; local && !error) socket_.bind(*local, error);
   if (!error) socket_.set_option(Tcp::no_delay(true), error);
   if (!error) socket_.non_blocking(true, error);
-  if (error) return FinishSoon(Outcome::kMoot);  // out of descriptors
+  if (error) return FinishSoon(Outcome::kNotSent);  // out of descriptors
   SetTimer(std::min(deadline_, Steady::now() + ToSteady(connect_timeout)));
   socket_.async_connect(address, [self = shared_from_this()](const Error& failed) {
     if (!self->Out()) return;
@@ -183,7 +183,7 @@
 void Backends::Connection::Write() {
   // A connection may have come up late: what was left as the attempt was made is no longer so.
   const auto left = std::chrono::floor<std::chrono::milliseconds>(deadline_ - Steady::now());
-  if (left.count() <= 0) return FinishSoon(Outcome::kMoot);
+  if (left.count() <= 0) return FinishSoon(Outcome::kNotSent);
   request_.head.set(kTimeLeft, std::to_string(left.count()));
   phase_ = Phase::kSending;
   writer_.Begin(std::move(request_.head));
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -69,7 +69,7 @@
     const auto connection = weak.lock();
     if (connection && connection->server() == server && connection->Unbegun()) unbegun.push_back(connection);
   }
-  for (const auto& connection : unbegun) connection->Finish(Outcome::kMoot);
+  for (const auto& connection : unbegun) connection->Finish(Outcome::kNotSent);
 }
 
 void Backends::Attach(ServerId server) {
@@ -124,7 +124,7 @@
     connection->FinishSoon(Outcome::kConnectFailed);  // it never had an address
   } else if (open_ > limits_.connections() && !CloseOldestIdle()) {
     // A limit of this proxy's own says nothing of the backend: the attempt was never made.
-    connection->FinishSoon(Outcome::kMoot);
+    connection->FinishSoon(Outcome::kNotSent);
   } else {
     ++opened_;
     connection->Open(backend.address, limits_.connect_timeout);
@@ -135,7 +135,7 @@
 void Backends::GiveUp(AttemptId attempt) {
   for (const auto& [key, weak] : live_) {
     const auto connection = weak.lock();
-    if (connection && connection->Unwritten(attempt)) return connection->Finish(Outcome::kMoot);
+    if (connection && connection->Unwritten(attempt)) return connection->Finish(Outcome::kNotSent);
   }
 }
 
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -91,8 +91,8 @@
   // is told what is left of it as the request is written, in whole ms; where that is none, nothing is
   // written.
   AttemptId Send(ServerId server, Outgoing request, Duration timeout, AttemptEvents events);
-  // The request is over: an attempt whose last byte has not been written ends as kMoot, and the backend never
-  // begins it. One that has been written goes on, as does what has ended already.
+  // The request is over: an attempt whose last byte has not been written ends as kNotSent, and the backend
+  // never begins it. One that has been written goes on, as does what has ended already.
   void GiveUp(AttemptId attempt);
 
   // From the next connections on; what stands idle is closed if it may not any more for as long.
--- a/src/proxy/core/actions.cpp
+++ b/src/proxy/core/actions.cpp
@@ -21,9 +21,9 @@
 
 void Actions::Do(const Dispatch& action) { requests_.Do(action); }
 
-void Actions::Do(const Refuse& action) { requests_.Do(action); }
+void Actions::Do(const Reject& action) { requests_.Do(action); }
 
-void Actions::Do(const Fail& action) { requests_.Do(action); }
+void Actions::Do(const FailRequest& action) { requests_.Do(action); }
 
 void Actions::Do(const Subscribe&) { discovery_.Subscribe(); }
 
--- a/src/proxy/core/actions.h
+++ b/src/proxy/core/actions.h
@@ -36,8 +36,8 @@
 
  private:
   void Do(const Dispatch& action);
-  void Do(const Refuse& action);
-  void Do(const Fail& action);
+  void Do(const Reject& action);
+  void Do(const FailRequest& action);
   void Do(const SetTimer&) {}
   void Do(const Subscribe& action);
   void Do(const struct CloseIdle& action);
--- a/src/proxy/core/module_driver.cpp
+++ b/src/proxy/core/module_driver.cpp
@@ -81,8 +81,8 @@
 }
 
 double ModuleDriver::MeanWork() const {
-  const Pace pace = Learnt();
-  return pace.answers_per_ms > 0 ? pace.work_per_ms / pace.answers_per_ms : 1;
+  const LearnedRates rates = learned_rates();
+  return rates.responses_per_ms > 0 ? rates.work_per_ms / rates.responses_per_ms : 1;
 }
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/core/module_driver.h
+++ b/src/proxy/core/module_driver.h
@@ -30,10 +30,12 @@
 
   const ModuleClock& clock() const { return clock_; }
   TimePoint Now() const { return clock_.Now(); }
-  Pace Learnt() const { return balancer_.Learnt(); }
+  LearnedRates learned_rates() const { return balancer_.learned_rates(); }
   // Of a request without a hint, in ms on a standard core: the mean of those answered.
   double MeanWork() const;
-  load_balancer::Spare Spare() const { return balancer_.Spare(Now()); }
+  load_balancer::SpareCapacity EstimateSpareCapacity() const {
+    return balancer_.EstimateSpareCapacity(Now());
+  }
 
  private:
   void HandleQueued();
--- a/src/proxy/core/requests.cpp
+++ b/src/proxy/core/requests.cpp
@@ -13,7 +13,8 @@
 namespace {
 
 bool NeverRan(Outcome outcome) {
-  return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kMoot;
+  return outcome == Outcome::kOverloaded || outcome == Outcome::kConnectFailed ||
+         outcome == Outcome::kNotSent;
 }
 
 }  // namespace
@@ -21,18 +22,18 @@
 RequestId Requests::OnRequest(ClientRequest&& request, std::shared_ptr<Responder>&& responder) {
   const RequestId id = pending_.NextId();
   const ModuleClock& clock = module_.clock();
-  Submit submit;
-  submit.request = id;
-  submit.due = clock.At(request.due);
-  submit.request_class = request.request_class;
-  submit.tenant = request.tenant;
-  submit.key = request.key;
-  submit.has_hint = request.has_hint;
-  submit.client_retry = request.client_retry;
-  submit.work_ms = request.work_ms;
-  submit.uploading = request.body != nullptr;
+  RequestReceived received;
+  received.request = id;
+  received.due = clock.At(request.due);
+  received.request_class = request.request_class;
+  received.tenant = request.tenant;
+  received.key = request.key;
+  received.has_hint = request.has_hint;
+  received.client_retry = request.client_retry;
+  received.work_ms = request.work_ms;
+  received.is_body_pending = request.body != nullptr;
   Pending pending;
-  if (!federation_.Admit(request, *responder, &pending, &submit)) return id;
+  if (!federation_.Admit(request, *responder, &pending, &received)) return id;
   pending.message = std::make_shared<const HttpRequest>(std::move(request.message));
   pending.hold = std::move(request.hold);
   pending.key = request.key;
@@ -40,10 +41,10 @@
   pending.config = std::move(request.config);
   pending.due = request.due;
   pending.responder = std::move(responder);
-  pending.submit = submit;
+  pending.received = received;
   pending.came = clock.Now();
   pending_.Open(id, std::move(pending));
-  module_.Feed(submit);
+  module_.Feed(received);
   return id;
 }
 
@@ -52,7 +53,7 @@
   if (!pending) return;
   pending->due = due;
   pending->sent_at = Steady::now();
-  module_.Feed(Uploaded{request, module_.clock().At(due)});
+  module_.Feed(BodyReceived{request, module_.clock().At(due)});
 }
 
 void Requests::OnClientGone(RequestId request) {
@@ -78,8 +79,8 @@
     end.request = action.request;
     end.attempt = attempt;
     end.server = action.server;
-    end.settled = !pending || !pending->responder;
-    end.outcome = Outcome::kMoot;
+    end.is_request_finished = !pending || !pending->responder;
+    end.outcome = Outcome::kNotSent;
     return module_.Feed(end);
   }
   pending->attempt_out = true;
@@ -102,12 +103,12 @@
   pending->attempt = backends_.Send(action.server, std::move(out), timeout, std::move(events));
 }
 
-void Requests::Do(const Refuse& action) {
+void Requests::Do(const Reject& action) {
   if (!federation_.Spill(action.request, action.retry_after))
     federation_.AnswerRefused(action.request, action.retry_after);
 }
 
-void Requests::Do(const Fail& action) {
+void Requests::Do(const FailRequest& action) {
   if (const auto responder = pending_.Conclude(action.request)) {
     federation_.CreditIfNotRun(*pending_.Find(action.request));
     responder->Failed();
@@ -136,14 +137,15 @@
     pending->may_have_run |= !NeverRan(result.outcome);
     const bool passed_on = pending->first_bytes.count() > 0;
     end.took = passed_on ? pending->first_bytes : Duration(Steady::now() - pending->sent_at);
-    end.repeatable = !pending->body || !pending->body->Spent();
+    end.is_replayable = !pending->body || !pending->body->Spent();
   }
   if (result.outcome == Outcome::kOk) {
     if (const auto responder = pending_.Conclude(request))
       responder->Served(std::move(result.response), std::move(result.hold));
   }
-  end.settled = !pending || !pending->responder;
-  if (pending && end.settled) federation_.CreditIfNotRun(*pending);  // its client left before it could run
+  end.is_request_finished = !pending || !pending->responder;
+  if (pending && end.is_request_finished)
+    federation_.CreditIfNotRun(*pending);  // its client left before it could run
   pending_.ForgetIfOver(request);
   module_.Feed(end);
 }
--- a/src/proxy/core/requests.h
+++ b/src/proxy/core/requests.h
@@ -40,8 +40,8 @@
 
   // What the module has decided.
   void Do(const Dispatch& action);
-  void Do(const Refuse& action);
-  void Do(const Fail& action);
+  void Do(const Reject& action);
+  void Do(const FailRequest& action);
 
  private:
   void OnAttemptBegun(RequestId request, int attempt, AnswerHead head);
--- a/src/proxy/federation/link.cpp
+++ b/src/proxy/federation/link.cpp
@@ -17,18 +17,19 @@
   };
   federation_ = std::make_unique<Federation>(io, config, votes, *site, connections, buffers,
                                              static_cast<SpillHost&>(*this));
-  if (config.spill.on) module_.Feed(SpillShare{config.spill.options.most_part});
+  if (config.spill.on) module_.Feed(OverflowShare{config.spill.options.most_part});
 }
 
 bool FederationLink::Admit(const ClientRequest& request, Responder& responder, Pending* pending,
-                           Submit* submit) {
-  submit->spilled = request.spilled;
+                           RequestReceived* received) {
+  received->is_overflow = request.spilled;
   if (!federation_ || request.spilled || request.config->tenants.empty()) return true;
   const std::string& owner = request.config->tenants[static_cast<std::size_t>(request.tenant)];
   const auto charged = federation_->Charge(owner, request.has_hint ? request.work_ms : module_.MeanWork());
   pending->ticket = charged.ticket;
   if (charged.verdict != quota::Verdict::kUnknown)
-    submit->share = charged.verdict == quota::Verdict::kInside ? Share::kInside : Share::kOver;
+    received->quota_status =
+        charged.verdict == quota::Verdict::kInside ? QuotaStatus::kWithinQuota : QuotaStatus::kOverQuota;
   if (charged.verdict != quota::Verdict::kOver || charged.over != quota::Over::kRefuse) return true;
   const Duration most = request.config->settings.max_retry_after;
   responder.OverBudget(std::min(most, Duration(charged.retry_after)));
@@ -44,19 +45,19 @@
   Pending* const pending = pending_.Find(request);
   if (!pending || !pending->responder || pending->body || pending->attempt_out || pending->may_have_run)
     return false;
-  const ClassSettings& rules = pending->config->settings.classes[pending->submit.request_class];
+  const ClassSettings& rules = pending->config->settings.classes[pending->received.request_class];
   const auto span = [](Duration d) { return std::chrono::duration_cast<Span>(d); };
   const TimePoint now = module_.Now();
   spill::Refused refused;
   refused.request = request;
-  refused.effect = rules.effect;
-  refused.aim_left = span(pending->came + rules.aim - now);
+  refused.idempotency = rules.idempotency;
+  refused.latency_objective_left = span(pending->came + rules.latency_objective - now);
   refused.deadline_left = pending->due - Steady::now();
-  refused.work_ms = pending->submit.has_hint ? pending->submit.work_ms : module_.MeanWork();
-  refused.worth = rules.worth;
+  refused.work_ms = pending->received.has_hint ? pending->received.work_ms : module_.MeanWork();
+  refused.priority_weight = rules.priority_weight;
   refused.key = pending->key;
-  refused.within_budget = pending->submit.share != Share::kOver;
-  refused.spilled = pending->submit.spilled;
+  refused.within_budget = pending->received.quota_status != QuotaStatus::kOverQuota;
+  refused.spilled = pending->received.is_overflow;
   refused.retry_after = span(retry_after);
   pending->may_have_run = true;  // until it comes back as refused
   spill()->Offer(refused, pending->message);
@@ -88,7 +89,7 @@
 
 std::size_t FederationLink::connections() const { return spill() ? spill()->connections() : 0; }
 
-load_balancer::Spare FederationLink::SpareNow() const { return module_.Spare(); }
+load_balancer::SpareCapacity FederationLink::SpareNow() const { return module_.EstimateSpareCapacity(); }
 
 void FederationLink::OnSpillBegun(RequestId request, AnswerHead head) {
   const auto responder = pending_.Conclude(request);
--- a/src/proxy/federation/link.h
+++ b/src/proxy/federation/link.h
@@ -41,7 +41,7 @@
 
   // Charges the request to its owner's budget. False if it has had its answer: that budget is used up and
   // refuses.
-  bool Admit(const ClientRequest& request, Responder& responder, Pending* pending, Submit* submit);
+  bool Admit(const ClientRequest& request, Responder& responder, Pending* pending, RequestReceived* received);
   // Gives the charge back unless an attempt, or a neighbour, may have run the request.
   void CreditIfNotRun(const Pending& pending);
   // Offers what the module has refused; false if it is not to be had whole, or may have run here.
@@ -62,7 +62,7 @@
   SpillService* spill() { return federation_ ? federation_->spill() : nullptr; }
   const SpillService* spill() const { return federation_ ? std::as_const(*federation_).spill() : nullptr; }
 
-  load_balancer::Spare SpareNow() const override;
+  load_balancer::SpareCapacity SpareNow() const override;
   void OnSpillBegun(RequestId request, AnswerHead head) override;
   void OnSpillServed(RequestId request, HttpResponse answer, Buffers::Hold hold) override;
   void OnSpillRefused(RequestId request, Duration retry_after) override;
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -37,10 +37,10 @@
   switch (outcome) {
     case Outcome::kOk:
       return spill::SpillOutcome::kOk;
-    case Outcome::kFull:
+    case Outcome::kOverloaded:
       return spill::SpillOutcome::kRefused;
     case Outcome::kConnectFailed:
-    case Outcome::kMoot:
+    case Outcome::kNotSent:
       return spill::SpillOutcome::kNotRun;
     default:
       return spill::SpillOutcome::kMayHaveRun;
@@ -53,8 +53,8 @@
   return std::isfinite(figure) && figure > 0 ? figure : 0;
 }
 
-spill::MemberSpare MemberSpareOf(const load_balancer::Spare& spare) {
-  return {spare.work_per_ms * kPerSecond, spare.least_work_per_ms * kPerSecond,
+spill::MemberSpare MemberSpareOf(const load_balancer::SpareCapacity& spare) {
+  return {spare.work_per_ms * kPerSecond, spare.work_per_ms_lower_bound * kPerSecond,
           std::chrono::ceil<std::chrono::milliseconds>(spare.wait)};
 }
 
--- a/src/proxy/federation/spill_service.h
+++ b/src/proxy/federation/spill_service.h
@@ -32,7 +32,7 @@
 class SpillHost {
  public:
   virtual ~SpillHost() = default;
-  virtual load_balancer::Spare SpareNow() const = 0;
+  virtual load_balancer::SpareCapacity SpareNow() const = 0;
   virtual void OnSpillBegun(RequestId request, AnswerHead head) = 0;
   virtual void OnSpillServed(RequestId request, HttpResponse answer, Buffers::Hold hold) = 0;
   virtual void OnSpillRefused(RequestId request, Duration retry_after) = 0;
--- a/src/proxy/fleet_link/discovery_duty.cpp
+++ b/src/proxy/fleet_link/discovery_duty.cpp
@@ -20,7 +20,7 @@
   options.address = config.discovery;
   options.revision = config.known.revision;
   options.reconnect =
-      config.settings.must_ask_for_list ? Discovery::Reconnect::kWhenAsked : Discovery::Reconnect::kByItself;
+      config.settings.must_poll_for_list ? Discovery::Reconnect::kWhenAsked : Discovery::Reconnect::kByItself;
   options.seed = config.seed;
   return options;
 }
--- a/src/proxy/fleet_link/fleet_link.cpp
+++ b/src/proxy/fleet_link/fleet_link.cpp
@@ -40,17 +40,17 @@
 
 // Advice: the module weighs it like any event.
 void FleetLink::OnVerdict(const fleet::Verdict& verdict) {
-  module_.Feed(PeerVerdict{servers_.numbers().Of(verdict.server),
-                           module_.clock().FromUnix(static_cast<double>(verdict.until)), verdict.failures,
-                           verdict.attempts});
+  module_.Feed(PeerEjection{servers_.numbers().Of(verdict.server),
+                            module_.clock().FromUnix(static_cast<double>(verdict.until)), verdict.failures,
+                            verdict.attempts});
 }
 
 void FleetLink::OnKey(const fleet::KeySite& site, fleet::UnixMs met) {
-  module_.Feed(PeerKey{servers_.numbers().Of(site.server), site.key,
-                       module_.clock().FromUnix(static_cast<double>(met))});
+  module_.Feed(PeerAffinity{servers_.numbers().Of(site.server), site.key,
+                            module_.clock().FromUnix(static_cast<double>(met))});
 }
 
-void FleetLink::OnShare(int most_in_flight) { module_.Feed(ServerShare{most_in_flight}); }
+void FleetLink::OnShare(int most_in_flight) { module_.Feed(ServerConcurrencyLimit{most_in_flight}); }
 
 void FleetLink::OnJoined() { recovery_.OnJoined(); }
 
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -63,7 +63,7 @@
       admin_handler_(door_, maintenance_, fleet_, federation_) {
   maintenance_controller_.Apply();
   servers_.Take(config_->known, ListKind::kCached);
-  if (!config_->settings.must_ask_for_list) discovery_.Watch();
+  if (!config_->settings.must_poll_for_list) discovery_.Watch();
   door_.Begin();
   if (config_->operators) operators_ = std::make_unique<Operators>(io, *config_->operators, admin_handler_);
   fleet_.Begin(io, *config_, InState(*config_, ".votes"));
@@ -86,8 +86,8 @@
       std::exchange(config_, std::make_shared<const Config>(std::move(config)));
   NewSettings change;
   change.settings = std::shared_ptr<const Settings>(config_, &config_->settings);
-  change.classes_before = IndicesBefore(before->classes, config_->classes);
-  change.tenants_before = IndicesBefore(before->tenants, config_->tenants);
+  change.previous_class_indices = IndicesBefore(before->classes, config_->classes);
+  change.previous_tenant_indices = IndicesBefore(before->tenants, config_->tenants);
   module_.Feed(std::move(change));
   backends_.SetTimes(config_->connect_timeout, config_->conn_idle);
   discovery_.MoveTo(config_->discovery);
@@ -106,7 +106,7 @@
   if (processes_ != hot_restart_.processes()) {
     processes_ = hot_restart_.processes();
     log::Info("proxy", std::to_string(processes_) + " processes are this proxy");
-    module_.Feed(Sharing{processes_});
+    module_.Feed(ProcessCount{processes_});
   }
   limits_.Share(processes_);
 }
--- a/src/proxy/recovery/own_verdicts.cpp
+++ b/src/proxy/recovery/own_verdicts.cpp
@@ -28,7 +28,8 @@
     const Verdict own{verdict.at("until").get<double>(), verdict.at("multiplier").get<int>(), true};
     const auto id = verdict.at("server").get<std::string>();
     const double left = own.until_unix_ms - now;
-    if (!(left > 0) || left > kLongestEjection.count()) continue;  // over, or none that this program writes
+    if (!(left > 0) || left > kMaxEjectionDuration.count())
+      continue;  // over, or none that this program writes
     verdicts_[id] = own;
     log::Info("state",
               "verdict server=" + id + " left_ms=" + std::to_string(std::llround(left)) + " restored");
@@ -39,8 +40,8 @@
   for (auto& [id, verdict] : verdicts_) {
     if (!verdict.waits || !servers.Listed(id)) continue;
     verdict.waits = false;
-    module_.Feed(Restored{servers.numbers().Of(id), module_.clock().FromUnix(verdict.until_unix_ms),
-                          verdict.multiplier});
+    module_.Feed(RestoredEjection{servers.numbers().Of(id), module_.clock().FromUnix(verdict.until_unix_ms),
+                                  verdict.multiplier});
   }
 }
 
--- a/src/proxy/recovery/recovery.cpp
+++ b/src/proxy/recovery/recovery.cpp
@@ -60,8 +60,8 @@
 nlohmann::json Recovery::Collect() const {
   nlohmann::json body;
   body["verdicts"] = verdicts_.Keep();
-  const Pace pace = module_.Learnt();
-  body["pace"] = {pace.answers_per_ms, pace.work_per_ms, pace.warm_work_per_ms, pace.stretch};
+  const LearnedRates rates = module_.learned_rates();
+  body["pace"] = {rates.responses_per_ms, rates.work_per_ms, rates.warm_work_per_ms, rates.time_per_work};
   if (fleet_.node()) {
     const auto kept = fleet_.node()->Keep();
     body["incarnation"] = kept.incarnation;
@@ -75,12 +75,12 @@
 void Recovery::Take(const nlohmann::json& body) {
   verdicts_.Load(body.at("verdicts"));
   verdicts_.Restore(servers_);
-  const auto& pace = body.at("pace");
-  const auto figure = [&pace](std::size_t i) {
-    const double x = pace.at(i).get<double>();
+  const auto& rates = body.at("pace");
+  const auto figure = [&rates](std::size_t i) {
+    const double x = rates.at(i).get<double>();
     return std::isfinite(x) && x >= 0 ? x : 0;
   };
-  module_.Feed(Pace{figure(0), figure(1), figure(2), figure(3)});
+  module_.Feed(LearnedRates{figure(0), figure(1), figure(2), figure(3)});
   if (federation_.federation() && body.contains("sites")) federation_.federation()->Restore(body.at("sites"));
   if (!fleet_.node() || !body.contains("incarnation")) return;
   fleet_.node()->Restore({body.at("incarnation").get<std::uint64_t>(),
--- a/src/proxy/request.cpp
+++ b/src/proxy/request.cpp
@@ -78,7 +78,7 @@
   request->request_class = IndexOf(config.classes, kind);
   if (request->request_class < 0) return Complaint{http::status::not_found, "unknown class"};
   const ClassSettings& c = config.settings.classes[request->request_class];
-  const http::verb method = c.effect == Effect::kSafe ? http::verb::get : http::verb::post;
+  const http::verb method = c.idempotency == Idempotency::kIdempotent ? http::verb::get : http::verb::post;
   if (message.method() != method) return Complaint{http::status::method_not_allowed, "wrong method"};
   if (message[http::field::host].empty()) {
     if (message.version() >= 11) return bad("Host is missing");
@@ -88,9 +88,9 @@
   if (const auto named = message.find("Req-Kind"); named != message.end() && View(named->value()) != kind)
     return bad("Req-Kind and the path name two classes");
   const auto length = message.find(http::field::content_length);
-  if (c.effect == Effect::kSafe && length != message.end() && length->value() != "0")
+  if (c.idempotency == Idempotency::kIdempotent && length != message.end() && length->value() != "0")
     return bad("a body where none belongs");
-  if (c.effect == Effect::kKeyed && message["Idempotency-Key"].empty())
+  if (c.idempotency == Idempotency::kIdempotencyKey && message["Idempotency-Key"].empty())
     return bad("Idempotency-Key is missing");
 
   double deadline_ms = c.deadline.count();
--- a/src/spill/price.h
+++ b/src/spill/price.h
@@ -22,9 +22,9 @@
     double above;   // part of what is offered that is asked for by those of higher worth, from 0 to 1
   };
   // A request of so much worth and work (ms; over zero) asks, with `offered` ms of work a second for all.
-  Verdict Ask(Time now, double worth, double work, double offered) {
+  Verdict Ask(Time now, double priority_weight, double work, double offered) {
     Fade(now);
-    const int step = StepOf(worth / work);
+    const int step = StepOf(priority_weight / work);
     demand_[step] += work / kMemory.count();
     double above = 0;
     for (auto at = demand_.rbegin(); at->first > step; ++at) above += at->second;
--- a/src/spill/rules.cpp
+++ b/src/spill/rules.cpp
@@ -17,14 +17,16 @@
 std::optional<Why> Forbids(const Refused& request, const Options& options) {
   if (request.may_have_run) return Why::kMayHaveRun;
   if (request.spilled) return Why::kSpilled;
-  if (request.effect == Effect::kKeyed) return Why::kKeyed;
+  if (request.idempotency == Idempotency::kIdempotencyKey) return Why::kKeyed;
   if (!request.within_budget) return Why::kOverBudget;
   if (!(request.work_ms > 0)) return Why::kNoWork;
-  if (!(request.worth >= options.least_worth_per_work * request.work_ms)) return Why::kLittleWorth;
+  if (!(request.priority_weight >= options.least_worth_per_work * request.work_ms)) return Why::kLittleWorth;
   return std::nullopt;
 }
 
-int MostAttempts(Effect effect) { return effect == Effect::kSafe ? kMostAttempts : 1; }
+int MostAttempts(Idempotency idempotency) {
+  return idempotency == Idempotency::kIdempotent ? kMostAttempts : 1;
+}
 
 Span Needs(const Options& options, std::uint64_t wait_ms, double work_ms) {
   const auto work = std::chrono::duration<double, std::milli>(work_ms);
--- a/src/spill/rules.h
+++ b/src/spill/rules.h
@@ -17,15 +17,15 @@
 // A request that the module has refused. Times are what is left of them now.
 struct Refused {
   RequestId request = 0;
-  Effect effect = Effect::kUnsafe;
-  Span aim_left{0}, deadline_left{0};
-  double work_ms = 0;         // hinted, or the module's mean where there is no hint
-  double worth = 0;           // of an answer within its aim
-  std::uint64_t key = 0;      // 0: none
-  bool within_budget = true;  // its tenant is within its share
-  bool may_have_run = false;  // an attempt of it was sent and is not proven not to have run
-  bool spilled = false;       // another site has spilled it here
-  Span retry_after{0};        // the module's advice to the client; 0: none
+  Idempotency idempotency = Idempotency::kNotIdempotent;
+  Span latency_objective_left{0}, deadline_left{0};
+  double work_ms = 0;          // hinted, or the module's mean where there is no hint
+  double priority_weight = 0;  // of an answer within its aim
+  std::uint64_t key = 0;       // 0: none
+  bool within_budget = true;   // its tenant is within its share
+  bool may_have_run = false;   // an attempt of it was sent and is not proven not to have run
+  bool spilled = false;        // another site has spilled it here
+  Span retry_after{0};         // the module's advice to the client; 0: none
 };
 
 // Why a request is not spilled, or no longer.
@@ -50,7 +50,7 @@
 
 // Of a safe class; any other is spilled at most once in all, whatever comes back.
 inline constexpr int kMostAttempts = 2;
-int MostAttempts(Effect effect);
+int MostAttempts(Idempotency idempotency);
 
 // Until an answer would be back: the way there and back, the neighbour's wait, and the work itself.
 Span Needs(const Options& options, std::uint64_t wait_ms, double work_ms);
--- a/src/spill/spill.cpp
+++ b/src/spill/spill.cpp
@@ -37,7 +37,7 @@
 
 void Spill::On(const Refused& event) {
   if (open_.contains(event.request)) return;
-  Open open{event, now_ + event.aim_left, now_ + event.deadline_left, 0, 0, {}, {}};
+  Open open{event, now_ + event.latency_objective_left, now_ + event.deadline_left, 0, 0, {}, {}};
   auto why = Forbids(event, options_);
   if (!why && estimates_.MaySpill(now_, own_site_) && !WorthIt(open)) why = Why::kLittleWorth;
   if (!why) why = TrySend(open);
@@ -82,12 +82,13 @@
       break;
     case SpillOutcome::kMayHaveRun:
       ++counts_.may_have_run;
-      if (open.request.effect != Effect::kSafe) return End(event.request, Why::kMayHaveRun, true);
+      if (open.request.idempotency != Idempotency::kIdempotent)
+        return End(event.request, Why::kMayHaveRun, true);
       open.request.may_have_run = true;
       break;
   }
-  auto why =
-      open.attempts >= MostAttempts(open.request.effect) ? std::optional(Why::kAttempted) : TrySend(open);
+  auto why = open.attempts >= MostAttempts(open.request.idempotency) ? std::optional(Why::kAttempted)
+                                                                     : TrySend(open);
   if (why) End(event.request, *why, open.request.may_have_run);
 }
 
@@ -120,7 +121,7 @@
   for (const auto& [site, share] : shares_)
     if (neighbours_.AnyInService(now_, site)) offered += share.rate();
   if (offered == 0) return true;  // then nobody takes it, which says more
-  const Price::Verdict verdict = price_.Ask(now_, request.worth, request.work_ms, offered);
+  const Price::Verdict verdict = price_.Ask(now_, request.priority_weight, request.work_ms, offered);
   open.kept_free = kMostKeptFree * verdict.above;
   return verdict.chance >= 1 || boost::random::uniform_01<double>()(random_) < verdict.chance;
 }
--- a/tests/adapter_test.cpp
+++ b/tests/adapter_test.cpp
@@ -104,10 +104,10 @@
   const std::string list =
       Hex("11 24000000 03000000 02 01000000 01000000"
           "074a1203 0000 0000 0000 01 0000803f 0000000000000000");
-  const std::string submit =
+  const std::string received =
       Hex("12 2a000000 03000000 c4913a5dc9090800 0000000020e6c040 0000 0100"
           "640ad2557c3bf091 0000 0000000000002840");
-  const ProcessRun run = Adapter(Frame(3, CreateRecord(testing::kSampleSettings) + list + submit));
+  const ProcessRun run = Adapter(Frame(3, CreateRecord(testing::kSampleSettings) + list + received));
   EXPECT_EQ(run.exit_code, 0) << run.err;
   EXPECT_NE(run.out.find(Hex("1b 18000000 03000000 c4913a5dc9090800")), std::string::npos);
   EXPECT_NE(run.out.find(Hex("12 05000000 03000000 01")), std::string::npos)
--- a/tests/backend/deadline_test.cpp
+++ b/tests/backend/deadline_test.cpp
@@ -87,7 +87,7 @@
   std::this_thread::sleep_until(Clock::now() + milliseconds(25));
   EXPECT_EQ(bench.ReadToEnd(peer), "");
   ASSERT_TRUE(bench.result.has_value());
-  EXPECT_TRUE(bench.result->outcome == Outcome::kMoot || bench.result->outcome == Outcome::kConnectFailed);
+  EXPECT_TRUE(bench.result->outcome == Outcome::kNotSent || bench.result->outcome == Outcome::kConnectFailed);
 }
 
 TEST(TimeLeft, NothingIsWrittenOnAConnectionUsedAgainWhereNoneIsLeft) {
@@ -100,7 +100,7 @@
   bench.Send(Duration(0.9));
   EXPECT_EQ(bench.ReadToEnd(peer), "");
   ASSERT_TRUE(bench.result.has_value());
-  EXPECT_EQ(bench.result->outcome, Outcome::kMoot);
+  EXPECT_EQ(bench.result->outcome, Outcome::kNotSent);
 }
 
 // The first attempt takes its time and is turned away.
--- a/tests/backend/gone_test.cpp
+++ b/tests/backend/gone_test.cpp
@@ -28,7 +28,7 @@
   bench.RunOnce();
   bench.backends.GiveUp(attempt);
   ASSERT_TRUE(bench.result.has_value());
-  EXPECT_EQ(bench.result->outcome, Outcome::kMoot);
+  EXPECT_EQ(bench.result->outcome, Outcome::kNotSent);
   EXPECT_EQ(bench.backends.connections(), 0u);
   // So that without the end above the first connection would be tried again, and come up, before the second.
   std::this_thread::sleep_for(std::chrono::milliseconds(100));
@@ -49,7 +49,7 @@
   Tcp::socket peer = bench.Accept();
   bench.backends.GiveUp(attempt);
   ASSERT_TRUE(bench.result.has_value());
-  EXPECT_EQ(bench.result->outcome, Outcome::kMoot);
+  EXPECT_EQ(bench.result->outcome, Outcome::kNotSent);
   EXPECT_EQ(bench.ReadToEnd(peer), "");
 }
 
@@ -60,7 +60,7 @@
   while (peer.available() == 0) bench.RunOnce();
   bench.backends.GiveUp(attempt);
   ASSERT_TRUE(bench.result.has_value());
-  EXPECT_EQ(bench.result->outcome, Outcome::kMoot);
+  EXPECT_EQ(bench.result->outcome, Outcome::kNotSent);
   EXPECT_LT(bench.ReadToEnd(peer).size(), kMoreThanASocketHolds);
 }
 
--- a/tests/backends_test.cpp
+++ b/tests/backends_test.cpp
@@ -107,7 +107,7 @@
   bench.Send(Duration(30000));
   bench.RunUntilResult();
   ASSERT_TRUE(bench.result.has_value());
-  EXPECT_EQ(bench.result->outcome, Outcome::kMoot);
+  EXPECT_EQ(bench.result->outcome, Outcome::kNotSent);
   EXPECT_FALSE(first.has_value());
   // The first goes on, and once it is idle it makes room.
   Tcp::socket peer = bench.Accept();
--- a/tests/balancer_test.cpp
+++ b/tests/balancer_test.cpp
@@ -138,7 +138,7 @@
 }
 
 TEST(OutlierDetection, CancelsAndMootTellNothing) {
-  for (Outcome outcome : {Outcome::kCancelled, Outcome::kMoot, Outcome::kUnknown}) {
+  for (Outcome outcome : {Outcome::kCancelled, Outcome::kNotSent, Outcome::kUnknown}) {
     Settings settings = Usual();
     settings.max_attempts = 1;
     Rig rig(settings);
@@ -150,7 +150,7 @@
 
 TEST(OutlierDetection, EveryFailureCounts) {
   for (Outcome outcome :
-       {Outcome::kError, Outcome::kFull, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
+       {Outcome::kError, Outcome::kOverloaded, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
     Settings s = Usual();
     s.max_attempts = 1;
     Rig rig(s);
@@ -332,7 +332,7 @@
 
 TEST(Pick, AmongIdleServersTheOwnZoneGoesFirstWhereCrossingHasAPrice) {
   Settings s = Usual();
-  s.price_cross_zone = 0.02;
+  s.cross_zone_price = 0.02;
   Rig rig(s);
   rig.List({Entry(1, 1), Entry(2, 0), Entry(3, 1)});
   for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
@@ -369,7 +369,7 @@
 // Spread evenly, a key was served afresh by one server after the other: up to half of all work for nothing.
 TEST(Pick, AKeyGoesWhereItIsWarmUnlessThatIsFarBusier) {
   Settings settings = Usual();
-  settings.warm_keys = true;
+  settings.session_affinity = true;
   Rig rig(settings);
   rig.Servers(4);
   auto ask = [&](std::uint64_t key, double work = 10) { return *rig.Ask(next_id++, 0, work, 5000, key); };
@@ -390,7 +390,7 @@
   }
   EXPECT_GT(later.size(), 1u) << "forgotten";
 
-  settings.warm_keys = false;
+  settings.session_affinity = false;
   Rig none(settings);
   none.Servers(2);
   const auto first = none.Ask(next_id++, 0, 10, 5000, 7);
@@ -401,7 +401,7 @@
   Rig rig;
   rig.Servers(4);
   const auto advise = [&](ServerId server, double until, int failures, int attempts) {
-    rig.Do(PeerVerdict{server, At(rig.now + until), failures, attempts});
+    rig.Do(PeerEjection{server, At(rig.now + until), failures, attempts});
   };
   const auto serves = [&](ServerId server) {
     std::set<ServerId> used;
@@ -448,8 +448,8 @@
 TEST(LifeBefore, ItsEjectionsHoldForTheTimeThatTheyHadLeft) {
   Rig rig;
   rig.Servers(3);
-  rig.Do(Restored{2, At(rig.now + 700), 3});
-  rig.Do(Restored{9, At(rig.now + 700), 1});
+  rig.Do(RestoredEjection{2, At(rig.now + 700), 3});
+  rig.Do(RestoredEjection{9, At(rig.now + 700), 1});
   const auto used = [&] {
     std::set<ServerId> servers;
     for (int i = 0; i < 9; ++i) {
@@ -467,10 +467,10 @@
 }
 
 TEST(LifeBefore, ItsPaceLetsAYoungProxySendMoreAtOnce) {
-  const auto sent_at_once = [](const Pace& pace) {
+  const auto sent_at_once = [](const LearnedRates& rates) {
     Rig rig;
     rig.Servers(4);
-    if (pace.answers_per_ms > 0) rig.Do(pace);
+    if (rates.responses_per_ms > 0) rig.Do(rates);
     int sent = 0;
     for (int i = 0; i < 40; ++i) sent += rig.Ask(next_id++, 0, 10, 900).has_value();
     return sent;
@@ -482,42 +482,42 @@
 TEST(LifeBefore, WhatItLearntGoesOnToTheNext) {
   Rig rig;
   rig.Servers(2);
-  EXPECT_EQ(rig.Learnt().answers_per_ms, 0);
+  EXPECT_EQ(rig.learned_rates().responses_per_ms, 0);
   for (int i = 0; i < 50; ++i) {
     const RequestId id = next_id++;
     const ServerId server = *rig.Ask(id, 0, 10, 900);
     rig.now += 10;
     rig.End(id, 0, server, Outcome::kOk);
   }
-  const Pace pace = rig.Learnt();
-  EXPECT_NEAR(pace.answers_per_ms, 0.1, 0.03);
-  EXPECT_NEAR(pace.work_per_ms, 1, 0.3);
+  const LearnedRates rates = rig.learned_rates();
+  EXPECT_NEAR(rates.responses_per_ms, 0.1, 0.03);
+  EXPECT_NEAR(rates.work_per_ms, 1, 0.3);
   Rig next;
   next.Servers(2);
-  next.Do(pace);
-  EXPECT_EQ(next.Learnt().answers_per_ms, pace.answers_per_ms);
+  next.Do(rates);
+  EXPECT_EQ(next.learned_rates().responses_per_ms, rates.responses_per_ms);
 }
 
 TEST(Peers, NoServerHasMoreInFlightThanThisProxysShare) {
   Rig rig;
   rig.Servers(1);
-  rig.Do(ServerShare{1});
+  rig.Do(ServerConcurrencyLimit{1});
   int in_flight = 0;
   for (int i = 0; i < 3; ++i) in_flight += rig.Ask(next_id++, 0, 10, 900).has_value();
   EXPECT_EQ(in_flight, 1);
   rig.End(rig.sent.front().request, 0, 1, Outcome::kOk);
   EXPECT_EQ(rig.Count<Dispatch>(), 1) << "one that was held takes the place";
-  rig.Do(ServerShare{0});
+  rig.Do(ServerConcurrencyLimit{0});
   EXPECT_EQ(rig.Count<Dispatch>(), 1) << "no limit: what is held goes";
 }
 
 TEST(Peers, AKeyIsWarmWhereAPeerHasSentItAndForgottenInTime) {
   Settings settings = Usual();
-  settings.warm_keys = true;
+  settings.session_affinity = true;
   Rig rig(settings);
   rig.Servers(8);
   for (int i = 0; i < 4; ++i) {
-    rig.Do(PeerKey{5, 77, At(rig.now)});
+    rig.Do(PeerAffinity{5, 77, At(rig.now)});
     const RequestId id = next_id++;
     EXPECT_EQ(rig.Ask(id, 0, 10, 900, 77), ServerId{5});
     rig.End(id, 0, 5, Outcome::kOk);
@@ -548,8 +548,8 @@
 
 TEST(Discovery, AsksAtStartAndAgainAfterAFailure) {
   Settings s = Usual();
-  s.must_ask_for_list = true;
-  s.must_ask_within = Duration(10000);
+  s.must_poll_for_list = true;
+  s.max_poll_interval = Duration(10000);
   Rig rig(s);
   rig.List({Entry(1)}, ListKind::kCached);
   EXPECT_EQ(rig.Count<Subscribe>(), 1);
@@ -587,13 +587,13 @@
 TEST(Attempts, OnlyWhatIsPermittedIsSentAgainOrRefused) {
   const Verdict verdicts[] = {
       {0, Outcome::kError, true, true},         {0, Outcome::kTimeout, true, true},
-      {0, Outcome::kReset, true, true},         {0, Outcome::kFull, true, true},
+      {0, Outcome::kReset, true, true},         {0, Outcome::kOverloaded, true, true},
       {0, Outcome::kConnectFailed, true, true}, {1, Outcome::kError, true, false},
-      {1, Outcome::kTimeout, true, false},      {1, Outcome::kFull, true, true},
+      {1, Outcome::kTimeout, true, false},      {1, Outcome::kOverloaded, true, true},
       {1, Outcome::kConnectFailed, true, true}, {1, Outcome::kReset, true, false},
       {2, Outcome::kError, false, false},       {2, Outcome::kTimeout, false, false},
       {2, Outcome::kReset, false, false},       {2, Outcome::kUnknown, false, false},
-      {2, Outcome::kFull, true, true},          {2, Outcome::kConnectFailed, true, true},
+      {2, Outcome::kOverloaded, true, true},    {2, Outcome::kConnectFailed, true, true},
       {2, Outcome::kCancelled, false, false},
   };
   for (const Verdict& v : verdicts) {
@@ -607,7 +607,7 @@
     if (v.again) {
       EXPECT_NE(rig.SentTo(1), first) << "elsewhere";
     } else {
-      EXPECT_EQ(rig.Count<Fail>(), 1);
+      EXPECT_EQ(rig.Count<FailRequest>(), 1);
     }
     // And with no attempt left: refused only where that is permitted.
     Settings s = Usual();
@@ -616,8 +616,8 @@
     last.Servers(3);
     const auto only = last.Ask(1, v.cls);
     last.End(1, 0, *only, v.outcome);
-    EXPECT_EQ(last.Count<Refuse>(), v.refusable ? 1 : 0);
-    EXPECT_EQ(last.Count<Fail>(), v.refusable ? 0 : 1);
+    EXPECT_EQ(last.Count<Reject>(), v.refusable ? 1 : 0);
+    EXPECT_EQ(last.Count<FailRequest>(), v.refusable ? 0 : 1);
   }
 }
 
@@ -637,7 +637,7 @@
     rig.now += 401;  // past the 500 ms window
     rig.End(next_id, 1, gone ? first : 3 - first, Outcome::kError);
     EXPECT_FALSE(rig.SentTo(next_id).has_value());
-    EXPECT_EQ(rig.Count<Fail>(), 1);
+    EXPECT_EQ(rig.Count<FailRequest>(), 1);
     ++next_id;
   }
 }
@@ -698,7 +698,7 @@
   ASSERT_TRUE(second.has_value());
   rig.End(1, 1, *second, Outcome::kConnectFailed);
   EXPECT_FALSE(rig.SentTo(1).has_value());
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  EXPECT_EQ(rig.Count<Reject>(), 1);
 }
 
 TEST(Attempts, AFailingFleetMeetsNoStorm) {
@@ -720,7 +720,7 @@
 TEST(Pick, AFullHomeZoneIsLeftAndAGoodOneKept) {
   for (const bool full : {true, false}) {
     Settings settings = Usual();
-    settings.price_cross_zone = 0.06;
+    settings.cross_zone_price = 0.06;
     Rig rig(settings);
     std::vector<ServerEntry> list;
     for (ServerId id = 1; id <= 40; ++id) list.push_back(Entry(id, id > 20));
@@ -747,7 +747,7 @@
 // The memory of keys must outlive its own forgetting: the same key twice at one server, then silence.
 TEST(Pick, KeysAreForgottenAndMetAgain) {
   Settings settings = Usual();
-  settings.warm_keys = true;
+  settings.session_affinity = true;
   Rig rig(settings);
   rig.Servers(2);
   for (int round = 0; round < 4; ++round) {
@@ -768,8 +768,8 @@
   std::map<ServerId, int> proxies_at;
   for (int me = 0; me < kProxies; ++me) {
     Settings settings = Usual();
-    settings.balancers = kProxies;
-    settings.me = me;
+    settings.balancer_count = kProxies;
+    settings.balancer_index = me;
     Rig rig(settings, me + 1);
     rig.Servers(kServers);
     std::set<ServerId> used;
@@ -790,7 +790,7 @@
 // A shrunk fleet: a fixed subset brought 133 proxies to each server (tsoa big-1), and old connections stayed.
 TEST(Subset, FewServersAreSharedByNoMoreProxiesThanTheyCanHold) {
   Settings settings = Usual();
-  settings.balancers = 640;
+  settings.balancer_count = 640;
   Rig rig(settings);
   rig.Servers(80);
   std::vector<ServerEntry> gone;
@@ -830,7 +830,7 @@
   int sent[2] = {0, 0};
   for (const bool crowded : {false, true}) {
     Settings settings = Usual();
-    settings.balancers = 400;
+    settings.balancer_count = 400;
     Rig rig(settings);
     rig.Servers(80);
     for (int i = 0; i < 120; ++i) {
@@ -848,8 +848,8 @@
 // tsoa big-1, i6ba857: a proxy restarted in a crowd took slow answers for usual ones and let everything in.
 TEST(Admission, AProxyBornInACrowdThrottlesByTheAim) {
   Settings settings = Usual();
-  settings.balancers = 400;
-  settings.classes[2].late_worth = 0.5;
+  settings.balancer_count = 400;
+  settings.classes[2].late_priority_share = 0.5;
   Rig rig(settings);
   rig.Servers(80);
   int sent = 0;
@@ -865,7 +865,7 @@
 
 TEST(Subset, ABusyProxyUsesAllServers) {
   Settings settings = Usual();
-  settings.balancers = 400;
+  settings.balancer_count = 400;
   Rig rig(settings);
   rig.Servers(40);
   std::set<ServerId> used;
@@ -927,7 +927,7 @@
     const auto server = rig.Ask(id, 2, 10, 900);
     if (!server) continue;
     sent += *server == 3;
-    rig.End(id, 0, *server, i % 20 ? Outcome::kFull : Outcome::kOk, 5);
+    rig.End(id, 0, *server, i % 20 ? Outcome::kOverloaded : Outcome::kOk, 5);
   }
   // Warm servers serve 0.05 a ms each; 3 x 0.55 of that, at 25 to 55% of its capacity, is 13 in 4 s.
   EXPECT_LE(sent, 13) << "and not 20 times as many, as the fleet is sent";
@@ -937,8 +937,8 @@
 // big-2).
 TEST(ColdStart, ABudgetDoesNotStarveItselfWhenNoServerIsWarm) {
   Settings settings = Usual();
-  settings.warm_up = Duration(20000);
-  settings.cold_from = 0.1;
+  settings.slow_start_window = Duration(20000);
+  settings.slow_start_min_share = 0.1;
   Rig rig(settings);
   rig.Servers(6);
   bool served = true;
@@ -969,7 +969,7 @@
   for (int i = 0; i < 50; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Ask(id, 2, 10, 2000);
-    if (s) ++sent, rig.End(id, 0, *s, Outcome::kFull);
+    if (s) ++sent, rig.End(id, 0, *s, Outcome::kOverloaded);
   }
   EXPECT_LE(sent, 2) << "nothing is known of warm servers: one mean request a window";
 }
@@ -987,8 +987,8 @@
 // big-2 of a catalogue: 4.1 times what it could do).
 TEST(ColdStart, ManyProxiesTakeTurnsAtAStartingServer) {
   Settings settings = Usual();
-  settings.balancers = 400;
-  settings.cold_from = 0.1;
+  settings.balancer_count = 400;
+  settings.slow_start_min_share = 0.1;
   int at_once = 0;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
     Rig rig(settings, seed);
@@ -1017,8 +1017,8 @@
   for (int i = 0; i < 4; ++i) ASSERT_TRUE(rig.Ask(next_id++, 2, 10, 5000).has_value());
   EXPECT_FALSE(rig.Ask(next_id++, 2, 10, 5000).has_value());
   double waited = 0;
-  while (rig.Count<Refuse>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  while (rig.Count<Reject>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
+  EXPECT_EQ(rig.Count<Reject>(), 1);
   EXPECT_LE(waited, 205) << "within the aim, not at the deadline";
 }
 
@@ -1027,7 +1027,7 @@
   std::size_t in_flight[2];
   for (const bool crowded : {false, true}) {
     Settings settings = Usual();
-    settings.balancers = 400;
+    settings.balancer_count = 400;
     Rig rig(settings);
     rig.Servers(80);
     for (int i = 0; i < 60; ++i) {
@@ -1060,7 +1060,7 @@
 TEST(Admission, WhatIsTooLargeIsTriedWhileThereIsRoomAndRefusedInACrowd) {
   for (const bool crowded : {false, true}) {
     Settings settings = Usual();
-    settings.balancers = 400;
+    settings.balancer_count = 400;
     Rig rig(settings);
     rig.Servers(80);
     for (int i = 0; i < 40; ++i) {
@@ -1075,8 +1075,8 @@
 
 TEST(Admission, TheMostWorthGoesFirst) {
   Settings s = Usual();
-  s.classes[2].worth = 1;
-  s.classes[0].worth = 9;
+  s.classes[2].priority_weight = 1;
+  s.classes[0].priority_weight = 9;
   Rig rig(s);
   rig.Servers(1);
   const RequestId first = next_id++;
@@ -1098,15 +1098,15 @@
 TEST(Admission, BeyondItsShareATenantComesLast) {
   Settings s = Usual();
   s.tenants = {{1}, {1}};
-  s.over_share_worth = 0.2;
+  s.over_quota_priority_share = 0.2;
   Rig rig(s);
   rig.Servers(1);
   auto ask = [&](RequestId id, int tenant) {
-    Submit submit;
-    submit.request = id;
-    submit.tenant = tenant;
-    submit.due = At(rig.now + 900);
-    rig.Do(submit);
+    RequestReceived received;
+    received.request = id;
+    received.tenant = tenant;
+    received.due = At(rig.now + 900);
+    rig.Do(received);
     return rig.SentTo(id).has_value();
   };
   EXPECT_TRUE(ask(9001, 0));  // takes the one request a second of its share
@@ -1122,7 +1122,7 @@
 // 65 servers that had just started tripled what was always in order, and the fleet was overdriven.
 TEST(Admission, ColdServersRaiseTheFloorByTheirShareOnly) {
   Settings s = Usual();
-  s.balancers = 2;
+  s.balancer_count = 2;
   Rig rig(s);
   std::vector<ServerEntry> list = {Entry(1), Entry(2)};
   for (ServerId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
@@ -1148,7 +1148,7 @@
 // A new proxy that floods the fleet before it knows any rate leaves queues that last far longer.
 TEST(Admission, ANewProxyStartsFromLittle) {
   Settings s = Usual();
-  s.balancers = 2;
+  s.balancer_count = 2;
   Rig rig(s);
   rig.Servers(4);
   for (int i = 0; i < 50; ++i) rig.Ask(next_id++, 0, 10, 900);
@@ -1163,7 +1163,7 @@
     rig.Tick(50);
   }
   rig.Ask(next_id++, 0, 1000, 900);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "about 1500 ms of 900";
+  EXPECT_EQ(rig.Count<Reject>(), 1) << "about 1500 ms of 900";
   rig.Ask(next_id++, 0, 100, 900);
   EXPECT_EQ(rig.Count<Dispatch>(), 1);
 }
@@ -1186,7 +1186,7 @@
   Rig rig(settings);
   rig.Servers(3);
   auto served = [&](double left, bool repeat = false) {
-    Submit s;
+    RequestReceived s;
     s.request = next_id++;
     s.request_class = 2;
     s.has_hint = true;
@@ -1203,7 +1203,7 @@
   EXPECT_TRUE(served(900)) << "100 of its 1000 are gone, of an aim of 200";
   EXPECT_FALSE(served(780)) << "220 are";
   EXPECT_FALSE(served(600, true)) << "200 or so: half of what may have passed before a marked repeat";
-  const auto* refused = std::get_if<Refuse>(&rig.actions.front());
+  const auto* refused = std::get_if<Reject>(&rig.actions.front());
   ASSERT_NE(refused, nullptr);
   EXPECT_EQ(refused->retry_after.count(), 300) << "another try would be later still";
   EXPECT_TRUE(served(600));
@@ -1240,7 +1240,7 @@
 // nothing.
 TEST(Admission, TheLimitLeavesRoomForChance) {
   Settings settings = Usual();
-  settings.classes[2].aim = Duration(1000);
+  settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
   Rig rig(settings);
   rig.Servers(3);
@@ -1255,7 +1255,7 @@
 // Long aims let queues grow until servers choked on them; a fleet in that state did a fifth of its work.
 TEST(Admission, LongAimsDoNotCrowdServers) {
   Settings settings = Usual();
-  settings.classes[2].aim = Duration(1000);
+  settings.classes[2].latency_objective = Duration(1000);
   settings.classes[2].deadline = Duration(5000);
   Rig rig(settings);
   rig.Servers(3);
@@ -1282,7 +1282,7 @@
   while (rig.Ask(last, 2, 10, 900).has_value());
   rig.Tick(5);
   EXPECT_FALSE(rig.SentTo(last).has_value()) << "the limit is reached, and no answer is overdue";
-  while (!rig.SentTo(last) && rig.Count<Refuse>() == 0) rig.Tick(5);
+  while (!rig.SentTo(last) && rig.Count<Reject>() == 0) rig.Tick(5);
   EXPECT_TRUE(rig.SentTo(last).has_value()) << "answers take 10 ms; those that are out have taken far longer";
 }
 
@@ -1308,7 +1308,7 @@
   do last = next_id++;
   while (rig.Ask(last, 2, 10, 900).has_value());
   double waited = 0;
-  while (!rig.SentTo(last) && rig.Count<Refuse>() == 0) rig.Tick(5), waited += 5;
+  while (!rig.SentTo(last) && rig.Count<Reject>() == 0) rig.Tick(5), waited += 5;
   EXPECT_TRUE(rig.SentTo(last).has_value());
   EXPECT_LE(waited, 25) << "10 ms that answers take and four deviations of 2 ms";
 }
@@ -1352,12 +1352,12 @@
   rig.Ask(1, 0);
   EXPECT_FALSE(rig.SentTo(1).has_value()) << "a duplicate id";
   rig.Ask(2, 99);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "an unknown class";
+  EXPECT_EQ(rig.Count<Reject>(), 1) << "an unknown class";
   rig.Ask(3, 0, 10, -50);
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "due in the past";
+  EXPECT_EQ(rig.Count<Reject>(), 1) << "due in the past";
   for (double work : {0.0, -5.0, inf, nan, 1e300}) {
     const RequestId id = 100 + next_id++;
-    Submit s;
+    RequestReceived s;
     s.request = id;
     s.due = At(rig.now + 500);
     s.has_hint = true;
@@ -1369,7 +1369,7 @@
     e.request = id;
     e.server = 1;
     e.outcome = Outcome::kOk;
-    e.settled = true;
+    e.is_request_finished = true;
     e.took = Duration(nan);
     rig.Do(e);
   }
@@ -1380,10 +1380,10 @@
   Rig rig;
   rig.List({});
   EXPECT_FALSE(rig.Ask(next_id++, 0, 10, 1000).has_value());
-  EXPECT_EQ(rig.Count<Refuse>() + rig.Count<Fail>(), 0);
+  EXPECT_EQ(rig.Count<Reject>() + rig.Count<FailRequest>(), 0);
   double waited = 0;
-  while (rig.Count<Refuse>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  while (rig.Count<Reject>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
+  EXPECT_EQ(rig.Count<Reject>(), 1);
   EXPECT_LE(waited, 1000);
 }
 
@@ -1399,8 +1399,8 @@
 
 TEST(Odd, AThousandServersAndNoHints) {
   Settings settings = Usual();
-  settings.balancers = 3000;
-  settings.me = 2999;
+  settings.balancer_count = 3000;
+  settings.balancer_index = 2999;
   Rig rig(settings);
   rig.Servers(1000);
   for (int i = 0; i < 100; ++i) {
--- a/tests/bodies_test.cpp
+++ b/tests/bodies_test.cpp
@@ -8,11 +8,11 @@
 namespace load_balancer::testing {
 namespace {
 
-Submit Upload(const Rig& rig, RequestId id, double patience = 1000) {
-  Submit s;
+RequestReceived Upload(const Rig& rig, RequestId id, double patience = 1000) {
+  RequestReceived s;
   s.request = id;
   s.request_class = 2;
-  s.uploading = true;
+  s.is_body_pending = true;
   s.has_hint = true;
   s.work_ms = 10;
   s.due = At(rig.now + patience);
@@ -28,7 +28,7 @@
     EXPECT_TRUE(rig.SentTo(id)) << id;
   }
   EXPECT_TRUE(rig.Ask(6));
-  rig.Do(Uploaded{1, At(rig.now + 1000)});
+  rig.Do(BodyReceived{1, At(rig.now + 1000)});
   EXPECT_FALSE(rig.Ask(7)) << "two are in flight";
   rig.End(1, 0, 1, Outcome::kOk);
   EXPECT_TRUE(rig.SentTo(7));
@@ -51,8 +51,8 @@
   const auto first = rig.SentTo(1);
   ASSERT_TRUE(first);
   rig.now += 5000;
-  rig.Do(Uploaded{1, At(rig.now + 1000)});
-  rig.End(1, 0, *first, Outcome::kFull);
+  rig.Do(BodyReceived{1, At(rig.now + 1000)});
+  rig.End(1, 0, *first, Outcome::kOverloaded);
   EXPECT_TRUE(rig.SentTo(1)) << "there is time for another";
 }
 
@@ -66,7 +66,7 @@
     rig.Do(Upload(rig, id));
     EXPECT_FALSE(rig.SentTo(id));
     rig.now += 10;
-    rig.Do(Uploaded{id, At(rig.now + 1000)});
+    rig.Do(BodyReceived{id, At(rig.now + 1000)});
   }
   rig.Do(ClientGone{3});
   rig.End(1, 0, 1, Outcome::kOk);
@@ -82,10 +82,10 @@
   end.request = 1;
   end.server = rig.SentTo(1).value_or(0);
   end.outcome = Outcome::kConnectFailed;
-  end.repeatable = false;
+  end.is_replayable = false;
   rig.Do(end);
   EXPECT_FALSE(rig.SentTo(1));
-  EXPECT_EQ(rig.Count<Refuse>(), 1) << "it never ran";
+  EXPECT_EQ(rig.Count<Reject>(), 1) << "it never ran";
 }
 
 }  // namespace
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -53,13 +53,13 @@
   ASSERT_EQ(batch.records.size(), 3u);
   EXPECT_EQ(batch.records[0].instance, 3u);
   EXPECT_EQ(batch.records[2].instance, 5u);
-  const auto submit = EventIn<Submit>(batch);
-  EXPECT_EQ(submit.request, 0x0809c95d3a91c4u);
-  EXPECT_EQ(submit.due.time_since_epoch().count(), 8652.25);
-  EXPECT_EQ(submit.key, 0x91f03b7c55d20a64u);
-  EXPECT_TRUE(submit.has_hint);
-  EXPECT_FALSE(submit.client_retry);
-  EXPECT_EQ(submit.work_ms, 12);
+  const auto received = EventIn<RequestReceived>(batch);
+  EXPECT_EQ(received.request, 0x0809c95d3a91c4u);
+  EXPECT_EQ(received.due.time_since_epoch().count(), 8652.25);
+  EXPECT_EQ(received.key, 0x91f03b7c55d20a64u);
+  EXPECT_TRUE(received.has_hint);
+  EXPECT_FALSE(received.client_retry);
+  EXPECT_EQ(received.work_ms, 12);
   EXPECT_EQ(std::get<TimerFired>(std::get<Event>(batch.records[1].message)).token, 77u);
   EXPECT_EQ(std::get<ClientGone>(std::get<Event>(batch.records[2].message)).request, 0x0bfff20e6f2b19u);
 }
@@ -93,22 +93,22 @@
   const auto bare = EventIn<AttemptEnded>(
       One(Hex("14 1d000000 03000000 c4913a5dc9090800 01 074a1203 02 c800 0000000000803240 00")));
   EXPECT_EQ(bare.request, 0x0809c95d3a91c4u);
-  EXPECT_TRUE(bare.settled);
+  EXPECT_TRUE(bare.is_request_finished);
   EXPECT_EQ(bare.server, 0x03124a07u);
   EXPECT_EQ(bare.attempt, 2);
   EXPECT_EQ(bare.outcome, Outcome::kOk);
   EXPECT_EQ(bare.took.count(), 18.5);
   const auto full = EventIn<AttemptEnded>(One(Hex(
       "14 25000000 03000000 c4913a5dc9090800 00 074a1203 00 f701 0000000000803240 02 0000803f 0000003f")));
-  EXPECT_FALSE(full.settled);
-  EXPECT_EQ(full.outcome, Outcome::kFull);
+  EXPECT_FALSE(full.is_request_finished);
+  EXPECT_EQ(full.outcome, Outcome::kOverloaded);
 }
 
 TEST(Codec, EveryOutcome) {
   const std::pair<const char*, Outcome> outcomes[] = {
-      {"c800", Outcome::kOk},        {"f401", Outcome::kError},         {"f701", Outcome::kFull},
+      {"c800", Outcome::kOk},        {"f401", Outcome::kError},         {"f701", Outcome::kOverloaded},
       {"f801", Outcome::kTimeout},   {"f601", Outcome::kConnectFailed}, {"5602", Outcome::kReset},
-      {"f301", Outcome::kCancelled}, {"9a01", Outcome::kMoot},          {"0700", Outcome::kUnknown}};
+      {"f301", Outcome::kCancelled}, {"9a01", Outcome::kNotSent},       {"0700", Outcome::kUnknown}};
   for (const auto& [status, outcome] : outcomes) {
     const auto end = EventIn<AttemptEnded>(One(Hex("14 1d000000 03000000 0100000000000000 00 02000000 00") +
                                                Hex(status) + Hex("0000000000000000 00")));
@@ -139,8 +139,8 @@
        "1b 18000000 03000000 c4913a5dc9090800 0000000000005440 074a1203"},
       {SetTimer{TimePoint(Duration(8912.25)), 77}, "19 14000000 03000000 000000002068c140 4d00000000000000"},
       {Log{"two servers unknown"}, "16 19000000 03000000 1300 74776f207365727665727320756e6b6e6f776e"},
-      {Refuse{0x0bfff20e6f2b19u, Duration(250)}, "14 14000000 03000000 192b6f0ef2ff0b00 0000000000406f40"},
-      {Fail{0x0bfff20e6f2b19u}, "10 0c000000 03000000 192b6f0ef2ff0b00"},
+      {Reject{0x0bfff20e6f2b19u, Duration(250)}, "14 14000000 03000000 192b6f0ef2ff0b00 0000000000406f40"},
+      {FailRequest{0x0bfff20e6f2b19u}, "10 0c000000 03000000 192b6f0ef2ff0b00"},
       {Subscribe{}, "12 05000000 03000000 01"},
       {CloseIdle{0x2c9011f2u}, "13 08000000 03000000 f211902c"},
   };
--- a/tests/cold/fleet_day.cpp
+++ b/tests/cold/fleet_day.cpp
@@ -23,7 +23,7 @@
 }  // namespace
 
 FleetDay::FleetDay(const Plan& plan, std::uint64_t seed) : plan_(plan), draw_(seed) {
-  const double window = plan_.settings.overload_for.count();
+  const double window = plan_.settings.overload_window.count();
   for (std::size_t s = 0; s < plan_.servers.size(); ++s) {
     Server server(ColdCount(window, plan_.mean_work));
     server.entry.server = static_cast<ServerId>(draw_.Seed() >> 32);
@@ -101,7 +101,7 @@
 void FleetDay::StartProcess(std::size_t process) {
   Process& p = processes_[process];
   Settings settings = plan_.settings;
-  settings.me = static_cast<int>(process);
+  settings.balancer_index = static_cast<int>(process);
   p.balancer = std::make_unique<Balancer>(settings, draw_.Seed());
   ListUpdate list{ListKind::kCached, {}};
   for (const ServerEntry& entry : p.listed)
@@ -115,7 +115,7 @@
   ++p.life;
   for (const auto& [id, open] : std::exchange(p.open, {})) {
     const Call& call = calls_[open.call];
-    const bool safe = plan_.settings.classes[call.request_class].effect == Effect::kSafe;
+    const bool safe = plan_.settings.classes[call.request_class].idempotency == Idempotency::kIdempotent;
     if (safe || open.attempts == 0) TryAgain(open.call, 0);
   }
 }
@@ -146,7 +146,7 @@
   call.request_class = static_cast<int>(draw_.Below(plan_.settings.classes.size()));
   call.work = draw_.Lognormal(plan_.mean_work, plan_.variation);
   call.asked_at = now_;
-  verdict_.asked += plan_.settings.classes[call.request_class].worth;
+  verdict_.asked += plan_.settings.classes[call.request_class].priority_weight;
   calls_.push_back(call);
   Try(calls_.size() - 1);
 }
@@ -165,13 +165,13 @@
   processes_[process].open[request] = open;
   After(open.due - now_,
         [this, process, life = processes_[process].life, request] { Expire(process, life, request); });
-  Submit submit;
-  submit.request = request;
-  submit.due = Point(open.due);
-  submit.request_class = call.request_class;
-  submit.has_hint = plan_.hinted;
-  submit.work_ms = call.work;
-  Feed(process, submit);
+  RequestReceived received;
+  received.request = request;
+  received.due = Point(open.due);
+  received.request_class = call.request_class;
+  received.has_hint = plan_.hinted;
+  received.work_ms = call.work;
+  Feed(process, received);
 }
 
 void FleetDay::TryAgain(std::size_t number, double wait) {
@@ -187,7 +187,8 @@
   const Call& call = calls_[number];
   const ClassSettings& rules = plan_.settings.classes[call.request_class];
   const double took = now_ - call.asked_at;
-  verdict_.served += rules.worth * (took <= rules.aim.count() ? 1 : rules.late_worth);
+  verdict_.served +=
+      rules.priority_weight * (took <= rules.latency_objective.count() ? 1 : rules.late_priority_share);
 }
 
 // The client has waited as long as it will.
@@ -197,7 +198,7 @@
   if (p.life != life || found == p.open.end()) return;
   const Open open = found->second;
   const Call& call = calls_[open.call];
-  const bool safe = plan_.settings.classes[call.request_class].effect == Effect::kSafe;
+  const bool safe = plan_.settings.classes[call.request_class].idempotency == Idempotency::kIdempotent;
   if (safe) TryAgain(open.call, 0);
   if (open.out) return End({process, life, request, open.attempts - 1}, Outcome::kTimeout);
   p.open.erase(found);
@@ -228,7 +229,7 @@
     After(action.timeout.count(), [this, attempt] { End(attempt, Outcome::kTimeout); });
 }
 
-void FleetDay::Do(std::size_t process, const Refuse& action) {
+void FleetDay::Do(std::size_t process, const Reject& action) {
   auto& open = processes_[process].open;
   const auto found = open.find(action.request);
   if (found == open.end()) return;
@@ -237,14 +238,14 @@
   TryAgain(call, action.retry_after.count());
 }
 
-void FleetDay::Do(std::size_t process, const Fail& action) {
+void FleetDay::Do(std::size_t process, const FailRequest& action) {
   auto& open = processes_[process].open;
   const auto found = open.find(action.request);
   if (found == open.end()) return;
   const std::size_t call = found->second.call;
   open.erase(found);
-  const Effect effect = plan_.settings.classes[calls_[call].request_class].effect;
-  if (effect == Effect::kSafe) TryAgain(call, 0);
+  const Idempotency idempotency = plan_.settings.classes[calls_[call].request_class].idempotency;
+  if (idempotency == Idempotency::kIdempotent) TryAgain(call, 0);
 }
 
 void FleetDay::Do(std::size_t process, const SetTimer& action) {
@@ -265,8 +266,8 @@
 
 double FleetDay::Share(std::size_t server) const {
   const ServerPlan& plan = plan_.servers[server];
-  const double age = std::min(1.0, (now_ - servers_[server].up_since) / plan.warm_up);
-  return plan.cold_from + (1 - plan.cold_from) * age;
+  const double age = std::min(1.0, (now_ - servers_[server].up_since) / plan.slow_start_window);
+  return plan.slow_start_min_share + (1 - plan.slow_start_min_share) * age;
 }
 
 void FleetDay::Arrive(const AttemptId& attempt, std::size_t server) {
@@ -290,7 +291,7 @@
   const ServerPlan& plan = plan_.servers[server];
   const Settings& settings = plan_.settings;
   const double allowed =
-      settings.fall_multiple * share * plan.cores * plan.speed * settings.overload_for.count();
+      settings.overload_multiple * share * plan.cores * plan.speed * settings.overload_window.count();
   const bool told = Ms(processes_[attempt.process].listed[server].up_since) == s.up_since;
   const Ratios ratios = s.count.Add({now_, work, told}, allowed);
   const double ratio = plan_.hinted ? std::max(ratios.by_number, ratios.by_work) : ratios.by_number;
@@ -341,9 +342,9 @@
   ended.server = servers_[open->server].entry.server;
   ended.outcome = outcome;
   ended.took = Duration(now_ - open->sent_at);
-  ended.settled = outcome == Outcome::kOk || now_ >= open->due;
+  ended.is_request_finished = outcome == Outcome::kOk || now_ >= open->due;
   if (outcome == Outcome::kOk) Answered(open->call);
-  if (ended.settled) processes_[attempt.process].open.erase(attempt.request);
+  if (ended.is_request_finished) processes_[attempt.process].open.erase(attempt.request);
   Feed(attempt.process, ended);
 }
 
--- a/tests/cold/fleet_day.h
+++ b/tests/cold/fleet_day.h
@@ -96,8 +96,8 @@
 
   void Feed(std::size_t process, const Event& event);
   void Do(std::size_t process, const Dispatch& action);
-  void Do(std::size_t process, const Refuse& action);
-  void Do(std::size_t process, const Fail& action);
+  void Do(std::size_t process, const Reject& action);
+  void Do(std::size_t process, const FailRequest& action);
   void Do(std::size_t process, const SetTimer& action);
   template <typename Ignored>
   void Do(std::size_t, const Ignored&) {}
--- a/tests/cold/plan.cpp
+++ b/tests/cold/plan.cpp
@@ -10,13 +10,14 @@
 constexpr double kDayMs = 36000;
 constexpr double kColdEventsFromMs = 3000, kColdEventsUntilMs = 26000;
 
-ClassSettings Class(Effect effect, double aim, double deadline, double worth) {
+ClassSettings Class(Idempotency idempotency, double latency_objective, double deadline,
+                    double priority_weight) {
   ClassSettings c;
-  c.effect = effect;
-  c.aim = Duration(aim);
+  c.idempotency = idempotency;
+  c.latency_objective = Duration(latency_objective);
   c.deadline = Duration(deadline);
-  c.worth = worth;
-  c.late_worth = 0.2;
+  c.priority_weight = priority_weight;
+  c.late_priority_share = 0.2;
   return c;
 }
 
@@ -24,16 +25,16 @@
 
 Settings DrawSettings(Draw& draw, const Deployment& deployment, std::size_t processes) {
   Settings s;
-  s.balancers = static_cast<int>(processes);
-  s.classes = {Class(Effect::kSafe, 600, 2000, 2), Class(Effect::kSafe, 1000, 4000, 1),
-               Class(Effect::kUnsafe, 1000, 3000, 5)};
+  s.balancer_count = static_cast<int>(processes);
+  s.classes = {Class(Idempotency::kIdempotent, 600, 2000, 2), Class(Idempotency::kIdempotent, 1000, 4000, 1),
+               Class(Idempotency::kNotIdempotent, 1000, 3000, 5)};
   s.max_attempts = draw.Chance(0.5) ? 6 : 3;
   s.max_retry_after = Duration(2000);
   s.tick = Duration(5);
-  s.cold_from = In(draw, deployment.cold_from);
-  s.warm_up = Duration(In(draw, deployment.warm_up));
-  s.fall_multiple = In(draw, deployment.fall_multiple);
-  s.overload_for = Duration(In(draw, deployment.overload_for));
+  s.slow_start_min_share = In(draw, deployment.slow_start_min_share);
+  s.slow_start_window = Duration(In(draw, deployment.slow_start_window));
+  s.overload_multiple = In(draw, deployment.overload_multiple);
+  s.overload_window = Duration(In(draw, deployment.overload_window));
   return s;
 }
 
@@ -51,8 +52,9 @@
   server.cores = std::round(In(draw, deployment.cores));
   server.speed = In(draw, deployment.speed);
   const bool better = draw.Chance(0.5);
-  server.cold_from = std::min(0.9, settings.cold_from * (better ? draw.Between(1, 1.4) : 1));
-  server.warm_up = settings.warm_up.count() * (better ? draw.Between(0.6, 1) : 1);
+  server.slow_start_min_share =
+      std::min(0.9, settings.slow_start_min_share * (better ? draw.Between(1, 1.4) : 1));
+  server.slow_start_window = settings.slow_start_window.count() * (better ? draw.Between(0.6, 1) : 1);
   return server;
 }
 
--- a/tests/cold/plan.h
+++ b/tests/cold/plan.h
@@ -36,7 +36,7 @@
   double low = 0, high = 0;
 };
 struct Deployment {
-  Range servers, cores, speed, cold_from, warm_up, fall_multiple, overload_for;
+  Range servers, cores, speed, slow_start_min_share, slow_start_window, overload_multiple, overload_window;
   bool hinted = true;  // requests come with a hint of their work
 };
 
@@ -49,7 +49,7 @@
 
 struct ServerPlan {
   double cores = 1, speed = 1;  // speed of a core over the standard one
-  double cold_from = 1, warm_up = 0;
+  double slow_start_min_share = 1, slow_start_window = 0;
 };
 
 struct Trouble {
--- a/tests/discovery/ask_test.cpp
+++ b/tests/discovery/ask_test.cpp
@@ -20,8 +20,8 @@
 TEST(Discovery, IsAskedAgainWithinTheAskingTimeWhateverBecomesOfTheCalls) {
   constexpr double kWithin = 8000, kStep = 10;
   Settings settings = Usual();
-  settings.must_ask_for_list = true;
-  settings.must_ask_within = Duration(kWithin);
+  settings.must_poll_for_list = true;
+  settings.max_poll_interval = Duration(kWithin);
   Rig rig(settings);
   rig.List({Entry(1)}, ListKind::kCached);
   ASSERT_EQ(rig.Count<Subscribe>(), 1) << "at once";
@@ -69,8 +69,8 @@
  private:
   static Settings With(double within) {
     Settings settings = Usual();
-    settings.must_ask_for_list = true;
-    settings.must_ask_within = Duration(within);
+    settings.must_poll_for_list = true;
+    settings.max_poll_interval = Duration(within);
     return settings;
   }
 
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -26,7 +26,7 @@
 
 class Origin : public proxy::SpillHost, public proxy::Pool::Host {
  public:
-  load_balancer::Spare SpareNow() const override { return {}; }
+  load_balancer::SpareCapacity SpareNow() const override { return {}; }
   void OnSpillBegun(RequestId, proxy::AnswerHead) override { ends.push_back("begun"); }
   void OnSpillServed(RequestId, HttpResponse answer, proxy::Buffers::Hold) override {
     ends.push_back("served " + answer.body());
@@ -87,17 +87,17 @@
   }
 
   // What a request of that effect ends as.
-  std::string Offer(Effect effect, const std::string& answer) {
+  std::string Offer(Idempotency idempotency, const std::string& answer) {
     answer_ = answer;
     auto message = std::make_shared<HttpRequest>(http::verb::get, "/look/it", 11);
     message->set("Req-Id", "1");
     message->prepare_payload();
     spill::Refused refused;
     refused.request = ++last_;
-    refused.effect = effect;
-    refused.aim_left = refused.deadline_left = std::chrono::seconds(10);
+    refused.idempotency = idempotency;
+    refused.latency_objective_left = refused.deadline_left = std::chrono::seconds(10);
     refused.work_ms = 1;
-    refused.worth = 1;
+    refused.priority_weight = 1;
     service_.Offer(refused, message);
     const auto until = std::chrono::steady_clock::now() + fleet::kBound;
     while (origin_.ends.empty() && std::chrono::steady_clock::now() < until)
@@ -123,24 +123,25 @@
 };
 
 TEST_F(SpillOnSockets, GoesMarkedFromTheGatewaysOwnAddressAndIsServed) {
-  EXPECT_EQ(Offer(Effect::kSafe, OkAnswer("there")), "served there");
+  EXPECT_EQ(Offer(Idempotency::kIdempotent, OkAnswer("there")), "served there");
   EXPECT_EQ(from_.Get(), "127.0.1.1 a/a1");
 }
 
 TEST_F(SpillOnSockets, EndsAtOnceAsWhatTheNeighbourSays) {
   const std::string empty = "Content-Length: 0\r\n\r\n";
-  EXPECT_EQ(Offer(Effect::kUnsafe, "HTTP/1.1 503 Busy\r\n" + empty), "refused");
-  EXPECT_EQ(Offer(Effect::kUnsafe, "HTTP/1.1 429 Busy\r\n" + empty), "refused");
-  EXPECT_EQ(Offer(Effect::kUnsafe, "HTTP/1.1 502 Bad\r\n" + empty), "failed");
-  EXPECT_EQ(Offer(Effect::kUnsafe, ""), "failed");  // it may have run there
+  EXPECT_EQ(Offer(Idempotency::kNotIdempotent, "HTTP/1.1 503 Busy\r\n" + empty), "refused");
+  EXPECT_EQ(Offer(Idempotency::kNotIdempotent, "HTTP/1.1 429 Busy\r\n" + empty), "refused");
+  EXPECT_EQ(Offer(Idempotency::kNotIdempotent, "HTTP/1.1 502 Bad\r\n" + empty), "failed");
+  EXPECT_EQ(Offer(Idempotency::kNotIdempotent, ""), "failed");  // it may have run there
 }
 
 TEST_F(SpillOnSockets, AFresherEstimateInAnAnswerCounts) {
   const spill::Estimate none{"b", 1, UnixMilliseconds() + 1, 0, 0, 0, 1, true, 60000};
   const std::string carried = std::string(spill::kEstimateHeader) + ": " + spill::ToJson(none).dump();
-  EXPECT_EQ(Offer(Effect::kSafe, "HTTP/1.1 200 OK\r\n" + carried + "\r\nContent-Length: 0\r\n\r\n"),
-            "served ");
-  EXPECT_EQ(Offer(Effect::kSafe, OkAnswer("there")), "refused");
+  EXPECT_EQ(
+      Offer(Idempotency::kIdempotent, "HTTP/1.1 200 OK\r\n" + carried + "\r\nContent-Length: 0\r\n\r\n"),
+      "served ");
+  EXPECT_EQ(Offer(Idempotency::kIdempotent, OkAnswer("there")), "refused");
 }
 
 TEST_F(SpillOnSockets, AMarkCountsOnlyFromItsGatewaysAddressAndIsTakenOff) {
--- a/tests/federation_test.cpp
+++ b/tests/federation_test.cpp
@@ -12,31 +12,34 @@
 namespace load_balancer::testing {
 namespace {
 
-Submit Request(const Rig& rig, RequestId id, Share share, bool spilled, int cls = 2) {
-  Submit s;
+RequestReceived Request(const Rig& rig, RequestId id, QuotaStatus share, bool spilled, int cls = 2) {
+  RequestReceived s;
   s.request = id;
   s.request_class = cls;
   s.has_hint = true;
   s.work_ms = 10;
   s.due = At(rig.now + 1000);
-  s.share = share;
-  s.spilled = spilled;
+  s.quota_status = share;
+  s.is_overflow = spilled;
   return s;
 }
 
 // One request is within the static quota, which an account's word neither reads nor spends.
 TEST(Federation, AnAccountsWordReplacesTheDividedQuota) {
   const struct {
-    Share first, second;
+    QuotaStatus first, second;
     bool first_goes, second_goes;
-  } table[] = {{Share::kUnknown, Share::kUnknown, true, false}, {Share::kOver, Share::kUnknown, false, true},
-               {Share::kInside, Share::kUnknown, true, true},   {Share::kUnknown, Share::kInside, true, true},
-               {Share::kUnknown, Share::kOver, true, false},    {Share::kInside, Share::kInside, true, true}};
+  } table[] = {{QuotaStatus::kUnknown, QuotaStatus::kUnknown, true, false},
+               {QuotaStatus::kOverQuota, QuotaStatus::kUnknown, false, true},
+               {QuotaStatus::kWithinQuota, QuotaStatus::kUnknown, true, true},
+               {QuotaStatus::kUnknown, QuotaStatus::kWithinQuota, true, true},
+               {QuotaStatus::kUnknown, QuotaStatus::kOverQuota, true, false},
+               {QuotaStatus::kWithinQuota, QuotaStatus::kWithinQuota, true, true}};
   for (const auto& row : table) {
     SCOPED_TRACE(&row - table);
     Settings settings = Usual();
     settings.tenants = {{0.4}};
-    settings.over_share_worth = 0;
+    settings.over_quota_priority_share = 0;
     Rig rig(settings);
     rig.Servers(2);
     rig.Do(Request(rig, 1, row.first, false));
@@ -56,14 +59,14 @@
     SCOPED_TRACE(&row - table);
     Rig rig;
     rig.Servers(1);
-    if (row.part > 0) rig.Do(SpillShare{row.part});
+    if (row.part > 0) rig.Do(OverflowShare{row.part});
     RequestId id = 0;
     for (int i = 0; i < row.own; ++i) ASSERT_TRUE(rig.Ask(++id));
     int sent = 0;
     for (int i = 0; i < 4; ++i) {
-      rig.Do(Request(rig, ++id, Share::kUnknown, true));
+      rig.Do(Request(rig, ++id, QuotaStatus::kUnknown, true));
       sent += rig.SentTo(id).has_value();
-      EXPECT_EQ(rig.Count<Dispatch>() + rig.Count<Refuse>(), 1) << "it goes at once or is refused at once";
+      EXPECT_EQ(rig.Count<Dispatch>() + rig.Count<Reject>(), 1) << "it goes at once or is refused at once";
     }
     EXPECT_EQ(sent, row.spilled);
     for (int i = row.own; i < 2; ++i) EXPECT_TRUE(rig.Ask(++id)) << "own requests have their room";
@@ -71,14 +74,14 @@
 }
 
 TEST(Federation, ASpilledRequestIsNotSentTwice) {
-  for (const auto& [outcome, refused] : {std::pair(Outcome::kFull, true), {Outcome::kReset, false}}) {
+  for (const auto& [outcome, refused] : {std::pair(Outcome::kOverloaded, true), {Outcome::kReset, false}}) {
     Rig rig;
     rig.Servers(3);
-    rig.Do(SpillShare{1});
-    rig.Do(Request(rig, 1, Share::kUnknown, true));
+    rig.Do(OverflowShare{1});
+    rig.Do(Request(rig, 1, QuotaStatus::kUnknown, true));
     rig.End(1, 0, rig.SentTo(1).value(), outcome);
-    EXPECT_EQ(rig.Count<Refuse>(), refused);
-    EXPECT_EQ(rig.Count<Fail>(), !refused);
+    EXPECT_EQ(rig.Count<Reject>(), refused);
+    EXPECT_EQ(rig.Count<FailRequest>(), !refused);
     EXPECT_EQ(rig.Count<Dispatch>(), 0);
   }
 }
@@ -89,7 +92,7 @@
     std::mt19937_64 rng(seed);
     Rig rig(Usual(), seed);
     rig.Servers(2);
-    rig.Do(SpillShare{1});
+    rig.Do(OverflowShare{1});
     std::set<RequestId> own, waiting;
     std::vector<Dispatch> out;
     for (RequestId id = 1; id <= 2000; ++id) {
@@ -105,13 +108,13 @@
         rig.Ask(id, 2, 10);
       } else {
         const bool behind = !waiting.empty();
-        rig.Do(Request(rig, id, Share::kUnknown, true));
+        rig.Do(Request(rig, id, QuotaStatus::kUnknown, true));
         spilled += rig.SentTo(id).has_value();
         waited += behind;
         EXPECT_FALSE(behind && rig.SentTo(id));
       }
       for (const Action& a : rig.actions) {
-        if (const auto* r = std::get_if<Refuse>(&a)) waiting.erase(r->request);
+        if (const auto* r = std::get_if<Reject>(&a)) waiting.erase(r->request);
       }
       for (std::size_t i = before; i < rig.sent.size(); ++i) {
         waiting.erase(rig.sent[i].request);
@@ -125,7 +128,7 @@
 
 TEST(Federation, SpareIsWhatAdmissionHasLeft) {
   Rig rig;
-  EXPECT_EQ(rig.Spare().work_per_ms, 0) << "nothing is known";
+  EXPECT_EQ(rig.EstimateSpareCapacity().work_per_ms, 0) << "nothing is known";
   rig.Servers(3);
   RequestId id = 0;
   const auto answer = [&](int n) {
@@ -135,30 +138,30 @@
     }
   };
   answer(500);
-  const Spare idle = rig.Spare();
+  const SpareCapacity idle = rig.EstimateSpareCapacity();
   EXPECT_GT(idle.work_per_ms, 0);
-  EXPECT_GT(idle.least_work_per_ms, 0);
-  EXPECT_LT(idle.least_work_per_ms, idle.work_per_ms);
+  EXPECT_GT(idle.work_per_ms_lower_bound, 0);
+  EXPECT_LT(idle.work_per_ms_lower_bound, idle.work_per_ms);
   EXPECT_EQ(idle.wait.count(), 0);
 
   std::vector<Dispatch> out;
   double before = idle.work_per_ms;
   while (out.size() < 1000 && rig.Ask(++id, 2, 10, 5000)) {
     out.push_back(rig.sent.back());
-    EXPECT_LT(rig.Spare().work_per_ms, before) << "each one takes its room";
-    before = rig.Spare().work_per_ms;
+    EXPECT_LT(rig.EstimateSpareCapacity().work_per_ms, before) << "each one takes its room";
+    before = rig.EstimateSpareCapacity().work_per_ms;
   }
   ASSERT_LT(out.size(), 1000u);
-  EXPECT_EQ(rig.Spare().work_per_ms, 0) << "one is held";
-  EXPECT_GT(rig.Spare().wait.count(), 0);
+  EXPECT_EQ(rig.EstimateSpareCapacity().work_per_ms, 0) << "one is held";
+  EXPECT_GT(rig.EstimateSpareCapacity().wait.count(), 0);
 
   rig.Do(ClientGone{id});
   EXPECT_FALSE(rig.Ask(++id, 2, 10, 5)) << "too late to be held";
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  EXPECT_EQ(rig.Count<Reject>(), 1);
   for (const Dispatch& d : out) rig.End(d.request, 0, d.server, Outcome::kOk, 20);
-  EXPECT_EQ(rig.Spare().work_per_ms, 0) << "one was refused just now";
+  EXPECT_EQ(rig.EstimateSpareCapacity().work_per_ms, 0) << "one was refused just now";
   rig.now += 1000;
-  EXPECT_GT(rig.Spare().work_per_ms, 0);
+  EXPECT_GT(rig.EstimateSpareCapacity().work_per_ms, 0);
 }
 
 }  // namespace
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -91,7 +91,7 @@
     for (const std::string& line : cluster.process(i).Lines()) {
       if (!line.ends_with(" taken")) continue;
       EXPECT_GT(Figure(line, "left_ms"), 0) << line;
-      EXPECT_LE(Figure(line, "age_ms"), kLongestEjection.count() + 2 * 200) << line;
+      EXPECT_LE(Figure(line, "age_ms"), kMaxEjectionDuration.count() + 2 * 200) << line;
     }
   }
 }
--- a/tests/harness.h
+++ b/tests/harness.h
@@ -17,26 +17,27 @@
 
 inline TimePoint At(double ms) { return TimePoint(Duration(ms)); }
 
-inline ClassSettings Class(Effect effect, double aim = 200, double deadline = 1000) {
+inline ClassSettings Class(Idempotency idempotency, double latency_objective = 200, double deadline = 1000) {
   ClassSettings c;
-  c.effect = effect;
-  c.aim = Duration(aim);
+  c.idempotency = idempotency;
+  c.latency_objective = Duration(latency_objective);
   c.deadline = Duration(deadline);
-  c.window = Duration(500);
+  c.idempotency_window = Duration(500);
   return c;
 }
 
 // Three classes: 0 safe, 1 keyed (cell), 2 unsafe.
 inline Settings Usual() {
   Settings s;
-  s.classes = {Class(Effect::kSafe), Class(Effect::kKeyed), Class(Effect::kUnsafe)};
-  s.classes[1].group = Group::kCell;
+  s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kIdempotencyKey),
+               Class(Idempotency::kNotIdempotent)};
+  s.classes[1].idempotency_scope = IdempotencyScope::kCell;
   s.max_attempts = 4;
-  s.balancers = 1;
-  s.cold_from = 0.25;
-  s.warm_up = Duration(10000);
-  s.fall_multiple = 3;
-  s.overload_for = Duration(1000);
+  s.balancer_count = 1;
+  s.slow_start_min_share = 0.25;
+  s.slow_start_window = Duration(10000);
+  s.overload_multiple = 3;
+  s.overload_window = Duration(1000);
   s.tick = Duration(5);
   return s;
 }
@@ -78,7 +79,7 @@
   // Submits and returns the server it was sent to at once, if any.
   std::optional<ServerId> Ask(RequestId id, int cls = 0, double work = 10, double patience = 1000,
                               std::uint64_t key = 0) {
-    Submit s;
+    RequestReceived s;
     s.request = id;
     s.request_class = cls;
     s.has_hint = work > 0;
@@ -89,13 +90,13 @@
     return SentTo(id);
   }
   void End(RequestId id, int attempt, ServerId server, Outcome outcome, double took = 10,
-           bool settled = false) {
+           bool is_request_finished = false) {
     AttemptEnded e;
     e.request = id;
     e.attempt = attempt;
     e.server = server;
     e.outcome = outcome;
-    e.settled = settled || outcome == Outcome::kOk;
+    e.is_request_finished = is_request_finished || outcome == Outcome::kOk;
     e.took = Duration(took);
     Do(e);
   }
@@ -117,8 +118,10 @@
     return n;
   }
 
-  Pace Learnt() const { return balancer_.Learnt(); }
-  load_balancer::Spare Spare() const { return balancer_.Spare(At(now)); }
+  LearnedRates learned_rates() const { return balancer_.learned_rates(); }
+  load_balancer::SpareCapacity EstimateSpareCapacity() const {
+    return balancer_.EstimateSpareCapacity(At(now));
+  }
 
   std::vector<Dispatch> sent;
 
--- a/tests/maintenance_test.cpp
+++ b/tests/maintenance_test.cpp
@@ -10,7 +10,7 @@
 
 TEST(Maintenance, NothingIsDispatchedToADetachedServerWhateverListsSay) {
   Rig rig;
-  rig.Do(Detach{2});  // before any list names it
+  rig.Do(StartMaintenance{2});  // before any list names it
   rig.Servers(2);
   RequestId id = 0;
   for (int i = 0; i < 20; ++i) {
@@ -30,7 +30,7 @@
   rig.Servers(2);
   const auto first = rig.Ask(1);
   ASSERT_TRUE(first);
-  rig.Do(Detach{3 - *first});
+  rig.Do(StartMaintenance{3 - *first});
   rig.End(1, 0, *first, Outcome::kConnectFailed);
   EXPECT_NE(rig.SentTo(1), 3 - *first);
 }
@@ -38,12 +38,12 @@
 TEST(Maintenance, OutTwiceAndBackOnceIsBack) {
   Rig rig;
   rig.Servers(1);
-  rig.Do(Detach{1});
-  rig.Do(Detach{1});
+  rig.Do(StartMaintenance{1});
+  rig.Do(StartMaintenance{1});
   EXPECT_FALSE(rig.Ask(1));
-  rig.Do(Attach{1});
+  rig.Do(EndMaintenance{1});
   rig.Tick(2000);
-  rig.Do(Attach{1});
+  rig.Do(EndMaintenance{1});
   EXPECT_EQ(rig.Ask(2), 1u);
 }
 
@@ -64,9 +64,9 @@
   rig.Servers(2);
   RequestId id = 0;
   EXPECT_GT(Serve(rig, id, 3000)[1], 50);
-  rig.Do(Detach{1});
+  rig.Do(StartMaintenance{1});
   EXPECT_EQ(Serve(rig, id, 3000)[1], 0);
-  rig.Do(Attach{1});
+  rig.Do(EndMaintenance{1});
   auto got = Serve(rig, id, 1000);
   EXPECT_GT(got[1], 0);
   EXPECT_LT(got[1], got[2]);
@@ -90,8 +90,8 @@
     return picked;
   };
   ASSERT_EQ(of_one(), 0) << "ejected";
-  rig.Do(Detach{1});
-  rig.Do(Attach{1});
+  rig.Do(StartMaintenance{1});
+  rig.Do(EndMaintenance{1});
   rig.Tick(1200);
   EXPECT_GT(of_one(), 0);
 }
@@ -99,7 +99,7 @@
 TEST(Maintenance, TwoProcessesShareOneColdBudget) {
   const auto sent_to_cold = [](int processes) {
     Rig rig;
-    rig.Do(Sharing{processes});
+    rig.Do(ProcessCount{processes});
     rig.Servers(2);
     RequestId id = 0;
     Serve(rig, id, 2000);
@@ -117,12 +117,13 @@
   Settings settings = Usual();
   std::vector<ClassSettings> classes;
   for (const int from : kept)
-    classes.push_back(from < 0 ? Class(Effect::kSafe) : settings.classes[static_cast<std::size_t>(from)]);
+    classes.push_back(from < 0 ? Class(Idempotency::kIdempotent)
+                               : settings.classes[static_cast<std::size_t>(from)]);
   settings.classes = classes;
   settings.max_attempts = max_attempts;
   NewSettings change;
   change.settings = std::make_shared<const Settings>(settings);
-  change.classes_before = std::move(kept);
+  change.previous_class_indices = std::move(kept);
   return change;
 }
 
@@ -135,13 +136,13 @@
   rig.Do(Change({2, 0}));  // 1 is dropped, the others change places
   rig.End(1, 0, *unsafe, Outcome::kReset);
   EXPECT_FALSE(rig.SentTo(1)) << "unsafe still, though its index is a safe class now";
-  EXPECT_EQ(rig.Count<Fail>(), 1);
+  EXPECT_EQ(rig.Count<FailRequest>(), 1);
   rig.End(2, 0, *safe, Outcome::kReset);
   EXPECT_TRUE(rig.SentTo(2));
   const auto fresh = rig.Ask(3, 0);
   ASSERT_TRUE(fresh);
   rig.End(3, 0, *fresh, Outcome::kReset);
-  EXPECT_EQ(rig.Count<Fail>(), 1) << "the unsafe class has index 0 now";
+  EXPECT_EQ(rig.Count<FailRequest>(), 1) << "the unsafe class has index 0 now";
 }
 
 TEST(SettingsChange, ARequestOfADroppedClassIsFinished) {
@@ -151,12 +152,12 @@
   ASSERT_TRUE(first);
   rig.Do(Change({0}));
   rig.Do(Change({0}));
-  rig.End(1, 0, *first, Outcome::kFull);
+  rig.End(1, 0, *first, Outcome::kOverloaded);
   const auto second = rig.SentTo(1);
   ASSERT_TRUE(second);
   rig.End(1, 1, *second, Outcome::kOk);
   EXPECT_FALSE(rig.Ask(2, 2)) << "the class is gone";
-  EXPECT_EQ(rig.Count<Refuse>(), 1);
+  EXPECT_EQ(rig.Count<Reject>(), 1);
 }
 
 TEST(SettingsChange, TheNumberOfAttemptsBindsForNewRequests) {
@@ -166,9 +167,9 @@
   rig.Do(Change({0, 1, 2}, 1));
   const auto fresh = rig.Ask(2);
   ASSERT_TRUE(old && fresh);
-  rig.End(2, 0, *fresh, Outcome::kFull);
+  rig.End(2, 0, *fresh, Outcome::kOverloaded);
   EXPECT_FALSE(rig.SentTo(2));
-  rig.End(1, 0, *old, Outcome::kFull);
+  rig.End(1, 0, *old, Outcome::kOverloaded);
   EXPECT_TRUE(rig.SentTo(1));
 }
 
--- a/tests/model/site_test.cpp
+++ b/tests/model/site_test.cpp
@@ -21,11 +21,11 @@
   options.federation.federated = true;
   options.settings.max_attempts = 3;
   ClassSettings safe, unsafe;
-  safe.effect = Effect::kSafe;
-  safe.aim = Duration(200);
+  safe.idempotency = Idempotency::kIdempotent;
+  safe.latency_objective = Duration(200);
   safe.deadline = Duration(1000);
   unsafe = safe;
-  unsafe.effect = Effect::kUnsafe;
+  unsafe.idempotency = Idempotency::kNotIdempotent;
   options.settings.classes = {safe, unsafe};
   options.settings.tenants = {{1000}, {1000}};
   options.clients.class_shares = {1, 1};
@@ -66,8 +66,8 @@
 TEST(SceneTest, ColdServersAreSlowAndLostOnesAreMissed) {
   SceneOptions options = Options(0.8);
   Scene whole(1, options);
-  options.server.cold_from = 0.25;
-  options.server.warm_up = seconds(1000);
+  options.server.slow_start_min_share = 0.25;
+  options.server.slow_start_window = seconds(1000);
   Scene cold(1, options);
   Scene halved(1, Options(0.8));
   for (const std::size_t site : {0, 1})
@@ -108,7 +108,7 @@
  protected:
   bool OnArrival(RequestId, Request& request) override {
     ++arrivals;
-    request.submit.share = Share::kInside;
+    request.received.quota_status = QuotaStatus::kWithinQuota;
     return true;
   }
   bool OnRefused(RequestId id, Request&, Span) override {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -89,7 +89,7 @@
   }
 
   void Arrive() {
-    Submit s;
+    RequestReceived s;
     s.request = ++last_id_;
     s.request_class = Roll(3);
     s.due = At(now_ + 30 + Roll(700));
@@ -125,7 +125,7 @@
       e.attempt = i;
       e.server = t.server;
       e.outcome = t.outcome;
-      e.settled = r.finals > 0;
+      e.is_request_finished = r.finals > 0;
       e.took = Duration(now_ - t.sent_at);
       Do(e);
     }
@@ -143,8 +143,8 @@
   }
 
   static bool NeverRan(const Try& t) {
-    return !t.out && (t.outcome == Outcome::kFull || t.outcome == Outcome::kConnectFailed ||
-                      t.outcome == Outcome::kMoot);
+    return !t.out && (t.outcome == Outcome::kOverloaded || t.outcome == Outcome::kConnectFailed ||
+                      t.outcome == Outcome::kNotSent);
   }
 
   void Judge(const Action& action) {
@@ -154,28 +154,30 @@
       EXPECT_EQ(r.finals, 0) << "sent after its final answer";
       EXPECT_LT(static_cast<int>(r.tries.size()), settings_.max_attempts);
       EXPECT_TRUE(told_.count(d->server) && told_[d->server].state == ServerState::kReady) << "drain";
-      const Effect effect = settings_.classes[static_cast<std::size_t>(r.cls)].effect;
+      const Idempotency idempotency = settings_.classes[static_cast<std::size_t>(r.cls)].idempotency;
       for (const Try& t : r.tries) {
         EXPECT_TRUE(!t.out) << "two at once";
         if (NeverRan(t)) continue;
-        EXPECT_NE(effect, Effect::kUnsafe) << "an effect twice";
-        if (effect == Effect::kKeyed) {
+        EXPECT_NE(idempotency, Idempotency::kNotIdempotent) << "an effect twice";
+        if (idempotency == Idempotency::kIdempotencyKey) {
           EXPECT_EQ(servers_[t.server].cell, servers_[d->server].cell);
-          EXPECT_LE(now_ - t.sent_at, settings_.classes[static_cast<std::size_t>(r.cls)].window.count());
+          EXPECT_LE(now_ - t.sent_at,
+                    settings_.classes[static_cast<std::size_t>(r.cls)].idempotency_window.count());
         }
       }
       Try t{d->server, now_, now_ + Roll(400), static_cast<Outcome>(Roll(9))};
       const double timeout = d->timeout.count() > 0 ? std::min(now_ + d->timeout.count(), r.due) : r.due;
       if (t.ends_at > timeout) t.ends_at = timeout, t.outcome = Outcome::kTimeout;
       r.tries.push_back(t);
-    } else if (const auto* refuse = std::get_if<Refuse>(&action)) {
+    } else if (const auto* refuse = std::get_if<Reject>(&action)) {
       Open& r = open_.at(refuse->request);
       EXPECT_EQ(++r.finals, 1);
       for (const Try& t : r.tries) {
-        EXPECT_TRUE(NeverRan(t) || settings_.classes[static_cast<std::size_t>(r.cls)].effect == Effect::kSafe)
+        EXPECT_TRUE(NeverRan(t) || settings_.classes[static_cast<std::size_t>(r.cls)].idempotency ==
+                                       Idempotency::kIdempotent)
             << "refused though it may have run";
       }
-    } else if (const auto* fail = std::get_if<Fail>(&action)) {
+    } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
       EXPECT_EQ(++open_.at(fail->request).finals, 1);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       timers_.insert(std::max(now_ + 1, timer->at.time_since_epoch().count()));
@@ -205,10 +207,10 @@
     std::mt19937_64 rng(seed);
     std::vector<Balancer> proxies;
     Settings settings = Usual();
-    settings.balancers = kProxies;
-    settings.overload_for = Duration(kWindow);
+    settings.balancer_count = kProxies;
+    settings.overload_window = Duration(kWindow);
     for (int me = 0; me < kProxies; ++me) {
-      settings.me = me;
+      settings.balancer_index = me;
       proxies.emplace_back(settings, rng());
     }
     std::vector<ServerEntry> list;
@@ -227,7 +229,7 @@
         for (Balancer& b : proxies) b.Handle(At(now), ListUpdate{ListKind::kDelta, {e}}, &actions);
       }
       Balancer& proxy = proxies[rng() % kProxies];
-      Submit s;
+      RequestReceived s;
       s.request = ++id;
       s.due = At(now + 900);
       s.has_hint = true;
@@ -243,17 +245,18 @@
         auto& recent = sent[d->server];
         recent.push_back(now);
         while (now - recent.front() > kWindow) recent.pop_front();
-        if (e.up_since != TimePoint{} && age < settings.warm_up.count()) {
+        if (e.up_since != TimePoint{} && age < settings.slow_start_window.count()) {
           ++to_cold;
-          const double share = settings.cold_from + (1 - settings.cold_from) * age / settings.warm_up.count();
+          const double share = settings.slow_start_min_share +
+                               (1 - settings.slow_start_min_share) * age / settings.slow_start_window.count();
           EXPECT_LE(static_cast<double>(recent.size()) * kWork,
-                    settings.fall_multiple * share * capacity * kWindow)
+                    settings.overload_multiple * share * capacity * kWindow)
               << "server " << d->server << " " << age << " ms after its start";
         }
         AttemptEnded end;
         end.request = d->request;
         end.server = d->server;
-        end.settled = true;
+        end.is_request_finished = true;
         end.outcome = Outcome::kOk;
         end.took = Duration(15);
         proxy.Handle(At(now), end, &actions);
@@ -282,10 +285,12 @@
 
   SlowColdServer(std::uint64_t seed, double slowest) : rng(seed), slow(slowest) {
     Settings settings = Usual();
-    settings.balancers = 3;
-    settings.classes = {testing::Class(Effect::kSafe, 600)};
-    settings.overload_for = Duration(kWindow);
-    for (settings.me = 0; settings.me < settings.balancers; ++settings.me) rigs.emplace_back(settings, rng());
+    settings.balancer_count = 3;
+    settings.classes = {testing::Class(Idempotency::kIdempotent, 600)};
+    settings.overload_window = Duration(kWindow);
+    for (settings.balancer_index = 0; settings.balancer_index < settings.balancer_count;
+         ++settings.balancer_index)
+      rigs.emplace_back(settings, rng());
   }
   double Unit() { return static_cast<double>(rng() >> 11) * 0x1.0p-53; }
   double Speed(ServerId s) const { return s == kCold ? slow : s <= 2 ? 1.3 : 1; }
@@ -369,7 +374,7 @@
     Settings s = Usual();
     s.max_attempts = 1 + static_cast<int>(seed % 5);
     s.tenants = {{10}, {10}};
-    s.over_share_worth = 0.2;
+    s.over_quota_priority_share = 0.2;
     World world(s, seed);
     world.Play();
     attempts += world.attempts;
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -33,25 +33,25 @@
 
 TEST(SettingsParser, ReadsWhatItNeeds) {
   const Settings s = ParseSettings(kSampleSettings);
-  EXPECT_EQ(s.balancers, 2);
+  EXPECT_EQ(s.balancer_count, 2);
   ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_EQ(s.classes[0].effect, Effect::kSafe);
-  EXPECT_EQ(s.classes[1].effect, Effect::kKeyed);
-  EXPECT_EQ(s.classes[1].group, Group::kCell);
-  EXPECT_EQ(s.classes[1].window.count(), 750);
-  EXPECT_EQ(s.classes[1].worth, 10);
+  EXPECT_EQ(s.classes[0].idempotency, Idempotency::kIdempotent);
+  EXPECT_EQ(s.classes[1].idempotency, Idempotency::kIdempotencyKey);
+  EXPECT_EQ(s.classes[1].idempotency_scope, IdempotencyScope::kCell);
+  EXPECT_EQ(s.classes[1].idempotency_window.count(), 750);
+  EXPECT_EQ(s.classes[1].priority_weight, 10);
   ASSERT_EQ(s.tenants.size(), 1u);
   EXPECT_EQ(s.tenants[0].quota_per_s, 57);
   EXPECT_EQ(s.max_attempts, 4);
-  EXPECT_TRUE(s.must_ask_for_list);
-  EXPECT_EQ(s.must_ask_within.count(), 10000);
-  EXPECT_EQ(s.cold_from, 0.35);
-  EXPECT_TRUE(s.warm_keys);
+  EXPECT_TRUE(s.must_poll_for_list);
+  EXPECT_EQ(s.max_poll_interval.count(), 10000);
+  EXPECT_EQ(s.slow_start_min_share, 0.35);
+  EXPECT_TRUE(s.session_affinity);
   EXPECT_EQ(s.max_retry_after.count(), 600);
 }
 
 TEST(SettingsParser, ItsOwnNumberAmongTheProxies) {
-  EXPECT_EQ(ParseSettings(std::string(kSampleSettings) + "me=17\n").me, 17);
+  EXPECT_EQ(ParseSettings(std::string(kSampleSettings) + "me=17\n").balancer_index, 17);
   EXPECT_EQ(Complaint(std::string(kSampleSettings) + "me=-1\n"), "setting out of range: me");
 }
 
@@ -62,10 +62,10 @@
 TEST(SettingsParser, AbsentOptionalKeys) {
   const Settings s = ParseSettings(Without("tenants.count"));
   EXPECT_TRUE(s.tenants.empty());
-  EXPECT_FALSE(ParseSettings(Without("registryMode")).must_ask_for_list);
-  EXPECT_EQ(ParseSettings(Without("overShareWorth")).over_share_worth, 1);
+  EXPECT_FALSE(ParseSettings(Without("registryMode")).must_poll_for_list);
+  EXPECT_EQ(ParseSettings(Without("overShareWorth")).over_quota_priority_share, 1);
   EXPECT_EQ(ParseSettings(Without("permissions.retryAfter")).max_retry_after.count(), 0);
-  EXPECT_FALSE(ParseSettings(Without("specifics.warmKeys")).warm_keys);
+  EXPECT_FALSE(ParseSettings(Without("specifics.warmKeys")).session_affinity);
 }
 
 TEST(SettingsParser, NeededKeysAbsentAreNamed) {
--- a/tests/sites/deployments_test.cpp
+++ b/tests/sites/deployments_test.cpp
@@ -23,9 +23,9 @@
   return text.str();
 }
 
-Effect EffectNamed(const std::string& effect) {
-  if (effect == "safe") return Effect::kSafe;
-  return effect == "keyed" ? Effect::kKeyed : Effect::kUnsafe;
+Idempotency EffectNamed(const std::string& idempotency) {
+  if (idempotency == "safe") return Idempotency::kIdempotent;
+  return idempotency == "keyed" ? Idempotency::kIdempotencyKey : Idempotency::kNotIdempotent;
 }
 
 TEST(Deployments, LieBesideWhatTheBenchWants) {
@@ -49,11 +49,11 @@
     for (std::size_t i = 0; i < classes.size(); ++i) {
       const ClassSettings& c = config.settings.classes[i];
       EXPECT_EQ(config.classes[i], classes[i].at("name"));
-      EXPECT_EQ(c.effect, EffectNamed(classes[i].at("effect")));
-      EXPECT_EQ(c.aim.count(), classes[i].at("aim_ms"));
+      EXPECT_EQ(c.idempotency, EffectNamed(classes[i].at("effect")));
+      EXPECT_EQ(c.latency_objective.count(), classes[i].at("aim_ms"));
       EXPECT_EQ(c.deadline.count(), classes[i].at("deadline_ms"));
-      EXPECT_EQ(c.worth, classes[i].at("worth"));
-      EXPECT_EQ(c.late_worth, classes[i].at("late_worth"));
+      EXPECT_EQ(c.priority_weight, classes[i].at("worth"));
+      EXPECT_EQ(c.late_priority_share, classes[i].at("late_worth"));
     }
     const json& tenants = site.at("tenant");
     ASSERT_EQ(config.tenants.size(), tenants.size());
@@ -65,10 +65,10 @@
               site.at("tier").front().at("conn").at("connect_timeout_ms").get<double>());
     EXPECT_EQ(config.conn_idle.count(), site.at("tier").front().at("conn").at("idle_s").get<double>() * 1000);
     EXPECT_EQ(config.settings.max_attempts, site.at("allow").at("max_attempts"));
-    EXPECT_EQ(config.settings.price_cross_zone, site.at("prices").at("cross_zone"));
-    EXPECT_EQ(config.settings.fall_multiple, site.at("rules").at("fall_multiple"));
-    EXPECT_EQ(config.settings.overload_for.count(), site.at("rules").at("fall_ms"));
-    EXPECT_TRUE(config.settings.must_ask_for_list);
+    EXPECT_EQ(config.settings.cross_zone_price, site.at("prices").at("cross_zone"));
+    EXPECT_EQ(config.settings.overload_multiple, site.at("rules").at("fall_multiple"));
+    EXPECT_EQ(config.settings.overload_window.count(), site.at("rules").at("fall_ms"));
+    EXPECT_TRUE(config.settings.must_poll_for_list);
   }
 }
 
@@ -126,16 +126,16 @@
     config[at.parent_pointer()].erase(at.back());
   }
   const Settings settings = ConfigOf(config).settings;
-  EXPECT_EQ(settings.me, 0);
+  EXPECT_EQ(settings.balancer_index, 0);
   EXPECT_TRUE(settings.tenants.empty());
-  EXPECT_EQ(settings.over_share_worth, 1);
-  EXPECT_EQ(settings.price_cross_zone, 0);
-  EXPECT_FALSE(settings.must_ask_for_list);
+  EXPECT_EQ(settings.over_quota_priority_share, 1);
+  EXPECT_EQ(settings.cross_zone_price, 0);
+  EXPECT_FALSE(settings.must_poll_for_list);
   EXPECT_EQ(settings.tick.count(), 1);
-  EXPECT_FALSE(settings.warm_keys);
+  EXPECT_FALSE(settings.session_affinity);
   EXPECT_EQ(settings.max_retry_after.count(), 0);
-  EXPECT_EQ(settings.classes[0].worth, 1);
-  EXPECT_EQ(settings.classes[0].late_worth, 0);
+  EXPECT_EQ(settings.classes[0].priority_weight, 1);
+  EXPECT_EQ(settings.classes[0].late_priority_share, 0);
 }
 
 // Zones and kinds are told apart by the names that discovery uses, whatever is in them.
@@ -153,12 +153,12 @@
 // Keys that no part of the program knows say nothing, whatever they look like.
 TEST(Deployments, UnknownKeysDoNotPassForOthers) {
   json settings = SettingsOf(SiteNamed("small"));
-  const double cold_from = settings["rules"]["coldFrom"];
+  const double slow_start_min_share = settings["rules"]["coldFrom"];
   settings["rules.coldFrom"] = 0.99;
   settings["zzz\nrules.coldFrom"] = 0.99;
   settings["zzz=1\nrules.coldFrom"] = 0.99;
   settings["rules"]["zzz\nrules.coldFrom"] = 0.99;
-  EXPECT_EQ(ConfigOf(ConfigWith(settings)).settings.cold_from, cold_from);
+  EXPECT_EQ(ConfigOf(ConfigWith(settings)).settings.slow_start_min_share, slow_start_min_share);
 }
 
 }  // namespace
--- a/tests/sites/played_day.cpp
+++ b/tests/sites/played_day.cpp
@@ -23,7 +23,8 @@
 TimePoint Instant(double ms) { return TimePoint(Duration(ms)); }
 
 bool MayHaveRun(Outcome outcome) {
-  return outcome != Outcome::kFull && outcome != Outcome::kConnectFailed && outcome != Outcome::kMoot;
+  return outcome != Outcome::kOverloaded && outcome != Outcome::kConnectFailed &&
+         outcome != Outcome::kNotSent;
 }
 
 }  // namespace
@@ -59,8 +60,8 @@
   seen_ = {};
   NewSettings change;
   change.settings = std::make_shared<const Settings>(settings);
-  change.classes_before.assign(settings.classes.size(), -1);
-  change.tenants_before.assign(settings.tenants.size(), -1);
+  change.previous_class_indices.assign(settings.classes.size(), -1);
+  change.previous_tenant_indices.assign(settings.tenants.size(), -1);
   Feed(change);
 }
 
@@ -77,28 +78,28 @@
 
 void PlayedDay::Arrive() {
   At(-kMeanGapMs * std::log(1 - Draw()), [this] { Arrive(); });
-  Submit submit;
-  submit.request = next_id_++;
-  submit.request_class = static_cast<int>(random_() % settings_.classes.size());
-  submit.tenant = settings_.tenants.empty() ? 0 : static_cast<int>(random_() % settings_.tenants.size());
-  submit.key = 1 + random_() % kKeys;
-  submit.has_hint = true;
-  submit.work_ms = -kMeanWorkMs * std::log(1 - Draw());
-  submit.due = Instant(now_ms_) + settings_.classes[submit.request_class].deadline;
-  requests_[submit.request] = {submit.request_class, 0, submit.work_ms, false, settings_number_};
+  RequestReceived received;
+  received.request = next_id_++;
+  received.request_class = static_cast<int>(random_() % settings_.classes.size());
+  received.tenant = settings_.tenants.empty() ? 0 : static_cast<int>(random_() % settings_.tenants.size());
+  received.key = 1 + random_() % kKeys;
+  received.has_hint = true;
+  received.work_ms = -kMeanWorkMs * std::log(1 - Draw());
+  received.due = Instant(now_ms_) + settings_.classes[received.request_class].deadline;
+  requests_[received.request] = {received.request_class, 0, received.work_ms, false, settings_number_};
   ++seen_.requests;
   if (Draw() < 0.02) {
-    At(Draw() * 100, [this, id = submit.request] {
+    At(Draw() * 100, [this, id = received.request] {
       if (requests_.erase(id) > 0) Feed(ClientGone{id});
     });
   }
-  Feed(submit);
+  Feed(received);
 }
 
 Outcome PlayedDay::DrawOutcome() {
   const double drawn = Draw();
   if (drawn < 0.03) return Outcome::kError;
-  if (drawn < 0.18) return Outcome::kFull;
+  if (drawn < 0.18) return Outcome::kOverloaded;
   if (drawn < 0.20) return Outcome::kConnectFailed;
   return drawn < 0.22 ? Outcome::kReset : Outcome::kOk;
 }
@@ -109,7 +110,7 @@
   end.request = id, end.attempt = attempt, end.server = server;
   end.took = Duration(took);
   end.outcome = DrawOutcome();
-  end.settled = found == requests_.end() || end.outcome == Outcome::kOk;
+  end.is_request_finished = found == requests_.end() || end.outcome == Outcome::kOk;
   if (found != requests_.end()) {
     found->second.may_have_run |= MayHaveRun(end.outcome);
     if (end.outcome == Outcome::kOk) {
@@ -128,7 +129,7 @@
   Request& request = found->second;
   const int attempt = request.attempts++;
   if (request.settings_number == settings_number_) {
-    const bool safe = settings_.classes[request.request_class].effect == Effect::kSafe;
+    const bool safe = settings_.classes[request.request_class].idempotency == Idempotency::kIdempotent;
     const bool wrong = !safe && request.may_have_run;
     seen_.most_attempts = std::max(seen_.most_attempts, request.attempts);
     if (attempt > 0) wrong ? ++seen_.wrong_repeats : ++seen_.repeats;
@@ -138,7 +139,7 @@
      [this, id = action.request, attempt, server = action.server, took] { End(id, attempt, server, took); });
 }
 
-void PlayedDay::Do(const Refuse& action) {
+void PlayedDay::Do(const Reject& action) {
   Note("refuse " + std::to_string(action.request) + " for " + Figure(action.retry_after.count()));
   const auto found = requests_.find(action.request);
   if (found == requests_.end()) return;
@@ -147,7 +148,7 @@
   requests_.erase(found);
 }
 
-void PlayedDay::Do(const Fail& action) {
+void PlayedDay::Do(const FailRequest& action) {
   Note("fail " + std::to_string(action.request));
   requests_.erase(action.request);
 }
--- a/tests/sites/played_day.h
+++ b/tests/sites/played_day.h
@@ -58,8 +58,8 @@
   double Draw() { return std::uniform_real_distribution<>(0, 1)(random_); }
 
   void Do(const Dispatch& action);
-  void Do(const Refuse& action);
-  void Do(const Fail& action);
+  void Do(const Reject& action);
+  void Do(const FailRequest& action);
   void Do(const SetTimer& action);
   void Do(const Subscribe& action);
   void Do(const CloseIdle& action);
--- a/tests/sites/side_by_side_test.cpp
+++ b/tests/sites/side_by_side_test.cpp
@@ -124,14 +124,15 @@
 std::string InForce(const proxy::Config& config) {
   std::ostringstream text;
   const Settings& s = config.settings;
-  text << s.balancers << ' ' << s.me << ' ' << s.zone << ' ' << s.over_share_worth << ' '
-       << s.price_cross_zone << ' ' << s.warm_keys << s.must_ask_for_list << ' ' << s.max_attempts << ' '
-       << s.max_retry_after.count() << ' ' << s.tick.count() << ' ' << s.must_ask_within.count() << ' '
-       << s.cold_from << ' ' << s.warm_up.count() << ' ' << s.fall_multiple << ' ' << s.overload_for.count()
-       << '\n';
+  text << s.balancer_count << ' ' << s.balancer_index << ' ' << s.zone << ' ' << s.over_quota_priority_share
+       << ' ' << s.cross_zone_price << ' ' << s.session_affinity << s.must_poll_for_list << ' '
+       << s.max_attempts << ' ' << s.max_retry_after.count() << ' ' << s.tick.count() << ' '
+       << s.max_poll_interval.count() << ' ' << s.slow_start_min_share << ' ' << s.slow_start_window.count()
+       << ' ' << s.overload_multiple << ' ' << s.overload_window.count() << '\n';
   for (const ClassSettings& c : s.classes)
-    text << static_cast<int>(c.effect) << static_cast<int>(c.group) << ' ' << c.window.count() << ' '
-         << c.aim.count() << ' ' << c.deadline.count() << ' ' << c.worth << ' ' << c.late_worth << '\n';
+    text << static_cast<int>(c.idempotency) << static_cast<int>(c.idempotency_scope) << ' '
+         << c.idempotency_window.count() << ' ' << c.latency_objective.count() << ' ' << c.deadline.count()
+         << ' ' << c.priority_weight << ' ' << c.late_priority_share << '\n';
   for (const TenantSettings& tenant : s.tenants) text << tenant.quota_per_s << ' ';
   text << json(config.classes) << json(config.tenants) << json(config.zones) << json(config.kinds)
        << config.connect_timeout.count() << ' ' << config.conn_idle.count();
--- a/tests/sites/site_file.cpp
+++ b/tests/sites/site_file.cpp
@@ -79,13 +79,13 @@
 }
 
 json Rules(const json& site) {
-  double cold_from = 1, warm_up_s = 0;
+  double slow_start_min_share = 1, warm_up_s = 0;
   for (const json& kind : site.at("tier").front().at("kind")) {
-    cold_from = std::min(cold_from, kind.at("cold_from").front().get<double>());
+    slow_start_min_share = std::min(slow_start_min_share, kind.at("cold_from").front().get<double>());
     warm_up_s = std::max(warm_up_s, kind.at("cold_s").back().get<double>());
   }
   const json& rules = site.at("rules");
-  return {{"coldFrom", cold_from},
+  return {{"coldFrom", slow_start_min_share},
           {"warmUpMs", warm_up_s * kMsPerS},
           {"fallMultiple", rules.at("fall_multiple")},
           {"overloadForMs", rules.at("fall_ms")},
--- a/tests/spill/bed.h
+++ b/tests/spill/bed.h
@@ -83,10 +83,10 @@
 inline Refused Safe(RequestId id) {
   Refused request;
   request.request = id;
-  request.effect = Effect::kSafe;
-  request.aim_left = request.deadline_left = std::chrono::seconds(1);
+  request.idempotency = Idempotency::kIdempotent;
+  request.latency_objective_left = request.deadline_left = std::chrono::seconds(1);
   request.work_ms = 10;
-  request.worth = 1;
+  request.priority_weight = 1;
   return request;
 }
 
--- a/tests/spill/spill_test.cpp
+++ b/tests/spill/spill_test.cpp
@@ -28,16 +28,16 @@
   };
   const Case kTable[] = {
       {"safe", {}, [](Refused&) {}},
-      {"unsafe", {}, [](Refused& r) { r.effect = Effect::kUnsafe; }},
+      {"unsafe", {}, [](Refused& r) { r.idempotency = Idempotency::kNotIdempotent; }},
       {"may have run", Why::kMayHaveRun, [](Refused& r) { r.may_have_run = true; }},
-      {"keyed", Why::kKeyed, [](Refused& r) { r.effect = Effect::kKeyed; }},
+      {"keyed", Why::kKeyed, [](Refused& r) { r.idempotency = Idempotency::kIdempotencyKey; }},
       {"spilled already", Why::kSpilled, [](Refused& r) { r.spilled = true; }},
       {"over its budget", Why::kOverBudget, [](Refused& r) { r.within_budget = false; }},
       {"no work", Why::kNoWork, [](Refused& r) { r.work_ms = 0; }},
-      {"little worth", Why::kLittleWorth, [](Refused& r) { r.worth = 0.49; }},
-      {"enough worth", {}, [](Refused& r) { r.worth = 0.5; }},
-      {"just in time", {}, [](Refused& r) { r.aim_left = Milliseconds(50); }},
-      {"past its aim", Why::kNoTime, [](Refused& r) { r.aim_left = Milliseconds(49); }},
+      {"little worth", Why::kLittleWorth, [](Refused& r) { r.priority_weight = 0.49; }},
+      {"enough worth", {}, [](Refused& r) { r.priority_weight = 0.5; }},
+      {"just in time", {}, [](Refused& r) { r.latency_objective_left = Milliseconds(50); }},
+      {"past its aim", Why::kNoTime, [](Refused& r) { r.latency_objective_left = Milliseconds(49); }},
       {"past its deadline", Why::kNoTime, [](Refused& r) { r.deadline_left = Milliseconds(49); }}};
   Options options;
   options.least_worth_per_work = 0.05;
@@ -114,23 +114,23 @@
 // What comes of a request for each effect and outcome of its first attempt.
 TEST(Spill, AfterAnAttempt) {
   struct Case {
-    Effect effect;
+    Idempotency idempotency;
     SpillOutcome outcome;
     bool again;                        // sent once more, elsewhere
     std::optional<bool> may_have_run;  // of the final answer; nothing: the neighbour's goes to the client
   };
-  const Case kTable[] = {{Effect::kSafe, SpillOutcome::kOk, false, {}},
-                         {Effect::kSafe, SpillOutcome::kRefused, true, false},
-                         {Effect::kSafe, SpillOutcome::kNotRun, true, false},
-                         {Effect::kSafe, SpillOutcome::kMayHaveRun, true, true},
-                         {Effect::kUnsafe, SpillOutcome::kOk, false, {}},
-                         {Effect::kUnsafe, SpillOutcome::kRefused, false, false},
-                         {Effect::kUnsafe, SpillOutcome::kNotRun, false, false},
-                         {Effect::kUnsafe, SpillOutcome::kMayHaveRun, false, true}};
+  const Case kTable[] = {{Idempotency::kIdempotent, SpillOutcome::kOk, false, {}},
+                         {Idempotency::kIdempotent, SpillOutcome::kRefused, true, false},
+                         {Idempotency::kIdempotent, SpillOutcome::kNotRun, true, false},
+                         {Idempotency::kIdempotent, SpillOutcome::kMayHaveRun, true, true},
+                         {Idempotency::kNotIdempotent, SpillOutcome::kOk, false, {}},
+                         {Idempotency::kNotIdempotent, SpillOutcome::kRefused, false, false},
+                         {Idempotency::kNotIdempotent, SpillOutcome::kNotRun, false, false},
+                         {Idempotency::kNotIdempotent, SpillOutcome::kMayHaveRun, false, true}};
   for (const Case& each : kTable) {
     Ready bed;
     Refused request = Safe(1);
-    request.effect = each.effect;
+    request.idempotency = each.idempotency;
     const auto first = bed.Refuse(request);
     ASSERT_TRUE(first);
     bed.Do(SpillAnswered{1, *first, each.outcome, {}, {}});
@@ -221,8 +221,8 @@
   for (RequestId id = 1; id <= 4000; ++id) {
     if (id % 40 == 0) bed.Pass(Milliseconds(100), {Spare("b", 4000)});
     Refused request = Safe(id);
-    request.worth = id % 2 == 0 ? 10 : 1;
-    if (bed.Refuse(request)) ++sent[request.worth];
+    request.priority_weight = id % 2 == 0 ? 10 : 1;
+    if (bed.Refuse(request)) ++sent[request.priority_weight];
     bed.Do(ClientGone{id});
   }
   EXPECT_GT(sent[10], 1300) << "of 2000; without a price 1000";
@@ -233,9 +233,9 @@
 TEST(Spill, LeavesPartOfAShareToWhatIsWorthMore) {
   Bed bed(2);
   bed.Pass(Milliseconds(500), {Spare("b", 4000)});
-  const auto send = [&](RequestId id, double worth) {
+  const auto send = [&](RequestId id, double priority_weight) {
     Refused request = Safe(id);
-    request.worth = worth;
+    request.priority_weight = priority_weight;
     return bed.Refuse(request).has_value();
   };
   RequestId id = 0;
@@ -263,7 +263,7 @@
   for (RequestId id = 1; id <= 60; ++id) {
     bed.Pass(Milliseconds(100), spare);
     Refused request = Safe(id);
-    request.effect = Effect::kUnsafe;
+    request.idempotency = Idempotency::kNotIdempotent;
     const auto to = bed.Refuse(request);
     ASSERT_TRUE(to);
     const bool is_bad = *to == bad;
