--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -4,7 +4,7 @@
 #define LOAD_BALANCER_SRC_POLICY_ADMISSION_H_
 
 #include "policy/server_list.h"
-#include "policy/traffic.h"
+#include "policy/traffic_statistics.h"
 
 namespace load_balancer {
 
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -7,8 +7,8 @@
 #include <tuple>
 
 #include "policy/admission.h"
-#include "policy/pick.h"
-#include "policy/repeats.h"
+#include "policy/retry_policy.h"
+#include "policy/server_picker.h"
 
 namespace load_balancer {
 namespace {
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -3,7 +3,7 @@
 #ifndef LOAD_BALANCER_SRC_POLICY_OUTLIER_DETECTION_H_
 #define LOAD_BALANCER_SRC_POLICY_OUTLIER_DETECTION_H_
 
-#include "policy/measures.h"
+#include "policy/statistics.h"
 
 namespace load_balancer {
 
--- a/src/policy/records.h
+++ b/src/policy/request.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // What is kept of servers, requests and classes, and what every part of the module shares.
-#ifndef LOAD_BALANCER_SRC_POLICY_RECORDS_H_
-#define LOAD_BALANCER_SRC_POLICY_RECORDS_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_REQUEST_H_
+#define LOAD_BALANCER_SRC_POLICY_REQUEST_H_
 
 #include <memory>
 #include <sstream>
@@ -99,4 +99,4 @@
 
 }  // namespace load_balancer
 
-#endif  // LOAD_BALANCER_SRC_POLICY_RECORDS_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_REQUEST_H_
--- a/src/policy/repeats.h
+++ b/src/policy/retry_policy.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // Whether a request may be sent (again) or refused, by what its attempts may have done.
-#ifndef LOAD_BALANCER_SRC_POLICY_REPEATS_H_
-#define LOAD_BALANCER_SRC_POLICY_REPEATS_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_RETRY_POLICY_H_
+#define LOAD_BALANCER_SRC_POLICY_RETRY_POLICY_H_
 
-#include "policy/records.h"
+#include "policy/request.h"
 
 namespace load_balancer {
 
@@ -37,4 +37,4 @@
 
 }  // namespace load_balancer
 
-#endif  // LOAD_BALANCER_SRC_POLICY_REPEATS_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_RETRY_POLICY_H_
--- a/src/policy/server_list.h
+++ b/src/policy/server_list.h
@@ -7,7 +7,7 @@
 #include <set>
 #include <unordered_map>
 
-#include "policy/records.h"
+#include "policy/request.h"
 
 namespace load_balancer {
 
--- a/src/policy/pick.h
+++ b/src/policy/server_picker.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 // Which server an attempt goes to.
-#ifndef LOAD_BALANCER_SRC_POLICY_PICK_H_
-#define LOAD_BALANCER_SRC_POLICY_PICK_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_SERVER_PICKER_H_
+#define LOAD_BALANCER_SRC_POLICY_SERVER_PICKER_H_
 
-#include "policy/cold_budget.h"
-#include "policy/warm_keys.h"
+#include "policy/session_affinity.h"
+#include "policy/slow_start.h"
 
 namespace load_balancer {
 
@@ -89,4 +89,4 @@
 
 }  // namespace load_balancer
 
-#endif  // LOAD_BALANCER_SRC_POLICY_PICK_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_SERVER_PICKER_H_
--- a/src/policy/warm_keys.h
+++ b/src/policy/session_affinity.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // Where keys were sent lately: a server that met a key serves it again with less work.
-#ifndef LOAD_BALANCER_SRC_POLICY_WARM_KEYS_H_
-#define LOAD_BALANCER_SRC_POLICY_WARM_KEYS_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_SESSION_AFFINITY_H_
+#define LOAD_BALANCER_SRC_POLICY_SESSION_AFFINITY_H_
 
 #include <deque>
 #include <map>
@@ -40,4 +40,4 @@
 
 }  // namespace load_balancer
 
-#endif  // LOAD_BALANCER_SRC_POLICY_WARM_KEYS_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_SESSION_AFFINITY_H_
--- a/src/policy/cold_budget.h
+++ b/src/policy/slow_start.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 // What a server that has just started may be sent.
-#ifndef LOAD_BALANCER_SRC_POLICY_COLD_BUDGET_H_
-#define LOAD_BALANCER_SRC_POLICY_COLD_BUDGET_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_SLOW_START_H_
+#define LOAD_BALANCER_SRC_POLICY_SLOW_START_H_
 
 #include "policy/server_list.h"
-#include "policy/traffic.h"
+#include "policy/traffic_statistics.h"
 
 namespace load_balancer {
 
@@ -64,4 +64,4 @@
 
 }  // namespace load_balancer
 
-#endif  // LOAD_BALANCER_SRC_POLICY_COLD_BUDGET_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_SLOW_START_H_
--- a/src/policy/measures.h
+++ b/src/policy/statistics.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 // What the decision module counts with: a random source and averages. No decisions.
-#ifndef LOAD_BALANCER_SRC_POLICY_MEASURES_H_
-#define LOAD_BALANCER_SRC_POLICY_MEASURES_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_STATISTICS_H_
+#define LOAD_BALANCER_SRC_POLICY_STATISTICS_H_
 
 #include <algorithm>
 #include <cmath>
@@ -54,4 +54,4 @@
 
 }  // namespace load_balancer
 
-#endif  // LOAD_BALANCER_SRC_POLICY_MEASURES_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_STATISTICS_H_
--- a/src/policy/traffic.h
+++ b/src/policy/traffic_statistics.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 // What this proxy learns of what it is asked for, and of how fast and how crowded servers answer.
-#ifndef LOAD_BALANCER_SRC_POLICY_TRAFFIC_H_
-#define LOAD_BALANCER_SRC_POLICY_TRAFFIC_H_
+#ifndef LOAD_BALANCER_SRC_POLICY_TRAFFIC_STATISTICS_H_
+#define LOAD_BALANCER_SRC_POLICY_TRAFFIC_STATISTICS_H_
 
-#include "policy/records.h"
+#include "policy/request.h"
 
 namespace load_balancer {
 
@@ -79,4 +79,4 @@
 
 }  // namespace load_balancer
 
-#endif  // LOAD_BALANCER_SRC_POLICY_TRAFFIC_H_
+#endif  // LOAD_BALANCER_SRC_POLICY_TRAFFIC_STATISTICS_H_
