--- /dev/null
+++ b/src/policy/context.h
@@ -0,0 +1,59 @@
+// SPDX-License-Identifier: Apache-2.0
+/// @file
+/// What all parts of the decision module share while they handle an event.
+#ifndef LOAD_BALANCER_SRC_POLICY_CONTEXT_H_
+#define LOAD_BALANCER_SRC_POLICY_CONTEXT_H_
+
+#include <array>
+#include <cstddef>
+#include <sstream>
+#include <vector>
+
+#include "load_balancer/balancer.h"
+#include "policy/random_source.h"
+
+namespace load_balancer {
+
+/// Kinds of log lines. Each kind is limited in rate on its own.
+enum class LogTopic { kPeerEjection, kEjection, kFinalResponse, kSlowStart };
+
+/// The settings, the random source, the time of the event, and the actions that it causes.
+class Context {
+ public:
+  Context(Settings settings, std::uint64_t seed);
+
+  /// Actions go to `actions`, which must outlive the call of EndEvent.
+  void BeginEvent(TimePoint now, std::vector<Action>* actions);
+  void EndEvent();
+
+  const Settings& settings() const { return settings_; }
+  void ReplaceSettings(const Settings& settings) { settings_ = settings; }
+  RandomSource& random() { return random_; }
+  TimePoint now() const { return now_; }
+
+  void Emit(Action action);
+
+  /// Emits the parts as one log line, unless one of its topic was emitted too recently.
+  template <typename... Parts>
+  void LogLine(LogTopic topic, const Parts&... parts) {
+    if (!MayLog(topic)) return;
+    std::ostringstream line;
+    (line << ... << parts);
+    Emit(Log{line.str()});
+  }
+
+ private:
+  static constexpr std::size_t kLogTopics = 4;
+
+  bool MayLog(LogTopic topic);
+
+  Settings settings_;
+  RandomSource random_;
+  TimePoint now_{};
+  std::vector<Action>* actions_ = nullptr;
+  std::array<TimePoint, kLogTopics> next_log_at_{};  // by topic
+};
+
+}  // namespace load_balancer
+
+#endif  // LOAD_BALANCER_SRC_POLICY_CONTEXT_H_
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -1,119 +1,90 @@
 // SPDX-License-Identifier: Apache-2.0
-// gRFC A50 outlier detection, failure percentage, evaluated at each answer as DESIGN states it.
+/// @file
+/// gRFC A50 outlier detection by failure percentage. It is evaluated at each response instead of once an
+/// interval.
 #ifndef LOAD_BALANCER_SRC_POLICY_OUTLIER_DETECTION_H_
 #define LOAD_BALANCER_SRC_POLICY_OUTLIER_DETECTION_H_
 
+#include "policy/random_source.h"
 #include "policy/statistics.h"
 
 namespace load_balancer {
 
-constexpr Duration kInterval{2000};          // counts reset: long enough for the volume floor at 2 requests/s
-constexpr Duration kBaseEjectionTime{2000};  // first ejection: as long as one interval
-constexpr Duration kMaxEjectionTime{16000};  // a recovered server is tried again within this
-static_assert(kMaxEjectionTime * 1.25 <= kMaxEjectionDuration);
-constexpr int kRequestVolume = 3;  // a proxy sees few requests a server; 3 of 3 failing is no chance
-constexpr Duration kLongestInterval{10000};  // A50's own; where traffic is thin counts have to be kept longer
-constexpr double kByChance = 0.01;      // thin traffic: failures that come together less often are no chance
-constexpr double kCoincidence = 0.001;  // a server's failures that chance brings more often do not eject it
-constexpr double kPriorFailures = 0.1;  // seen elsewhere before anything is
-constexpr int kMinimumHosts = 2;        // servers to compare with each other
-constexpr double kThreshold = 0.4;      // failure share; well over what noise and overlap produce
-constexpr double kMaxEjectionPercent = 50;  // the rest must be able to carry the load
-constexpr double kMaxAdvisedPercent = 25;   // on peers' word: what one that lies can take out
-constexpr double kEnforcingPercent = 100;   // every finding is enforced
-
-// A50's counts of a server.
-struct Host {
-  int successes = 0, failures = 0, multiplier = 0;
-  bool ejected = false, advised = false;  // advised: on a peer's word
+/// The interval after which counts are reset, unless traffic is sparse.
+inline constexpr Duration kDetectionInterval{2000};
+
+/// Attempts at one host within an interval below which it is not judged.
+inline constexpr int kRequestVolume = 3;
+
+/// What the detector knows of one host. Written by OutlierDetector only.
+struct HostHealth {
+  int successes = 0;
+  int failures = 0;
+  int multiplier = 0;  ///< of the ejection time: ejections in a row
+  bool is_ejected = false;
+  bool is_advised = false;  ///< ejected on a peer's advice
   TimePoint return_at{};
+
   int attempts() const { return successes + failures; }
 };
 
-// Running counts over the hosts: an answer must not cost a scan of the fleet.
-struct OutlierDetector {
-  int hosts = 0, ejected = 0;  // listed as ready; of these out of service
-  // Since the interval began; the last two of hosts in service.
-  int qualifying = 0, failures = 0, attempts = 0;
-  int failures_before = 0, attempts_before = 0;  // in the interval before
-  Duration interval{kInterval};
-  bool thin = false;  // traffic does not bring the volume to each host within kInterval
-
-  // Counts an answer and tests the host; true if it is ejected by it.
-  bool Record(Host& host, bool success, TimePoint now, Random& random) {
-    ++(success ? host.successes : host.failures);
-    qualifying += host.attempts() == (thin ? 1 : kRequestVolume);
-    if (host.ejected) return false;
-    failures += !success;
-    ++attempts;
-    if (qualifying < kMinimumHosts) return false;
-    // The threshold rises with the share failing elsewhere: an overloaded fleet must not eject itself, but a
-    // server failing always goes, however bad the rest.
-    const int others_failed = failures - host.failures, others = attempts - host.attempts();
-    const double elsewhere = others > 0 ? static_cast<double>(others_failed) / others : 0;
-    const double threshold = std::max(kThreshold, elsewhere * (2 - elsewhere));
-    if (host.attempts() < Volume(others_failed, others) || !(host.failures > threshold * host.attempts()))
-      return false;
-    // Failures that come at a few percent everywhere, as when connections break on the way, are two of three
-    // somewhere in every interval, and took half of a healthy fleet out.
-    const double usual =
-        std::min(1.0, (others_failed + failures_before + kPriorFailures) / (others + attempts_before + 1));
-    if (AtLeast(host.failures, host.attempts(), usual) > kCoincidence || !MayEject()) return false;
-    if (!(100.0 * random.Unit() < kEnforcingPercent)) return false;
-    host.return_at = now + Eject(host) * (thin ? 0.75 + 0.5 * random.Unit() : 1);
-    return true;
-  }
-
-  // Exception, on a peer's word, where a fleet shares its verdicts. The peer's sample must do for this rule;
-  // the server is out no longer than by this proxy's own backoff and at the peer, so that all return
-  // together.
-  bool Advise(Host& host, const PeerEjection& peer, int advised, TimePoint now) {
-    if (host.ejected || peer.until <= now || peer.attempts < (thin ? kMinimumHosts : kRequestVolume) ||
-        !(peer.failures > kThreshold * peer.attempts) || !MayEject() ||
-        !(100.0 * advised < kMaxAdvisedPercent * hosts))
-      return false;
-    host.return_at = std::min(peer.until, now + Eject(host));
-    host.advised = true;
-    return true;
-  }
-
-  // For how long, by the backoff.
-  Duration Eject(Host& host) {
-    ++host.multiplier, ++ejected;
-    host.ejected = true, host.advised = false;
-    failures -= host.failures, attempts -= host.attempts();
-    const Duration base = interval * (kBaseEjectionTime / kInterval);
-    return std::min(base * host.multiplier, std::max(base, kMaxEjectionTime));
-  }
-
-  // The caller counts it out of `ejected` if it is listed.
-  bool ReturnIfDue(Host& host, TimePoint now) {
-    if (!host.ejected || now < host.return_at) return false;
-    host.ejected = false;
-    host.multiplier = std::max(0, host.multiplier - 1);
-    failures += host.failures, attempts += host.attempts();
-    return true;
-  }
-
-  void EndInterval() {
-    failures_before = std::exchange(failures, 0), attempts_before = std::exchange(attempts, 0);
-    qualifying = 0;
-  }
-  static void EndInterval(Host& host) {
-    host.successes = host.failures = 0;
-    if (!host.ejected) host.multiplier = std::max(0, host.multiplier - 1);
-  }
+/// Counts the responses of all hosts and ejects outliers. It keeps running sums, so that a response does not
+/// cost a scan of the hosts. A host that is not listed as ready is still judged by late responses, but counts
+/// neither as a host nor as an ejected one.
+class OutlierDetector {
+ public:
+  void AddHost(const HostHealth& host);
+  void RemoveHost(const HostHealth& host);
+
+  /// Counts a response and judges the host; true if it is ejected by it.
+  bool RecordResponse(HostHealth& host, bool is_listed, bool success, TimePoint now, RandomSource& random);
+
+  /// Ejects a listed host on a peer's advice, if the peer's sample would do for a verdict here and no more
+  /// than a part of the hosts is out on advice. `advised_hosts` are those listed ones that are. The host is
+  /// out no longer than by this proxy's own backoff and at the peer, so that all proxies return it together.
+  /// True if it is ejected.
+  bool ApplyPeerEjection(HostHealth& host, const PeerEjection& peer, int advised_hosts, TimePoint now);
+
+  /// Ejects a listed host again that a former process had ejected.
+  void RestoreEjection(HostHealth& host, const RestoredEjection& restored, TimePoint now);
+
+  /// Returns the host to service if its ejection time has passed; true if so.
+  bool ReturnIfDue(HostHealth& host, bool is_listed, TimePoint now);
+
+  /// Ends the interval; each host's part of it has to be ended by EndHostInterval.
+  void EndInterval();
+  static void EndHostInterval(HostHealth& host);
+
+  /// The interval in which traffic brings kRequestVolume attempts to each host.
+  void SetVolumeInterval(Duration interval);
+
+  Duration interval() const { return interval_; }
+
+  /// Traffic does not bring kRequestVolume attempts to each host within kDetectionInterval.
+  bool is_traffic_sparse() const { return is_traffic_sparse_; }
 
  private:
-  bool MayEject() const { return 100.0 * ejected < kMaxEjectionPercent * hosts; }
-
-  // Exception, where traffic is thin: the volume floor falls to as many attempts as could hardly all fail by
-  // chance, going by the share that fails elsewhere, and return times are spread: proxies learn one by one.
-  int Volume(int others_failed, int others) const {
-    const double elsewhere = (others_failed + kPriorFailures) / (others + 1);
-    if (!thin || elsewhere >= 1) return kRequestVolume;
-    return std::min<int>(kRequestVolume, std::ceil(std::log(kByChance) / std::log(elsewhere)));
-  }
+  struct Counts {
+    int failures = 0;
+    int attempts = 0;
+
+    Counts Without(const HostHealth& host) const {
+      return {failures - host.failures, attempts - host.attempts()};
+    }
+  };
+
+  bool IsOutlier(const HostHealth& host) const;
+  bool MayEject() const;
+  int MinVolume(const Counts& others) const;
+  Duration Eject(HostHealth& host);
+
+  int hosts_ = 0;          // listed as ready
+  int ejected_hosts_ = 0;  // of these
+  int hosts_with_volume_ = 0;
+  Counts current_;   // of this interval, hosts in service only
+  Counts previous_;  // of the interval before
+  Duration interval_{kDetectionInterval};
+  bool is_traffic_sparse_ = false;
 };
 
 }  // namespace load_balancer
--- /dev/null
+++ b/src/policy/reindex.h
@@ -0,0 +1,29 @@
+// SPDX-License-Identifier: Apache-2.0
+/// @file
+/// Carries over what is kept by index when the indices change.
+#ifndef LOAD_BALANCER_SRC_POLICY_REINDEX_H_
+#define LOAD_BALANCER_SRC_POLICY_REINDEX_H_
+
+#include <cstddef>
+#include <vector>
+
+namespace load_balancer {
+
+/// `size` values under new indices. `previous_indices` has the index that each had in `values` before; one
+/// without such an index is made by `make_new`.
+template <typename T, typename MakeNew>
+std::vector<T> Reindexed(const std::vector<T>& values, std::size_t size,
+                         const std::vector<int>& previous_indices, const MakeNew& make_new) {
+  std::vector<T> reindexed;
+  reindexed.reserve(size);
+  for (std::size_t index = 0; index < size; ++index) {
+    const int previous = index < previous_indices.size() ? previous_indices[index] : -1;
+    const bool is_kept = previous >= 0 && previous < static_cast<int>(values.size());
+    reindexed.push_back(is_kept ? values[previous] : make_new());
+  }
+  return reindexed;
+}
+
+}  // namespace load_balancer
+
+#endif  // LOAD_BALANCER_SRC_POLICY_REINDEX_H_
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -1,100 +1,76 @@
 // SPDX-License-Identifier: Apache-2.0
-// What is kept of servers, requests and classes, and what every part of the module shares.
+/// @file
+/// What is kept of a request, its attempts and its class.
 #ifndef LOAD_BALANCER_SRC_POLICY_REQUEST_H_
 #define LOAD_BALANCER_SRC_POLICY_REQUEST_H_
 
 #include <memory>
-#include <sstream>
 #include <vector>
 
-#include "policy/outlier_detection.h"
+#include "policy/server.h"
 
 namespace load_balancer {
 
-constexpr double kDeviations = 4;          // time-out: mean + 4 deviations, as RFC 6298
-constexpr double kSlownessGain = 0.08;     // of one answer
-constexpr double kMostSlowness = 8;        // one answer counts as no slower than this
-constexpr Duration kSlownessMemory{4000};  // what is not confirmed is forgotten
+/// The time that clients of a class usually allow for an attempt, found by vote.
+class UsualTimeout {
+ public:
+  /// Counts the time that a request allows; true if it is the usual one.
+  bool Observe(Duration allowed, bool is_client_retry);
 
-struct Server {
-  ServerEntry entry;
-  bool detached = false;                  // by the operators
-  TimePoint attached_at{}, gone_since{};  // put back by them then, restarted
-  double own_work = 0;                    // hinted, of this proxy, in flight
-  int own_count = 0;
-  Host health;
-  std::vector<std::pair<TimePoint, double>> sent;  // cold: work sent to it lately, all that was sent
-  TimePoint turn_since{};                          // cold: the last send to it, or its start as told
-  double turn_phase = 1;                           // part of the time between sends that has to pass
-  double slowness = 1;  // time of its answers over what the fleet takes for the like
-  TimePoint slowness_at{}, quiet_since{};
+  /// Enough requests agree.
+  bool is_established() const;
 
-  bool Usable() const { return entry.state == ServerState::kReady && !detached; }
-  double SlownessAt(TimePoint now) const {
-    return 1 + (slowness - 1) * std::exp((slowness_at - now) / kSlownessMemory);
-  }
+ private:
+  Duration usual_{0};
+  int votes_ = 0;
 };
-using ServerIndex = std::size_t;  // of the dense list of servers
 
-// What this proxy has seen of a class.
-struct ClassState {
-  Spread latency, work;    // time over Scale; hinted work
-  Duration usual_time{0};  // that clients give a try
-  int usual_votes = 0;
+/// What this proxy has measured of a class of requests.
+struct ClassStatistics {
+  MeanAndDeviation latency;  ///< response time in ms over ScaleOf the request's work
+  MeanAndDeviation work;     ///< hinted work
+  UsualTimeout usual_timeout;
 
-  double Scale(double hinted) const {
-    const double ratio = work.mean > 0 ? hinted / work.mean : 1;
-    return ratio > 1 ? ratio : 0.5 + 0.5 * ratio;
-  }
-  // An answer hardly takes longer.
-  Duration Unlikely(double hinted) const {
-    return Duration((latency.mean + kDeviations * latency.deviation) * Scale(hinted));
-  }
+  /// How response times of this class are expected to grow with the hinted work; 1 for mean work.
+  double ScaleOf(double work_ms) const;
+
+  /// The time that a response hardly exceeds: mean + 4 deviations, as RFC 6298 sets time-outs.
+  Duration UnlikelyLatency(double work_ms) const;
+
+  /// There are enough responses to judge by.
+  bool is_known() const;
 };
 
 struct Attempt {
   ServerIndex server = 0;
-  TimePoint sent_at{}, overdue_at{};
-  bool outstanding = true, may_have_run = true;
+  TimePoint sent_at{};
+  TimePoint overdue_at{};  ///< the response is not expected any more then
+  bool is_outstanding = true;
+  bool may_have_run = true;
 };
 
+/// A request from its arrival until it has its final response and no attempt is outstanding.
 struct Request {
   RequestId id = 0;
-  ClassSettings rules{};               // of its class as it came
-  std::shared_ptr<ClassState> seen{};  // of its class
-  int most_attempts = 1;
-  double work = 1, value = 0;
+  ClassSettings rules{};  ///< of its class when it arrived
+  std::shared_ptr<ClassStatistics> statistics{};
+  int max_attempts = 1;
+  double work = 1;   ///< hinted, or the mean; ms on a standard core
+  double value = 0;  ///< priority weight that its response can still earn
   std::uint64_t key = 0;
-  TimePoint arrived{}, due{}, refuse_at{};
+  TimePoint arrived{};
+  TimePoint due{};
+  TimePoint reject_at{};  ///< it is queued no longer than this
   std::vector<Attempt> attempts{};
-  TimePoint begun{};  // of a streamed answer
-  bool finished = false, streaming = false, held = false, is_replayable = true;
-  bool is_body_pending = false, is_overflow = false;  // its last byte has not come; from a neighbour site
-  bool Outstanding() const {
-    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return a.outstanding; });
-  }
-};
-
-// Shared by all parts: what is settled from outside, and what is to be done.
-struct Context {
-  Settings settings;
-  Random random;
-  TimePoint now{};
-  std::vector<Action>* out = nullptr;
+  TimePoint response_began{};
+  bool is_finished = false;
+  bool is_streaming = false;
+  bool is_queued = false;
+  bool is_replayable = true;
+  bool is_body_pending = false;
+  bool is_overflow = false;
 
-  void Do(Action action) { out->push_back(std::move(action)); }
-  // Few lines: each kind no closer than its gap.
-  enum LogKind { kAdvice, kHealth, kEnding, kCold, kLogKinds };
-  template <typename... Parts>
-  void Say(LogKind kind, const Parts&... parts) {
-    constexpr double kGaps[kLogKinds] = {0, 1000, 10000, 10000};
-    if (now < log_at[kind]) return;
-    log_at[kind] = now + Duration(kGaps[kind]);
-    std::ostringstream line;
-    (line << ... << parts);
-    Do(Log{line.str()});
-  }
-  TimePoint log_at[kLogKinds] = {};
+  bool HasOutstandingAttempt() const;
 };
 
 }  // namespace load_balancer
--- /dev/null
+++ b/src/policy/request_lifecycle.cpp
@@ -0,0 +1,333 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "policy/request_lifecycle.h"
+
+#include <algorithm>
+#include <cmath>
+#include <optional>
+#include <string>
+#include <utility>
+
+#include "policy/attempt_timeout.h"
+#include "policy/reindex.h"
+
+namespace load_balancer {
+namespace {
+
+constexpr int kMaxFailedDispatches = 8;     // queued requests tried in a row without capacity for any
+constexpr double kMaxWork = 1e6;            // ms; a larger hint is taken as this
+constexpr Duration kRecentRejection{1000};  // for so long after a rejection there is no spare capacity
+constexpr double kMinRate = 1e-3;           // responses a ms, assumed for the waiting time in the queue
+constexpr double kMinQueueShare =
+    0.25;                       // of the latency objective; a request may be queued that long at least
+constexpr int kReplyTicks = 2;  // a rejection needs these to reach the client before its deadline
+constexpr int kRetryTicks = 4;  // a retry may be queued for these at least
+
+}  // namespace
+
+RequestLifecycle::RequestLifecycle(Context& context, ServerList& servers, TrafficStatistics& traffic,
+                                   SlowStart& slow_start, SessionAffinity& affinity)
+    : context_(context),
+      servers_(servers),
+      traffic_(traffic),
+      slow_start_(slow_start),
+      affinity_(affinity),
+      picker_(context, servers, slow_start, traffic, affinity),
+      admission_(context, servers, traffic) {}
+
+// ---- arrival ------------------------------------------------------------------------------------------
+
+void RequestLifecycle::Receive(const RequestReceived& received) {
+  if (requests_.contains(received.request)) return;
+  const Settings& settings = context_.settings();
+  // Nothing is known of what a request of an unknown class may do. It never ran, so it may be rejected.
+  if (received.request_class < 0 || received.request_class >= static_cast<int>(settings.classes.size()))
+    return context_.Emit(Reject{received.request, Duration(0)});
+  Request request = NewRequest(received);
+  ClassStatistics& statistics = *request.statistics;
+  const Duration objective =
+      request.rules.latency_objective - admission_.ElapsedBeforeArrival(received, statistics);
+  SetWork(received, &request);
+  traffic_.RecordArrival(request);
+  admission_.SetValue(received, objective, &request);
+  if (request.value <= 0 || admission_.ShouldShed(request)) return FinishWithAdvice(request);
+  const MeanAndDeviation& latency = statistics.latency;
+  const Duration useful = objective - Duration(latency.mean() + latency.deviation());
+  const Duration max_queued = std::max(useful, request.rules.latency_objective * kMinQueueShare);
+  request.reject_at = std::min(request.due - settings.tick * kReplyTicks, context_.now() + max_queued);
+  if (request.is_overflow) request.reject_at = context_.now();
+  Request& stored = requests_.emplace(request.id, std::move(request)).first->second;
+  TryDispatch(stored);
+  EraseIfComplete(stored);
+}
+
+Request RequestLifecycle::NewRequest(const RequestReceived& received) const {
+  Request request;
+  request.id = received.request;
+  request.key = received.key;
+  request.is_body_pending = received.is_body_pending;
+  request.is_overflow = received.is_overflow;
+  request.arrived = context_.now();
+  request.due = received.due;
+  request.rules = context_.settings().classes[received.request_class];
+  request.statistics = classes_[received.request_class];
+  request.max_attempts = received.is_overflow ? 1 : context_.settings().max_attempts;
+  return request;
+}
+
+void RequestLifecycle::SetWork(const RequestReceived& received, Request* request) {
+  const MeanAndDeviation& all = traffic_.request_work();
+  const bool is_hinted = received.has_hint && std::isfinite(received.work_ms) && received.work_ms > 0;
+  const bool is_first = all.samples() == 0;
+  const double mean = is_first ? 1 : all.mean();
+  request->work = is_hinted ? std::min(received.work_ms, kMaxWork) : mean;
+  if (!is_hinted && !is_first) return;
+  traffic_.RecordHintedWork(request->work);
+  request->statistics->work.Add(request->work);
+}
+
+// A request's time, and that of its attempt, counts from its last byte.
+void RequestLifecycle::CompleteBody(const BodyReceived& body) {
+  Request* request = Find(body.request);
+  if (!request) return;
+  const bool was_queued = request->is_queued;
+  queue_.Remove(*request);  // its position depends on its arrival
+  request->is_body_pending = false;
+  request->arrived = context_.now();
+  request->due = body.due;
+  if (was_queued) queue_.Add(*request);
+  if (!request->HasOutstandingAttempt()) return;
+  LastServer(*request).load.BodyComplete(context_.now());
+  request->attempts.back().sent_at = context_.now();
+  Await(*request);
+}
+
+void RequestLifecycle::Abandon(const ClientGone& gone) {
+  Request* request = Find(gone.request);
+  if (!request) return;
+  request->is_finished = true;
+  EraseIfComplete(*request);
+}
+
+// ---- dispatch -----------------------------------------------------------------------------------------
+
+bool RequestLifecycle::HasCapacity(const Request& request) const {
+  const double left = admission_.Limit() - static_cast<double>(in_flight_.size());
+  if (!request.is_overflow) return left > 0;
+  return queue_.empty() && in_flight_.overflow() + 1 <= max_overflow_fraction_ * left;
+}
+
+// Sends, queues or finishes the request; true if it was sent.
+bool RequestLifecycle::TryDispatch(Request& request) {
+  const Permission permission = PermissionFor(request, context_.now(), servers_);
+  const bool may_send = permission.may_dispatch && HasCapacity(request);
+  Server* server = may_send ? picker_.Pick(request, permission.anchor) : nullptr;
+  if (server) {
+    queue_.Remove(request);
+    Send(request, *server);
+  } else if (!permission.may_dispatch || context_.now() >= request.reject_at) {
+    FinishWithAdvice(request);
+  } else if (!request.is_queued) {
+    queue_.Add(request);
+  }
+  return server;
+}
+
+void RequestLifecycle::DispatchQueued() {
+  if (!std::exchange(has_capacity_changed_, false)) return;
+  int failed = 0;
+  std::optional<AdmissionQueue::Position> position = queue_.First();
+  while (position && failed < kMaxFailedDispatches) {
+    const std::optional<AdmissionQueue::Position> next = queue_.After(*position);
+    Request& request = requests_.at(position->request);
+    if (!TryDispatch(request)) ++failed;
+    EraseIfComplete(request);
+    position = next;
+  }
+}
+
+void RequestLifecycle::Send(Request& request, Server& server) {
+  const TimePoint now = context_.now();
+  if (request.attempts.empty()) {
+    retry_budget_.RecordFirstAttempt();
+  } else {
+    retry_budget_.RecordRetry();
+  }
+  const Duration timeout = AttemptTimeout(request, server, retry_budget_.HasToken(), now);
+  const ServerIndex index = servers_.IndexOf(server);
+  server.load.Add(request.work, now);
+  if (request.is_overflow) in_flight_.AddOverflow();
+  slow_start_.RecordSend(server, request.work);
+  if (context_.settings().session_affinity && request.key != 0) affinity_.Record(request.key, index, now);
+  request.attempts.push_back({.server = index, .sent_at = now});
+  if (!request.is_body_pending) Await(request);
+  context_.Emit(Dispatch{request.id, server.entry.server, timeout});
+}
+
+// The server has all that it needs for the response of the last attempt.
+void RequestLifecycle::Await(Request& request) {
+  const ClassStatistics& statistics = *request.statistics;
+  request.attempts.back().overdue_at =
+      statistics.is_known() ? context_.now() + statistics.UnlikelyLatency(request.work) : kNever;
+  if (!request.is_overflow) in_flight_.Add(request);
+}
+
+// ---- attempts -----------------------------------------------------------------------------------------
+
+// A response is in time by its first bytes: what a slow client takes of the rest is no work in flight.
+void RequestLifecycle::StartStream(const StreamStarted& stream) {
+  Request* request = Find(stream.request);
+  if (!request) return;
+  request->is_streaming = true;
+  request->response_began = context_.now();
+  if (!FindAttempt(request, stream.attempt)) return;
+  if (in_flight_.Remove(*request, stream.attempt)) CapacityChanged();
+}
+
+void RequestLifecycle::EndAttempt(const AttemptEnded& ended) {
+  Request* request = Find(ended.request);
+  Attempt* attempt = FindAttempt(request, ended.attempt);
+  if (!attempt || !attempt->is_outstanding) return;
+  const bool is_overloaded = ended.outcome == Outcome::kOverloaded;
+  attempt->is_outstanding = false;
+  attempt->may_have_run =
+      !is_overloaded && ended.outcome != Outcome::kConnectFailed && ended.outcome != Outcome::kNotSent;
+  in_flight_.Remove(*request, ended.attempt);
+  RecordOutcome(*request, ended, servers_.at(attempt->server));
+  CapacityChanged();
+  if (ended.is_request_finished) request->is_finished = true;
+  request->is_replayable = ended.is_replayable;
+  if (!request->is_finished && !request->HasOutstandingAttempt() && !request->is_queued)
+    Retry(*request, attempt->may_have_run || is_overloaded);
+  EraseIfComplete(*request);
+}
+
+// Where a retry is permitted, and within the budget if it adds load.
+void RequestLifecycle::Retry(Request& request, bool adds_load) {
+  const bool has_budget = !adds_load || retry_budget_.HasToken();
+  if (!PermissionFor(request, context_.now(), servers_).may_dispatch || !has_budget)
+    return Finish(request, Duration(0));
+  const Duration tick = context_.settings().tick;
+  const TimePoint last_reply = request.due - tick * kReplyTicks;
+  request.reject_at = std::max(request.reject_at, std::min(last_reply, context_.now() + tick * kRetryTicks));
+  TryDispatch(request);
+}
+
+void RequestLifecycle::RecordOutcome(const Request& request, const AttemptEnded& ended, Server& server) {
+  const TimePoint now = context_.now();
+  const Outcome outcome = ended.outcome;
+  server.load.Remove(request.work, outcome != Outcome::kTimeout, now);
+  if (request.is_overflow) in_flight_.RemoveOverflow();
+  const bool tells_nothing =
+      outcome == Outcome::kCancelled || outcome == Outcome::kNotSent || outcome == Outcome::kUnknown;
+  if (tells_nothing) return;
+  const bool ok = outcome == Outcome::kOk;
+  const Duration unlikely = request.statistics->UnlikelyLatency(request.work);
+  const double took = (ok ? ended.took : std::min(ended.took, unlikely)).count();
+  const TimePoint responded_at = request.is_streaming ? request.response_began : now;
+  const bool is_in_time = ok && responded_at <= request.arrived + request.rules.latency_objective;
+  picker_.RecordOutcome(request, server, is_in_time, ok);
+  // After a time-out, a server that has responded to others since has lost a response on the way, which tells
+  // nothing of its speed. Of one that has not, it tells that a response hardly comes any more: the class is
+  // as slow as that.
+  const bool is_silent = server.load.silent_since() <= request.attempts[ended.attempt].sent_at;
+  const bool is_timed = ok || (outcome == Outcome::kTimeout && is_silent);
+  if (is_timed && std::isfinite(took) && took >= 0) RecordResponseTime(request, took, server);
+  traffic_.RecordAttempt(request, took, ok, is_timed);
+  servers_.RecordOutcome(server, ok);
+}
+
+void RequestLifecycle::RecordResponseTime(const Request& request, double took, Server& server) {
+  MeanAndDeviation& latency = request.statistics->latency;
+  const double scaled = took / request.statistics->ScaleOf(request.work);
+  latency.Add(scaled);
+  server.slowness.Record(scaled / std::max(latency.mean(), 1e-9), context_.now());
+}
+
+// ---- the end of a request -----------------------------------------------------------------------------
+
+void RequestLifecycle::HandleDue() {
+  if (in_flight_.RemoveOverdue(context_.now())) CapacityChanged();
+  while (const std::optional<RequestId> expired = queue_.TakeExpired(context_.now())) {
+    Request* request = Find(*expired);
+    if (!request) continue;
+    if (request->is_queued && context_.now() >= request->reject_at) FinishWithAdvice(*request);
+    EraseIfComplete(*request);
+  }
+}
+
+// Where clients heed Retry-After, one whose objective could not be met would come back only to be late, and
+// take the place of one in time. It is told to stay away for as long as it would have come back.
+void RequestLifecycle::FinishWithAdvice(Request& request) {
+  const Duration advice = std::min(context_.settings().max_retry_after, request.rules.deadline);
+  Finish(request, request.is_overflow ? Duration(0) : advice);
+}
+
+void RequestLifecycle::Finish(Request& request, Duration retry_after) {
+  const bool may_reject = PermissionFor(request, context_.now(), servers_).may_reject;
+  const bool was_sent = !request.attempts.empty();
+  const std::string reason =
+      was_sent ? "last at server " + std::to_string(LastServer(request).entry.server) : "not in time";
+  context_.LogLine(LogTopic::kFinalResponse, may_reject ? "refusing: " : "failing: ", reason, "; ",
+                   in_flight_.size(), " in flight, ", queue_.size(), " held");
+  if (may_reject) {
+    context_.Emit(Reject{request.id, retry_after});
+  } else {
+    context_.Emit(FailRequest{request.id});
+  }
+  request.is_finished = true;
+  if (!request.is_overflow && !was_sent) last_rejection_ = context_.now();
+}
+
+void RequestLifecycle::EraseIfComplete(Request& request) {
+  if (!request.is_finished) return;
+  queue_.Remove(request);
+  if (!request.HasOutstandingAttempt()) requests_.erase(request.id);
+}
+
+Request* RequestLifecycle::Find(RequestId id) {
+  const auto found = requests_.find(id);
+  return found == requests_.end() ? nullptr : &found->second;
+}
+
+Attempt* RequestLifecycle::FindAttempt(Request* request, int attempt) {
+  const bool is_known = request && attempt >= 0 && attempt < static_cast<int>(request->attempts.size());
+  return is_known ? &request->attempts[attempt] : nullptr;
+}
+
+Server& RequestLifecycle::LastServer(const Request& request) {
+  return servers_.at(request.attempts.back().server);
+}
+
+// ---- settings and estimates ---------------------------------------------------------------------------
+
+void RequestLifecycle::HandleNewSettings(const NewSettings& change) {
+  classes_ = Reindexed(classes_, context_.settings().classes.size(), change.previous_class_indices,
+                       std::make_shared<ClassStatistics>);
+  admission_.HandleNewSettings(change.previous_tenant_indices);
+  CapacityChanged();
+}
+
+void RequestLifecycle::SetOverflowShare(const OverflowShare& share) {
+  max_overflow_fraction_ = std::clamp(share.max_fraction, 0.0, 1.0);
+}
+
+void RequestLifecycle::SetConcurrencyLimit(const ServerConcurrencyLimit& limit) {
+  picker_.SetConcurrencyLimit(limit.max_in_flight);
+  CapacityChanged();
+}
+
+SpareCapacity RequestLifecycle::EstimateSpareCapacity(TimePoint now) const {
+  const double limit = admission_.Limit();
+  const double response_time = admission_.MaxResponseTime();
+  const double left = limit - static_cast<double>(in_flight_.size()) - in_flight_.overflow();
+  if (left <= 0 || !queue_.empty()) {
+    const double rate = std::max(traffic_.responses_per_ms(), kMinRate);
+    return {0, 0, Duration(static_cast<double>(queue_.size() + 1) / rate)};
+  }
+  const bool has_rejected = now - last_rejection_ < kRecentRejection;
+  if (response_time <= 0 || servers_.capacity_in_service() <= 0 || has_rejected) return {};
+  const double work_per_ms = traffic_.request_work().mean() / response_time;  // of one request in flight
+  return {left * work_per_ms, std::max(0.0, left - std::sqrt(limit)) * work_per_ms, Duration(0)};
+}
+
+}  // namespace load_balancer
--- /dev/null
+++ b/src/policy/retry_policy.cpp
@@ -0,0 +1,36 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "policy/retry_policy.h"
+
+#include <algorithm>
+
+namespace load_balancer {
+namespace {
+
+constexpr double kWindowMargin = 0.9;  // of the window in which servers discard repeats, for delays
+
+bool MayDispatchAgain(const Request& request, const Attempt& first_run, TimePoint now) {
+  return request.rules.idempotency == Idempotency::kIdempotencyKey &&
+         now - first_run.sent_at <= request.rules.idempotency_window * kWindowMargin;
+}
+
+}  // namespace
+
+Permission PermissionFor(const Request& request, TimePoint now, const ServerList& servers) {
+  Permission permission;
+  if (request.is_finished || request.is_streaming) return permission;
+  const bool has_attempt_left = static_cast<int>(request.attempts.size()) < request.max_attempts;
+  permission.may_dispatch =
+      now < request.due && has_attempt_left && !request.HasOutstandingAttempt() && request.is_replayable;
+  permission.may_reject = true;
+  const auto first_run = std::find_if(request.attempts.begin(), request.attempts.end(),
+                                      [](const Attempt& attempt) { return attempt.may_have_run; });
+  const Idempotency idempotency = request.rules.idempotency;
+  if (first_run == request.attempts.end() || idempotency == Idempotency::kIdempotent) return permission;
+  permission.may_reject = idempotency == Idempotency::kIdempotencyKey &&
+                          request.rules.idempotency_scope == IdempotencyScope::kAll;
+  permission.may_dispatch = permission.may_dispatch && MayDispatchAgain(request, *first_run, now);
+  permission.anchor = &servers.at(first_run->server);
+  return permission;
+}
+
+}  // namespace load_balancer
--- /dev/null
+++ b/src/policy/server_picker.cpp
@@ -0,0 +1,95 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "policy/server_picker.h"
+
+#include <algorithm>
+
+namespace load_balancer {
+namespace {
+
+constexpr double kCrossingWork = 10;  // mean requests of work that a crossing price of 1 is worth
+constexpr double kZoneGain = 0.1;     // weight of one outcome in the losses of zones
+constexpr double kAffinityGain = 2;   // what affinity saves, in parts of the request's work
+constexpr int kTriedRank = 1;
+constexpr int kEjectedRank = 2;
+
+bool IsInScope(IdempotencyScope scope, const ServerEntry& anchor, const ServerEntry& entry) {
+  if (scope == IdempotencyScope::kAll) return true;
+  if (entry.zone != anchor.zone) return false;
+  return scope == IdempotencyScope::kZone || entry.cell == anchor.cell;
+}
+
+}  // namespace
+
+Server* ServerPicker::Pick(const Request& request, const Server* anchor) {
+  bool is_any_in_service = false;
+  Server* best = anchor ? nullptr : PickFrom(servers_.subset(), request, anchor, &is_any_in_service);
+  if (best) return best;
+  const bool may_leave_subset = anchor || servers_.subset().size() < servers_.ring().size();
+  return may_leave_subset ? PickFrom(servers_.ring(), request, anchor, &is_any_in_service) : nullptr;
+}
+
+Server* ServerPicker::PickFrom(const std::vector<ServerIndex>& indices, const Request& request,
+                               const Server* anchor, bool* is_any_in_service) {
+  const double price = context_.settings().cross_zone_price;
+  const bool counts_crossing = price > 0 && context_.random().UniformReal() < own_zone_preference_;
+  const double crossing_cost = counts_crossing ? kCrossingWork * price * traffic_.request_work().mean() : 0;
+  Candidate best;
+  std::uint64_t ties = 0;
+  for (const ServerIndex index : indices) {
+    Server& server = servers_.at(index);
+    if (!server.IsUsable()) continue;
+    if (anchor && !IsInScope(request.rules.idempotency_scope, anchor->entry, server.entry)) continue;
+    if (!server.health.is_ejected) *is_any_in_service = true;
+    if (!HasCapacity(server, request)) continue;
+    const Candidate candidate = Evaluate(server, request, crossing_cost);
+    const bool is_same_rank = best.server && candidate.rank == best.rank;
+    if (best.server && candidate.rank > best.rank) continue;
+    if (is_same_rank && candidate.cost > best.cost) continue;
+    const bool is_tie = is_same_rank && candidate.cost == best.cost;
+    ties = is_tie ? ties + 1 : 1;
+    if (is_tie && context_.random().UniformBelow(ties) != 0) continue;
+    best = candidate;
+  }
+  const bool is_best_ejected = best.server && best.rank >= kEjectedRank;
+  return is_best_ejected && *is_any_in_service ? nullptr : best.server;
+}
+
+bool ServerPicker::HasCapacity(Server& server, const Request& request) {
+  if (max_in_flight_ > 0 && server.load.attempts() >= max_in_flight_) return false;
+  if (slow_start_.Admits(server, request.work)) return true;
+  context_.LogLine(LogTopic::kSlowStart, "server ", server.entry.server, " held back: cold, at ",
+                   static_cast<int>(100 * servers_.CapacityShare(server)), "% or more of its capacity");
+  return false;
+}
+
+ServerPicker::Candidate ServerPicker::Evaluate(Server& server, const Request& request,
+                                               double crossing_cost) const {
+  const ServerIndex index = servers_.IndexOf(server);
+  const bool is_tried = std::any_of(request.attempts.begin(), request.attempts.end(),
+                                    [index](const Attempt& attempt) { return attempt.server == index; });
+  const bool is_warm = request.key != 0 && affinity_.IsWarm(request.key, index, context_.now());
+  const bool is_crossing = server.entry.zone != context_.settings().zone;
+  Candidate candidate;
+  candidate.server = &server;
+  candidate.rank = (server.health.is_ejected ? kEjectedRank : 0) + (is_tried ? kTriedRank : 0);
+  candidate.cost = server.load.work() + request.work * (server.slowness.At(context_.now()) - 1);
+  candidate.cost -= is_warm ? kAffinityGain * request.work : 0;
+  candidate.cost += is_crossing ? crossing_cost : 0;
+  return candidate;
+}
+
+// Where the own zone loses more than the others by more than a crossing costs, the price would keep every
+// request there while other zones are idle. It counts in the share of picks that this finding leaves.
+void ServerPicker::RecordOutcome(const Request& request, const Server& server, bool is_in_time, bool ok) {
+  const double late_loss = ok ? 1 - request.rules.late_priority_share : 1;
+  const double loss = is_in_time ? 0 : late_loss;
+  const bool is_own_zone = server.entry.zone == context_.settings().zone;
+  double& zone_loss = is_own_zone ? own_zone_loss_ : other_zones_loss_;
+  zone_loss += kZoneGain * (loss - zone_loss);
+  if (is_own_zone)
+    other_zones_loss_ *= 1 - kZoneGain / 4;  // what gets no traffic any more may have recovered
+  const bool leaves_zone = own_zone_loss_ - other_zones_loss_ > context_.settings().cross_zone_price;
+  own_zone_preference_ = std::clamp(own_zone_preference_ + (leaves_zone ? -kZoneGain : kZoneGain), 0.0, 1.0);
+}
+
+}  // namespace load_balancer
--- /dev/null
+++ b/src/policy/server_subset.cpp
@@ -0,0 +1,50 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "policy/server_subset.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace load_balancer {
+namespace {
+
+constexpr int kMinSubset = 8;           // half may be ejected, and the rest is still a choice
+constexpr int kMinCrowdedSubset = 3;    // where hundreds of proxies share few servers
+constexpr double kMaxConnections = 64;  // proxies that hold a connection to one server
+constexpr double kMinZonePrice = 0.02;  // of a crossing; below, an even choice among all zones is worth more
+constexpr double kGoldenRatio = 0.6180339887498949;
+
+// Appends to `subset` the servers of the proxy's arc of `ring`, up to the first `in_service` ones in service.
+void AppendArc(const std::vector<Server>& servers, const std::vector<ServerIndex>& ring, int balancer_index,
+               std::size_t in_service, std::vector<ServerIndex>* subset) {
+  const double start = std::fmod(balancer_index * kGoldenRatio, 1) * static_cast<double>(ring.size());
+  std::size_t found = 0;
+  for (std::size_t step = 0; step < ring.size() && found < in_service; ++step) {
+    const ServerIndex index = ring[(static_cast<std::size_t>(start) + step) % ring.size()];
+    subset->push_back(index);
+    if (!servers[index].health.is_ejected) ++found;
+  }
+}
+
+}  // namespace
+
+std::vector<ServerIndex> ChooseSubset(const std::vector<Server>& servers,
+                                      const std::vector<ServerIndex>& ring, const Settings& settings,
+                                      std::size_t judgeable) {
+  const double per_connection_limit =
+      kMaxConnections * static_cast<double>(ring.size()) / settings.balancer_count;
+  const auto min_size =
+      static_cast<std::size_t>(std::clamp<double>(per_connection_limit, kMinCrowdedSubset, kMinSubset));
+  const std::size_t size = std::max(judgeable, min_size);
+  const bool prefers_own_zone = settings.cross_zone_price > kMinZonePrice;
+  std::vector<ServerIndex> own_zone, other_zones;
+  for (const ServerIndex index : ring) {
+    const bool is_own = prefers_own_zone && servers[index].entry.zone == settings.zone;
+    (is_own ? own_zone : other_zones).push_back(index);
+  }
+  std::vector<ServerIndex> subset;
+  AppendArc(servers, own_zone, settings.balancer_index, size, &subset);
+  AppendArc(servers, other_zones, settings.balancer_index, size, &subset);
+  return subset;
+}
+
+}  // namespace load_balancer
--- /dev/null
+++ b/src/policy/session_affinity.cpp
@@ -0,0 +1,34 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "policy/session_affinity.h"
+
+namespace load_balancer {
+namespace {
+
+constexpr Duration kKeyMemory{4000};  // how long a server is taken to have a key cached
+
+}  // namespace
+
+void SessionAffinity::Record(std::uint64_t key, std::size_t server, TimePoint sent_at) {
+  ForgetExpired(sent_at);
+  sent_at_[key][server] = sent_at;
+  expiries_.push_back({sent_at, key});
+}
+
+bool SessionAffinity::IsWarm(std::uint64_t key, std::size_t server, TimePoint now) const {
+  const auto servers = sent_at_.find(key);
+  if (servers == sent_at_.end()) return false;
+  const auto sent = servers->second.find(server);
+  return sent != servers->second.end() && now - sent->second < kKeyMemory;
+}
+
+void SessionAffinity::ForgetExpired(TimePoint now) {
+  while (!expiries_.empty() && now - expiries_.front().recorded_at >= kKeyMemory) {
+    const std::uint64_t key = expiries_.front().key;
+    auto& servers = sent_at_[key];
+    std::erase_if(servers, [now](const auto& sent) { return now - sent.second >= kKeyMemory; });
+    if (servers.empty()) sent_at_.erase(key);
+    expiries_.pop_front();
+  }
+}
+
+}  // namespace load_balancer
--- a/src/policy/traffic_statistics.h
+++ b/src/policy/traffic_statistics.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-// What this proxy learns of what it is asked for, and of how fast and how crowded servers answer.
+/// @file
+/// What this proxy measures of its traffic: the rates of requests and responses, and how crowded servers are.
 #ifndef LOAD_BALANCER_SRC_POLICY_TRAFFIC_STATISTICS_H_
 #define LOAD_BALANCER_SRC_POLICY_TRAFFIC_STATISTICS_H_
 
@@ -7,74 +8,65 @@
 
 namespace load_balancer {
 
-constexpr int kYoung = 10;             // outcomes; before, what is asked stands for what is served
-constexpr Duration kRateMemory{8000};  // averaging of work served by warm servers
-constexpr Duration kGoodMemory{1500};  // averaging of the work answered, for the limit of the whole proxy
-constexpr Duration kUnasked{1000};     // nobody asks for so long: the rate tells nothing and is left as it is
-constexpr double kYoungGain = 0.7;     // of a sample that shows a young proxy more than it knew
-constexpr double kCrowdingGain = 0.1;  // of one answer
-constexpr Duration kCrowdingMemory{8000};  // what is not confirmed is forgotten
-constexpr double kMostCrowding = 16;       // one answer counts as no slower than this
-constexpr double kStretchGain = 0.01;      // of a slower answer; a faster one counts ten times as much
-constexpr int kLeastVotes = 4;             // answers of large requests; one slow one says little
-constexpr int kFirmVotes = 10;             // below, nothing is made of it: clients may differ widely
+/// Measures this proxy's traffic, all classes together. Work is hinted work in ms on a standard core.
+class TrafficStatistics {
+ public:
+  /// Takes over what a former process has learned. Does nothing once an attempt has ended here.
+  void Restore(const LearnedRates& rates);
 
-struct Traffic {
-  Spread request_work{}, mean_aim{};
-  double of_aim = 0;    // share of their aims that answers take
-  double crowding = 3;  // time of answers over what they take uncrowded
-  int time_per_work_votes = 0;
-  double time_per_work = 0;  // time over work that large requests take at the least
-  int samples = 0, young_samples = 0;
-  TimePoint asked_at{}, asked_from = kNever;                              // last; first, after a while
-  double answered = 0, served_rate = 0;                                   // since the last sample; a ms
-  double served_work = 0, work_rate = 0, asked_work = 0, asked_rate = 0;  // the same of work
-  int outcomes = 0;                                                       // attempts ended, to kYoung
+  /// Counts a request's hinted work.
+  void RecordHintedWork(double work) { request_work_.Add(work); }
+  void RecordArrival(const Request& request);
 
-  void Asked(const Request& r) {
-    mean_aim.Add(r.rules.latency_objective.count());
-    if (r.arrived - std::exchange(asked_at, r.arrived) > kUnasked) asked_from = r.arrived;
-    asked_work += r.work;
-  }
+  /// An attempt has ended after `took` ms. `is_timed`: `took` tells how fast servers respond.
+  void RecordAttempt(const Request& request, double took, bool ok, bool is_timed);
 
-  void Ended(const Request& r, double took, bool ok, bool timed) {
-    outcomes = std::min(kYoung, outcomes + 1);
-    if (ok) served_work += r.work, ++answered;
-    if (timed && time_per_work > 0 && took > 0) {
-      const double usual = std::min(time_per_work * std::max(r.work, request_work.mean / 2),
-                                    0.5 * r.rules.latency_objective.count());
-      crowding += kCrowdingGain * (std::min(took / usual, kMostCrowding) - crowding);
-      of_aim += kCrowdingGain * (std::min(took / r.rules.latency_objective.count(), kMostCrowding) - of_aim);
-    }
-    if (ok && r.work >= request_work.mean && took > 0) {
-      const double seen = took / r.work;
-      const double gain = seen < time_per_work ? 10 * kStretchGain : kStretchGain;
-      time_per_work +=
-          (++time_per_work_votes <= kFirmVotes ? 1.0 / time_per_work_votes : gain) * (seen - time_per_work);
-    }
-  }
+  /// Updates the rates from what was counted in the last `elapsed` ms.
+  void Sample(double elapsed, TimePoint now);
 
-  // A new proxy starts from little and trusts its first samples. They count from its first request, and go on
-  // with the next one where nobody asked for a while, as in a drain.
-  void Sample(double elapsed, TimePoint now) {
-    const Duration asked = std::min(Duration(elapsed), now - asked_from);
-    if (asked.count() > 0 && now - asked_at <= kUnasked) LearnServedRate(answered / asked.count(), asked);
-    const double forgotten = std::min(1.0, elapsed / kCrowdingMemory.count());
-    crowding += forgotten * (1 - crowding);
-    of_aim -= forgotten * of_aim;
-    const double gain = std::min(1.0, std::max(elapsed / kRateMemory.count(), 1.0 / ++samples));
-    work_rate += gain * (served_work / elapsed - work_rate);
-    asked_rate += gain * (asked_work / elapsed - asked_rate);
-    answered = served_work = asked_work = 0;
-  }
+  /// A request that takes longer than its latency objective even at an idle server was found: the finding
+  /// weakens the next, so that a slow spell does not shut out a class for good.
+  void WeakenTimePerWork();
+
+  const MeanAndDeviation& request_work() const { return request_work_; }
+  const MeanAndDeviation& latency_objective() const { return latency_objective_; }  ///< of requests, in ms
+  double latency_objective_used() const {
+    return latency_objective_used_;
+  }                                              ///< by responses, as a share of it
+  double crowding() const { return crowding_; }  ///< response time over the time at uncrowded servers
+  double time_per_work() const { return time_per_work_; }  ///< the least of large requests; 0: not known
+  bool is_time_per_work_known() const;
+  double responses_per_ms() const { return responses_per_ms_; }
+  double work_served_per_ms() const { return work_served_per_ms_; }
+  double work_requested_per_ms() const { return work_requested_per_ms_; }
+
+  /// Attempts have ended; before, what is requested stands for what is served.
+  bool has_attempts() const { return attempts_ > 0; }
+  bool has_enough_attempts() const;
 
  private:
-  // A young proxy follows a rising rate at once: with a limit of nothing it refused for up to a second.
-  void LearnServedRate(double rate, Duration elapsed) {
-    const double least_gain = young_samples < kYoung && rate > served_rate ? kYoungGain : 0;
-    const double gain = std::min(1.0, std::max({elapsed / kGoodMemory, 1.0 / ++young_samples, least_gain}));
-    served_rate += gain * (rate - served_rate);
-  }
+  void UpdateResponseRate(double rate, Duration elapsed);
+
+  MeanAndDeviation request_work_;
+  MeanAndDeviation latency_objective_;
+  double latency_objective_used_ = 0;
+  double crowding_ = 3;  // a new proxy assumes crowded servers
+  int time_per_work_votes_ = 0;
+  double time_per_work_ = 0;
+  int samples_ = 0;
+  int response_rate_samples_ = 0;
+  TimePoint last_arrival_{};
+  TimePoint arrivals_since_ = kNever;  // the first after a pause
+  int attempts_ = 0;                   // ended; counted as far as is needed
+
+  // Since the last sample.
+  double responses_ = 0;
+  double work_served_ = 0;
+  double work_requested_ = 0;
+
+  double responses_per_ms_ = 0;
+  double work_served_per_ms_ = 0;
+  double work_requested_per_ms_ = 0;
 };
 
 }  // namespace load_balancer
