--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -8,8 +8,10 @@
 
 #include <filesystem>
 #include <fstream>
+#include <iterator>
 
 #include "loopback.h"
+#include "program_paths.h"
 
 namespace load_balancer::testing {
 namespace {
@@ -125,5 +127,34 @@
   EXPECT_THROW(proxy::Reconfigure(next.dump(), current), proxy::BadConfig);
 }
 
+// ---- the examples that README.md shows -----------------------------------------------------------------
+
+std::string ReadText(const std::filesystem::path& path) {
+  std::ifstream file(path);
+  return std::string(std::istreambuf_iterator<char>(file), {});
+}
+
+// The blocks of a page that are marked as JSON.
+std::vector<std::string> JsonBlocks(const std::string& page) {
+  const std::string begin = "```json\n", end = "```\n";
+  std::vector<std::string> blocks;
+  for (std::size_t at = page.find(begin); at != std::string::npos; at = page.find(begin, at)) {
+    at += begin.size();
+    blocks.push_back(page.substr(at, page.find(end, at) - at));
+  }
+  return blocks;
+}
+
+TEST(Examples, OfTheReadmeHaveNoFault) {
+  const std::filesystem::path root = kSourceRoot;
+  const std::vector<std::string> blocks = JsonBlocks(ReadText(root / "README.md"));
+  ASSERT_EQ(blocks.size(), 2u);
+  EXPECT_EQ(blocks[0], ReadText(root / "examples" / "proxy.json"));
+  EXPECT_EQ(Faults(blocks[0]), std::vector<std::string>{});
+  json with_fleet = json::parse(blocks[0]);
+  with_fleet.update(json::parse(blocks[1]));
+  EXPECT_EQ(Faults(with_fleet.dump()), std::vector<std::string>{});
+}
+
 }  // namespace
 }  // namespace load_balancer::testing
