--- a/tests/failures_test.cpp
+++ b/tests/failures_test.cpp
@@ -44,6 +44,26 @@
   EXPECT_TRUE(page.empty()) << page.begin()->first << " is on the page alone";
 }
 
+// Of docs/operations.md, the second column of the table by symptom.
+std::string CodesBySymptom() {
+  std::ifstream file(std::string(load_balancer::testing::kSourceRoot) + "/docs/operations.md");
+  std::string codes;
+  bool in_table = false;
+  for (std::string line; std::getline(file, line);) {
+    if (line.starts_with("## ")) in_table = line == "## By symptom";
+    if (!in_table || !line.starts_with("| ")) continue;
+    const auto begin = line.find(" | ") + 3;
+    codes += line.substr(begin, line.find(" | ", begin) - begin) + '\n';
+  }
+  return codes;
+}
+
+TEST(Failures, EachCodeIsFoundByASymptom) {
+  const std::string codes = CodesBySymptom();
+  for (const FailureKind* kind : proxy::AllFailureKinds())
+    EXPECT_NE(codes.find('`' + std::string(kind->code) + '`'), std::string::npos) << kind->code;
+}
+
 TEST(Failures, TextNamesTheCodeAndEndsWithTheAdvice) {
   constexpr FailureKind kind{"TEST-1", "it broke", "mend it"};
   EXPECT_EQ(Failure(kind, "here", "thus").Text(), "TEST-1 it broke: here (thus); mend it");
