--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -25,7 +25,7 @@
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<Clock>;
-  static constexpr bool is_steady = true;
+  static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming): the standard's name
 };
 using Duration = Clock::duration;
 using TimePoint = Clock::time_point;
@@ -321,18 +321,18 @@
  public:
   Balancer(Settings settings, std::uint64_t seed);
   ~Balancer();
-  Balancer(Balancer&&) noexcept;
-  Balancer& operator=(Balancer&&) noexcept;
+  Balancer(Balancer&& other) noexcept;
+  Balancer& operator=(Balancer&& other) noexcept;
 
   /// Appends what is to be done at `now` because of `event`. Ignores what it does not know; never throws on
   /// the content of an event.
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
   /// What a process that replaces this one starts from.
-  LearnedRates learned_rates() const;
+  [[nodiscard]] LearnedRates learned_rates() const;
 
   /// As of the last event; `now` only ends the second after a rejection.
-  SpareCapacity EstimateSpareCapacity(TimePoint now) const;
+  [[nodiscard]] SpareCapacity EstimateSpareCapacity(TimePoint now) const;
 
  private:
   class Impl;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -22,14 +22,14 @@
   /// late could only queue at servers, and so could what takes a multiple of the uncrowded time. Attempts
   /// whose response is overdue do not count. Requests are counted, not weighed: a huge one must neither be
   /// shut out nor shut out others.
-  double Limit() const;
+  [[nodiscard]] double Limit() const;
 
   /// The time in ms that a request may take at that limit.
-  double MaxResponseTime() const;
+  [[nodiscard]] double MaxResponseTime() const;
 
   /// Whether to shed the request at random, by how crowded servers are. Only where traffic is sparse and a
   /// limit of one or two in flight would be too coarse. Requests over their tenant's quota go first.
-  bool ShouldShed(const Request& request) const;
+  [[nodiscard]] bool ShouldShed(const Request& request) const;
 
   /// Sets Request::value and charges the tenant's quota. `objective` is what is left of the latency
   /// objective: what is too large to be in time even alone is worth less, as it must not take the place of
@@ -46,8 +46,8 @@
   void HandleNewSettings(const std::vector<int>& previous_tenant_indices);
 
  private:
-  double MinLimit() const;
-  double Pressure() const;
+  [[nodiscard]] double MinLimit() const;
+  [[nodiscard]] double Pressure() const;
   bool TakeQuota(int tenant, QuotaStatus status);
 
   Context& context_;
--- a/src/policy/admission_queue.cpp
+++ b/src/policy/admission_queue.cpp
@@ -9,6 +9,10 @@
   return request < other.request;
 }
 
+bool AdmissionQueue::Expiry::operator<(const Expiry& other) const {
+  return at != other.at ? at < other.at : request < other.request;
+}
+
 void AdmissionQueue::Add(Request& request) {
   request.is_queued = true;
   positions_.insert(PositionOf(request));
--- a/src/policy/admission_queue.h
+++ b/src/policy/admission_queue.h
@@ -4,7 +4,6 @@
 #ifndef LOAD_BALANCER_SRC_POLICY_ADMISSION_QUEUE_H_
 #define LOAD_BALANCER_SRC_POLICY_ADMISSION_QUEUE_H_
 
-#include <compare>
 #include <cstddef>
 #include <optional>
 #include <set>
@@ -31,22 +30,22 @@
   /// Does nothing if the request is not queued. Its expiry stays.
   void Remove(Request& request);
 
-  std::optional<Position> First() const;
-  std::optional<Position> After(const Position& position) const;
+  [[nodiscard]] std::optional<Position> First() const;
+  [[nodiscard]] std::optional<Position> After(const Position& position) const;
 
   /// Takes out the next expiry that has passed. Its request may be gone, or no longer queued.
   std::optional<RequestId> TakeExpired(TimePoint now);
-  TimePoint next_expiry() const;
+  [[nodiscard]] TimePoint next_expiry() const;
 
-  bool empty() const { return positions_.empty(); }
-  std::size_t size() const { return positions_.size(); }
+  [[nodiscard]] bool empty() const { return positions_.empty(); }
+  [[nodiscard]] std::size_t size() const { return positions_.size(); }
 
  private:
   struct Expiry {
     TimePoint at{};
     RequestId request = 0;
 
-    auto operator<=>(const Expiry&) const = default;
+    bool operator<(const Expiry& other) const;
   };
 
   static Position PositionOf(const Request& request) { return {request.value, request.arrived, request.id}; }
--- a/src/policy/attempts_in_flight.cpp
+++ b/src/policy/attempts_in_flight.cpp
@@ -3,6 +3,12 @@
 
 namespace load_balancer {
 
+bool AttemptsInFlight::Awaited::operator<(const Awaited& other) const {
+  if (overdue_at != other.overdue_at) return overdue_at < other.overdue_at;
+  if (request != other.request) return request < other.request;
+  return attempt < other.attempt;
+}
+
 void AttemptsInFlight::Add(const Request& request) {
   const int attempt = static_cast<int>(request.attempts.size()) - 1;
   awaited_.insert({request.attempts.back().overdue_at, request.id, attempt});
--- a/src/policy/attempts_in_flight.h
+++ b/src/policy/attempts_in_flight.h
@@ -4,7 +4,6 @@
 #ifndef LOAD_BALANCER_SRC_POLICY_ATTEMPTS_IN_FLIGHT_H_
 #define LOAD_BALANCER_SRC_POLICY_ATTEMPTS_IN_FLIGHT_H_
 
-#include <compare>
 #include <cstddef>
 #include <set>
 
@@ -25,14 +24,14 @@
   /// Removes overdue attempts; true if there were any.
   bool RemoveOverdue(TimePoint now);
 
-  TimePoint next_overdue() const;  ///< kNever where no attempt is awaited
-  std::size_t size() const { return awaited_.size(); }
-  bool empty() const { return awaited_.empty(); }
+  [[nodiscard]] TimePoint next_overdue() const;  ///< kNever where no attempt is awaited
+  [[nodiscard]] std::size_t size() const { return awaited_.size(); }
+  [[nodiscard]] bool empty() const { return awaited_.empty(); }
 
   /// An attempt of an overflow request was sent, or has ended.
   void AddOverflow() { ++overflow_; }
   void RemoveOverflow() { --overflow_; }
-  int overflow() const { return overflow_; }
+  [[nodiscard]] int overflow() const { return overflow_; }
 
  private:
   struct Awaited {
@@ -40,7 +39,7 @@
     RequestId request = 0;
     int attempt = 0;
 
-    auto operator<=>(const Awaited&) const = default;
+    bool operator<(const Awaited& other) const;
   };
 
   std::set<Awaited> awaited_;
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -53,7 +53,7 @@
   void HandleEvent(const ProcessCount& event) { slow_start_.SetProcesses(event.processes); }
   void HandleEvent(const PeerEjection& event) { servers_.ApplyPeerEjection(event); }
   void HandleEvent(const RestoredEjection& event) { servers_.RestoreEjection(event); }
-  void HandleEvent(const TimerFired&) {}
+  void HandleEvent(const TimerFired& /*event*/) {}
 
   void HandleEvent(const ListUpdate& event) {
     poller_.HandleUpdate(event.kind);
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -26,10 +26,10 @@
   void BeginEvent(TimePoint now, std::vector<Action>* actions);
   void EndEvent();
 
-  const Settings& settings() const { return settings_; }
+  [[nodiscard]] const Settings& settings() const { return settings_; }
   void ReplaceSettings(const Settings& settings) { settings_ = settings; }
   RandomSource& random() { return random_; }
-  TimePoint now() const { return now_; }
+  [[nodiscard]] TimePoint now() const { return now_; }
 
   void Emit(Action action);
 
--- a/src/policy/list_poller.h
+++ b/src/policy/list_poller.h
@@ -20,7 +20,7 @@
 
   void PollIfDue();
 
-  TimePoint next_poll() const { return next_poll_; }  ///< kNever: none is due
+  [[nodiscard]] TimePoint next_poll() const { return next_poll_; }  ///< kNever: none is due
 
  private:
   void BackOff();
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -25,7 +25,7 @@
   bool is_advised = false;  ///< ejected on a peer's advice
   TimePoint return_at{};
 
-  int attempts() const { return successes + failures; }
+  [[nodiscard]] int attempts() const { return successes + failures; }
 };
 
 /// Counts the responses of all hosts and ejects outliers. It keeps running sums, so that a response does not
@@ -58,24 +58,24 @@
   /// The interval in which traffic brings kRequestVolume attempts to each host.
   void SetVolumeInterval(Duration interval);
 
-  Duration interval() const { return interval_; }
+  [[nodiscard]] Duration interval() const { return interval_; }
 
   /// Traffic does not bring kRequestVolume attempts to each host within kDetectionInterval.
-  bool is_traffic_sparse() const { return is_traffic_sparse_; }
+  [[nodiscard]] bool is_traffic_sparse() const { return is_traffic_sparse_; }
 
  private:
   struct Counts {
     int failures = 0;
     int attempts = 0;
 
-    Counts Without(const HostHealth& host) const {
+    [[nodiscard]] Counts Without(const HostHealth& host) const {
       return {failures - host.failures, attempts - host.attempts()};
     }
   };
 
-  bool IsOutlier(const HostHealth& host) const;
-  bool MayEject() const;
-  int MinVolume(const Counts& others) const;
+  [[nodiscard]] bool IsOutlier(const HostHealth& host) const;
+  [[nodiscard]] bool MayEject() const;
+  [[nodiscard]] int MinVolume(const Counts& others) const;
   Duration Eject(HostHealth& host);
 
   int hosts_ = 0;          // listed as ready
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -18,7 +18,7 @@
   bool Observe(Duration allowed, bool is_client_retry);
 
   /// Enough requests agree.
-  bool is_established() const;
+  [[nodiscard]] bool is_established() const;
 
  private:
   Duration usual_{0};
@@ -32,13 +32,13 @@
   UsualTimeout usual_timeout;
 
   /// How response times of this class are expected to grow with the hinted work; 1 for mean work.
-  double ScaleOf(double work_ms) const;
+  [[nodiscard]] double ScaleOf(double work_ms) const;
 
   /// The time that a response hardly exceeds: mean + 4 deviations, as RFC 6298 sets time-outs.
-  Duration UnlikelyLatency(double work_ms) const;
+  [[nodiscard]] Duration UnlikelyLatency(double work_ms) const;
 
   /// There are enough responses to judge by.
-  bool is_known() const;
+  [[nodiscard]] bool is_known() const;
 };
 
 struct Attempt {
@@ -70,7 +70,7 @@
   bool is_body_pending = false;
   bool is_overflow = false;
 
-  bool HasOutstandingAttempt() const;
+  [[nodiscard]] bool HasOutstandingAttempt() const;
 };
 
 }  // namespace load_balancer
--- a/src/policy/request_lifecycle.h
+++ b/src/policy/request_lifecycle.h
@@ -55,7 +55,7 @@
   Request NewRequest(const RequestReceived& received) const;
   void SetWork(const RequestReceived& received, Request* request);
   Request* Find(RequestId id);
-  Attempt* FindAttempt(Request* request, int attempt);
+  static Attempt* FindAttempt(Request* request, int attempt);
   Server& LastServer(const Request& request);
   bool HasCapacity(const Request& request) const;
   bool TryDispatch(Request& request);
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -13,7 +13,7 @@
   void RecordRetry();
 
   /// A retry that adds load is permitted.
-  bool HasToken() const { return tokens_ >= 1; }
+  [[nodiscard]] bool HasToken() const { return tokens_ >= 1; }
 
  private:
   static constexpr double kTokensPerFirstAttempt = 0.1;  // bounds a retry storm to a tenth of the traffic
--- a/src/policy/server.h
+++ b/src/policy/server.h
@@ -25,11 +25,11 @@
   /// The last attempt's body is complete: a server that owes nothing else begins to owe its response now.
   void BodyComplete(TimePoint now);
 
-  double work() const { return work_; }  ///< hinted work, in ms on a standard core
-  int attempts() const { return attempts_; }
+  [[nodiscard]] double work() const { return work_; }  ///< hinted work, in ms on a standard core
+  [[nodiscard]] int attempts() const { return attempts_; }
 
   /// Since when the server has owed responses without giving one.
-  TimePoint silent_since() const { return silent_since_; }
+  [[nodiscard]] TimePoint silent_since() const { return silent_since_; }
 
  private:
   double work_ = 0;
@@ -41,7 +41,7 @@
 /// not confirmed.
 class Slowness {
  public:
-  double At(TimePoint now) const;
+  [[nodiscard]] double At(TimePoint now) const;
 
   /// `relative`: the time of a response over what the fleet takes for the like.
   void Record(double relative, TimePoint now);
@@ -75,7 +75,7 @@
   SlowStartState slow_start;
 
   /// Listed as ready and not in maintenance. It may be ejected nevertheless.
-  bool IsUsable() const { return entry.state == ServerState::kReady && !in_maintenance; }
+  [[nodiscard]] bool IsUsable() const { return entry.state == ServerState::kReady && !in_maintenance; }
 };
 
 }  // namespace load_balancer
--- a/src/policy/server_picker.cpp
+++ b/src/policy/server_picker.cpp
@@ -34,26 +34,31 @@
   const bool counts_crossing = price > 0 && context_.random().UniformReal() < own_zone_preference_;
   const double crossing_cost = counts_crossing ? kCrossingWork * price * traffic_.request_work().mean() : 0;
   Candidate best;
-  std::uint64_t ties = 0;
   for (const ServerIndex index : indices) {
     Server& server = servers_.at(index);
     if (!server.IsUsable()) continue;
     if (anchor && !IsInScope(request.rules.idempotency_scope, anchor->entry, server.entry)) continue;
     if (!server.health.is_ejected) *is_any_in_service = true;
-    if (!HasCapacity(server, request)) continue;
-    const Candidate candidate = Evaluate(server, request, crossing_cost);
-    const bool is_same_rank = best.server && candidate.rank == best.rank;
-    if (best.server && candidate.rank > best.rank) continue;
-    if (is_same_rank && candidate.cost > best.cost) continue;
-    const bool is_tie = is_same_rank && candidate.cost == best.cost;
-    ties = is_tie ? ties + 1 : 1;
-    if (is_tie && context_.random().UniformBelow(ties) != 0) continue;
-    best = candidate;
+    if (HasCapacity(server, request)) KeepBetter(Evaluate(server, request, crossing_cost), &best);
   }
   const bool is_best_ejected = best.server && best.rank >= kEjectedRank;
   return is_best_ejected && *is_any_in_service ? nullptr : best.server;
 }
 
+// Of equal candidates, each of those seen so far is kept with the same probability.
+void ServerPicker::KeepBetter(const Candidate& candidate, Candidate* best) {
+  if (best->server) {
+    if (candidate.rank > best->rank) return;
+    if (candidate.rank == best->rank && candidate.cost > best->cost) return;
+  }
+  const bool is_tie = best->server && candidate.rank == best->rank && candidate.cost == best->cost;
+  const std::uint64_t ties = is_tie ? best->ties + 1 : 1;
+  best->ties = ties;
+  if (is_tie && context_.random().UniformBelow(ties) != 0) return;
+  *best = candidate;
+  best->ties = ties;
+}
+
 bool ServerPicker::HasCapacity(Server& server, const Request& request) {
   if (max_in_flight_ > 0 && server.load.attempts() >= max_in_flight_) return false;
   if (slow_start_.Admits(server, request.work)) return true;
--- a/src/policy/server_picker.h
+++ b/src/policy/server_picker.h
@@ -4,6 +4,7 @@
 #ifndef LOAD_BALANCER_SRC_POLICY_SERVER_PICKER_H_
 #define LOAD_BALANCER_SRC_POLICY_SERVER_PICKER_H_
 
+#include <cstdint>
 #include <vector>
 
 #include "policy/session_affinity.h"
@@ -40,10 +41,12 @@
     Server* server = nullptr;
     int rank = 0;  // lower ranks are preferred, whatever the cost
     double cost = 0;
+    std::uint64_t ties = 1;  // candidates as good as this one, itself included
   };
 
   Server* PickFrom(const std::vector<ServerIndex>& indices, const Request& request, const Server* anchor,
                    bool* is_any_in_service);
+  void KeepBetter(const Candidate& candidate, Candidate* best);
   bool HasCapacity(Server& server, const Request& request);
   Candidate Evaluate(Server& server, const Request& request, double crossing_cost) const;
 
--- a/src/policy/server_subset.cpp
+++ b/src/policy/server_subset.cpp
@@ -36,7 +36,8 @@
       static_cast<std::size_t>(std::clamp<double>(per_connection_limit, kMinCrowdedSubset, kMinSubset));
   const std::size_t size = std::max(judgeable, min_size);
   const bool prefers_own_zone = settings.cross_zone_price > kMinZonePrice;
-  std::vector<ServerIndex> own_zone, other_zones;
+  std::vector<ServerIndex> own_zone;
+  std::vector<ServerIndex> other_zones;
   for (const ServerIndex index : ring) {
     const bool is_own = prefers_own_zone && servers[index].entry.zone == settings.zone;
     (is_own ? own_zone : other_zones).push_back(index);
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -29,13 +29,13 @@
   /// Learns what a warm server serves, `elapsed` after the last call.
   void UpdateWarmRate(Duration elapsed);
   void RestoreWarmRate(double work_per_ms) { warm_work_per_ms_ = work_per_ms; }
-  double warm_work_per_ms() const { return warm_work_per_ms_; }
+  [[nodiscard]] double warm_work_per_ms() const { return warm_work_per_ms_; }
 
   /// Processes that are this one proxy: each takes its part of the budget.
   void SetProcesses(int processes);
 
  private:
-  double BudgetRate(const Server& server, double capacity_share) const;
+  [[nodiscard]] double BudgetRate(const Server& server, double capacity_share) const;
 
   Context& context_;
   const ServerList& servers_;
--- a/src/policy/statistics.h
+++ b/src/policy/statistics.h
@@ -25,9 +25,9 @@
  public:
   void Add(double value);
 
-  double mean() const { return mean_; }
-  double deviation() const { return deviation_; }
-  int samples() const { return samples_; }
+  [[nodiscard]] double mean() const { return mean_; }
+  [[nodiscard]] double deviation() const { return deviation_; }
+  [[nodiscard]] int samples() const { return samples_; }
 
  private:
   double mean_ = 0;
--- a/src/policy/traffic_statistics.h
+++ b/src/policy/traffic_statistics.h
@@ -28,21 +28,27 @@
   /// weakens the next, so that a slow spell does not shut out a class for good.
   void WeakenTimePerWork();
 
-  const MeanAndDeviation& request_work() const { return request_work_; }
-  const MeanAndDeviation& latency_objective() const { return latency_objective_; }  ///< of requests, in ms
-  double latency_objective_used() const {
-    return latency_objective_used_;
-  }                                              ///< by responses, as a share of it
-  double crowding() const { return crowding_; }  ///< response time over the time at uncrowded servers
-  double time_per_work() const { return time_per_work_; }  ///< the least of large requests; 0: not known
-  bool is_time_per_work_known() const;
-  double responses_per_ms() const { return responses_per_ms_; }
-  double work_served_per_ms() const { return work_served_per_ms_; }
-  double work_requested_per_ms() const { return work_requested_per_ms_; }
-
-  /// Attempts have ended; before, what is requested stands for what is served.
-  bool has_attempts() const { return attempts_ > 0; }
-  bool has_enough_attempts() const;
+  /// Hinted work of requests, and the latency objectives that they came with in ms.
+  [[nodiscard]] const MeanAndDeviation& request_work() const { return request_work_; }
+  [[nodiscard]] const MeanAndDeviation& latency_objective() const { return latency_objective_; }
+
+  /// The share of their latency objective that responses take.
+  [[nodiscard]] double latency_objective_used() const { return latency_objective_used_; }
+
+  /// Response time over the time that uncrowded servers need; 1: they are not crowded.
+  [[nodiscard]] double crowding() const { return crowding_; }
+
+  /// The least response time over hinted work, of large requests; 0: not known.
+  [[nodiscard]] double time_per_work() const { return time_per_work_; }
+  [[nodiscard]] bool is_time_per_work_known() const;
+
+  [[nodiscard]] double responses_per_ms() const { return responses_per_ms_; }
+  [[nodiscard]] double work_served_per_ms() const { return work_served_per_ms_; }
+  [[nodiscard]] double work_requested_per_ms() const { return work_requested_per_ms_; }
+
+  /// Attempts have ended. Until there are enough, what is requested stands for what is served.
+  [[nodiscard]] bool has_attempts() const { return attempts_ > 0; }
+  [[nodiscard]] bool has_enough_attempts() const;
 
  private:
   void UpdateResponseRate(double rate, Duration elapsed);
