--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Outlier detection alone. balancer_test.cpp tests it with traffic.
+// Outlier detection alone. outlier_ejection_test.cpp tests it with traffic.
 #include "policy/outlier_detection.h"
 
 #include <gtest/gtest.h>
--- /dev/null
+++ b/tests/policy/slow_start_test.cpp
@@ -0,0 +1,154 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// How much servers that have just started are sent.
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <utility>
+#include <vector>
+
+#include "policy/scripted_traffic.h"
+
+namespace load_balancer {
+namespace {
+
+using testing::Entry;
+using testing::next_id;
+using testing::Rig;
+using testing::Usual;
+
+TEST(ColdStart, BudgetOverEveryWindow) {
+  Rig rig;
+  std::vector<ServerEntry> list = {Entry(1), Entry(2), Entry(3)};
+  rig.List(list);
+  // 30 ms of work every 10 ms, answered at once, for 20 s: each warm server gets about 1 a ms.
+  auto run = [&](double ms) {
+    std::vector<std::pair<double, double>> sent;
+    for (double t = 0; t < ms; t += 10) {
+      rig.Tick(10);
+      std::vector<std::pair<RequestId, ServerId>> open;
+      for (int k = 0; k < 3; ++k) {
+        const RequestId id = next_id++;
+        const auto s = rig.Ask(id, 2, 10, 900);
+        if (!s) continue;
+        open.emplace_back(id, *s);
+        if (*s == 3) sent.emplace_back(rig.now, 10);
+      }
+      for (const auto& [id, s] : open) rig.End(id, 0, s, Outcome::kOk, 5);
+    }
+    return sent;
+  };
+  run(20000);
+  rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);  // the same id, started again
+  const double start = rig.now;
+  const auto sent = run(10000);
+  double most = 0;
+  for (std::size_t i = 0; i < sent.size(); ++i) {
+    double window = 0;
+    for (std::size_t k = i; k < sent.size() && sent[k].first - sent[i].first < 1000; ++k)
+      window += sent[k].second;
+    const double share = 0.25 + 0.75 * std::min(1.0, (sent[i].first - start + 1000) / 10000);
+    most = std::max(most, window / (share * 1000));
+  }
+  EXPECT_LE(most, 2.5) << "of what a warm server was sent, times the cold share; it falls over at 3";
+  EXPECT_GT(sent.size(), 100u) << "and it is brought back";
+}
+
+// An overloaded fleet is sent far more than it serves; the cold server's budget must follow what is served.
+TEST(ColdStart, TheBudgetFollowsWhatWarmServersServe) {
+  Settings s = Usual();
+  s.max_attempts = 1;
+  Rig rig(s);
+  rig.List({Entry(1), Entry(2), Entry(3, 0, 0, ServerState::kReady, rig.now)});
+  int sent = 0;
+  for (int i = 0; i < 800; ++i) {
+    rig.Tick(5);
+    const RequestId id = next_id++;
+    const auto server = rig.Ask(id, 2, 10, 900);
+    if (!server) continue;
+    sent += *server == 3;
+    rig.End(id, 0, *server, i % 20 ? Outcome::kOverloaded : Outcome::kOk, 5);
+  }
+  // Warm servers serve 0.05 a ms each; 3 x 0.55 of that, at 25 to 55% of its capacity, is 13 in 4 s.
+  EXPECT_LE(sent, 13) << "and not 20 times as many, as the fleet is sent";
+}
+
+// A rolling deploy turned every server cold, and a budget of what is served now starved itself (catalogue
+// big-2).
+TEST(ColdStart, ABudgetDoesNotStarveItselfWhenNoServerIsWarm) {
+  Settings settings = Usual();
+  settings.slow_start_window = Duration(20000);
+  settings.slow_start_min_share = 0.1;
+  Rig rig(settings);
+  rig.Servers(6);
+  bool served = true;
+  auto run = [&](int n) {
+    int sent = 0;
+    for (int i = 0; i < n; ++i) {
+      rig.Tick(20);
+      const RequestId id = next_id++;
+      const auto s = rig.Ask(id, 2, 10, 400);
+      if (s) ++sent, rig.End(id, 0, *s, served ? Outcome::kOk : Outcome::kCancelled, 12);
+    }
+    return sent;
+  };
+  run(1000);
+  std::vector<ServerEntry> cold;
+  for (ServerId id = 1; id <= 6; ++id) cold.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
+  rig.List(cold);
+  served = false;
+  run(250);
+  served = true;
+  EXPECT_GT(run(100), 70) << "after five seconds in which nothing was answered";
+}
+
+TEST(ColdStart, RejectedWorkCountsToo) {
+  Rig rig;
+  rig.List({Entry(1, 0, 0, ServerState::kReady, 99999)});
+  int sent = 0;
+  for (int i = 0; i < 50; ++i) {
+    const RequestId id = next_id++;
+    const auto s = rig.Ask(id, 2, 10, 2000);
+    if (s) ++sent, rig.End(id, 0, *s, Outcome::kOverloaded);
+  }
+  EXPECT_LE(sent, 2) << "nothing is known of warm servers: one mean request a window";
+}
+
+TEST(ColdStart, AProxyThatKnowsNothingStillServes) {
+  Rig rig;
+  rig.List({Entry(1, 0, 0, ServerState::kReady, 99999), Entry(2, 0, 0, ServerState::kReady, 99999)});
+  const RequestId id = next_id++;
+  bool sent = rig.Ask(id, 0).has_value();
+  for (int i = 0; i < 20 && !sent; ++i) rig.Tick(5), sent = rig.SentTo(id).has_value();
+  EXPECT_TRUE(sent) << "within half of the aim";
+}
+
+// Hundreds of proxies that each sent a starting server one first request at once pushed it over (big-1 and
+// big-2 of a catalogue: 4.1 times what it could do).
+TEST(ColdStart, ManyProxiesTakeTurnsAtAStartingServer) {
+  Settings settings = Usual();
+  settings.balancer_count = 400;
+  settings.slow_start_min_share = 0.1;
+  int at_once = 0;
+  for (std::uint64_t seed = 1; seed <= 400; ++seed) {
+    Rig rig(settings, seed);
+    rig.List({Entry(1), Entry(2), Entry(3)});
+    for (int i = 0; i < 100; ++i) {  // a request every 200 ms
+      rig.Tick(200);
+      if (const auto s = rig.Ask(next_id++, 2, 10)) rig.End(next_id - 1, 0, *s, Outcome::kOk);
+    }
+    rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);
+    for (int k = 0; k < 5; ++k) {
+      rig.Tick(200);
+      if (const auto s = rig.Ask(next_id++, 2, 10))
+        at_once += *s == 3, rig.End(next_id - 1, 0, *s, Outcome::kOk);
+    }
+  }
+  // Each warm server serves 400 x 10 ms of work each 600 ms: 6.7 a ms. A cold one does 0.1 to 0.19 of that in
+  // its first second, and falls over at 3 times as much.
+  EXPECT_LE(at_once * 10, 3 * 0.145 * 6.7 * 1000);
+  EXPECT_GT(at_once, 50) << "and it is used";
+}
+
+}  // namespace
+}  // namespace load_balancer
--- /dev/null
+++ b/tests/policy/subset_test.cpp
@@ -0,0 +1,100 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Which servers a proxy uses where it does not use all.
+#include <gtest/gtest.h>
+
+#include <map>
+#include <set>
+#include <variant>
+#include <vector>
+
+#include "policy/scripted_traffic.h"
+
+namespace load_balancer {
+namespace {
+
+using testing::Entry;
+using testing::next_id;
+using testing::Rig;
+using testing::Usual;
+
+// Incident i0f08a6: hundreds of proxies each held a connection to every server, more than servers accept.
+TEST(Subset, ThinTrafficUsesFewServersAndAllProxiesTogetherUseThemAlike) {
+  constexpr int kProxies = 400, kServers = 80;
+  std::map<ServerId, int> proxies_at;
+  for (int me = 0; me < kProxies; ++me) {
+    Settings settings = Usual();
+    settings.balancer_count = kProxies;
+    settings.balancer_index = me;
+    Rig rig(settings, me + 1);
+    rig.Servers(kServers);
+    std::set<ServerId> used;
+    for (int i = 0; i < 100; ++i) {
+      rig.Tick(250);
+      const RequestId id = next_id++;
+      if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, Outcome::kOk);
+    }
+    EXPECT_LE(used.size(), 16u);
+    EXPECT_GE(used.size(), 4u);
+    for (const ServerId s : used) ++proxies_at[s];
+  }
+  EXPECT_EQ(proxies_at.size(), static_cast<std::size_t>(kServers));
+  const double mean = 1.0 * kProxies * 8 / kServers;
+  for (const auto& [s, proxies] : proxies_at) EXPECT_NEAR(proxies, mean, mean / 4) << s;
+}
+
+// A shrunk fleet: a fixed subset brought 133 proxies to each server (tsoa big-1), and old connections stayed.
+TEST(Subset, FewServersAreSharedByNoMoreProxiesThanTheyCanHold) {
+  Settings settings = Usual();
+  settings.balancer_count = 640;
+  Rig rig(settings);
+  rig.Servers(80);
+  std::vector<ServerEntry> gone;
+  for (ServerId id = 31; id <= 80; ++id) gone.push_back(Entry(id, 0, 0, ServerState::kGone));
+  rig.List(gone, ListKind::kDelta);
+  rig.sent.clear();
+  std::set<ServerId> used;
+  for (int i = 0; i < 60; ++i) {
+    rig.Tick(250);
+    const RequestId id = next_id++;
+    if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, Outcome::kOk);
+  }
+  EXPECT_LE(used.size(), 4u) << "640 x 3 / 30 is 64";
+}
+
+TEST(Subset, AnEjectedServersConnectionsAreGivenBack) {
+  Rig rig;
+  rig.Servers(8);
+  int closed = 0;
+  for (int i = 0; i < 60; ++i) {
+    rig.Tick(250);
+    const RequestId id = next_id++;
+    const auto s = rig.Ask(id, 2, 10);
+    ASSERT_TRUE(s.has_value());
+    rig.End(id, 0, *s, *s == 1 ? Outcome::kConnectFailed : Outcome::kOk);
+    for (const Action& a : rig.actions) {
+      const auto* close = std::get_if<CloseIdle>(&a);
+      if (!close) continue;
+      ++closed;
+      EXPECT_EQ(close->server, 1u);
+    }
+  }
+  EXPECT_GE(closed, 1);
+}
+
+TEST(Subset, ABusyProxyUsesAllServers) {
+  Settings settings = Usual();
+  settings.balancer_count = 400;
+  Rig rig(settings);
+  rig.Servers(40);
+  std::set<ServerId> used;
+  for (int i = 0; i < 2000; ++i) {
+    rig.Tick(5);
+    const RequestId id = next_id++;
+    if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, Outcome::kOk);
+  }
+  EXPECT_EQ(used.size(), 40u);
+}
+
+}  // namespace
+}  // namespace load_balancer
