--- a/tests/harness.h
+++ b/tests/harness.h
@@ -26,8 +26,8 @@
   return c;
 }
 
-// Three classes: 0 safe, 1 keyed (cell), 2 unsafe.
-inline Settings Usual() {
+// Three classes: 0 idempotent, 1 by an idempotency key within a cell, 2 not idempotent.
+inline Settings DefaultSettings() {
   Settings s;
   s.classes = {Class(Idempotency::kIdempotent), Class(Idempotency::kIdempotencyKey),
                Class(Idempotency::kNotIdempotent)};
@@ -55,12 +55,13 @@
 
 class Rig {
  public:
-  explicit Rig(Settings settings = Usual(), std::uint64_t seed = 1) : balancer_(std::move(settings), seed) {}
+  explicit Rig(Settings settings = DefaultSettings(), std::uint64_t seed = 1)
+      : balancer_(std::move(settings), seed) {}
 
   double now = 100000;
   std::vector<Action> actions;  // of the last event
 
-  const std::vector<Action>& Do(const Event& event) {
+  const std::vector<Action>& Handle(const Event& event) {
     actions.clear();
     balancer_.Handle(At(now), event, &actions);
     for (const Action& a : actions) {
@@ -69,16 +70,16 @@
     return actions;
   }
   void List(std::vector<ServerEntry> entries, ListKind kind = ListKind::kFull) {
-    Do(ListUpdate{kind, std::move(entries)});
+    Handle(ListUpdate{kind, std::move(entries)});
   }
   void Servers(int n) {
     std::vector<ServerEntry> entries;
     for (int i = 1; i <= n; ++i) entries.push_back(Entry(static_cast<ServerId>(i)));
     List(entries);
   }
-  // Submits and returns the server it was sent to at once, if any.
-  std::optional<ServerId> Ask(RequestId id, int cls = 0, double work = 10, double patience = 1000,
-                              std::uint64_t key = 0) {
+  // Returns the server that the request was sent to at once, if any.
+  std::optional<ServerId> Send(RequestId id, int cls = 0, double work = 10, double patience = 1000,
+                               std::uint64_t key = 0) {
     RequestReceived s;
     s.request = id;
     s.request_class = cls;
@@ -86,11 +87,11 @@
     s.work_ms = work;
     s.key = key;
     s.due = At(now + patience);
-    Do(s);
+    Handle(s);
     return SentTo(id);
   }
-  void End(RequestId id, int attempt, ServerId server, Outcome outcome, double took = 10,
-           bool is_request_finished = false) {
+  void EndAttempt(RequestId id, int attempt, ServerId server, Outcome outcome, double took = 10,
+                  bool is_request_finished = false) {
     AttemptEnded e;
     e.request = id;
     e.attempt = attempt;
@@ -98,11 +99,11 @@
     e.outcome = outcome;
     e.is_request_finished = is_request_finished || outcome == Outcome::kOk;
     e.took = Duration(took);
-    Do(e);
+    Handle(e);
   }
   void Tick(double ms) {
     now += ms;
-    Do(TimerFired{});
+    Handle(TimerFired{});
   }
   std::optional<ServerId> SentTo(RequestId id) const {
     for (const Action& a : actions) {
--- a/tests/policy/concurrency_limit_test.cpp
+++ b/tests/policy/concurrency_limit_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How the limit of the whole proxy follows what is asked of it.
+// How the limit in flight of the whole proxy follows its traffic.
 #include <gtest/gtest.h>
 
 #include <deque>
@@ -10,7 +10,7 @@
 namespace load_balancer::testing {
 namespace {
 
-// Requests come evenly, each answered after its time.
+// Requests arrive evenly; each gets its response after a fixed time.
 class Traffic {
  public:
   explicit Traffic(Rig& rig) : rig_(rig) {}
@@ -22,7 +22,7 @@
       Answer();
       for (int i = 0; i < per_10_ms; ++i) {
         const RequestId id = ++last_;
-        const auto server = rig_.Ask(id);
+        const auto server = rig_.Send(id);
         sent += server.has_value();
         if (server) out_.push_back({rig_.now + service_ms, id, *server, service_ms});
       }
@@ -41,7 +41,7 @@
     while (!out_.empty() && out_.front().at <= rig_.now) {
       const Out done = out_.front();
       out_.pop_front();
-      rig_.End(done.id, 0, done.server, Outcome::kOk, done.took);
+      rig_.EndAttempt(done.id, 0, done.server, Outcome::kOk, done.took);
       for (const Action& a : rig_.actions) {  // a request that had waited
         if (const auto* d = std::get_if<Dispatch>(&a))
           out_.push_back({rig_.now + done.took, d->request, d->server, done.took});
@@ -54,7 +54,7 @@
   std::deque<Out> out_;
 };
 
-TEST(Limit, IsNotForgottenWhileNobodyAsks) {
+TEST(ConcurrencyLimit, IsKeptWhileThereAreNoRequests) {
   Rig rig;
   rig.Servers(4);
   Traffic traffic(rig);
@@ -65,7 +65,7 @@
   EXPECT_GE(traffic.Play(50, 2), 9) << "nearly as many as were in flight before";
 }
 
-TEST(Limit, OfAYoungProxyFollowsWhatIsAnswered) {
+TEST(ConcurrencyLimit, OfANewProxyFollowsItsResponses) {
   Rig rig;
   rig.Servers(4);
   for (int i = 0; i < 30; ++i) rig.Tick(100);  // nobody has come yet
--- a/tests/policy/fleet_events_test.cpp
+++ b/tests/policy/fleet_events_test.cpp
@@ -13,22 +13,22 @@
 namespace {
 
 using testing::At;
+using testing::DefaultSettings;
 using testing::Entry;
 using testing::next_id;
 using testing::Rig;
-using testing::Usual;
 
-TEST(Peers, AVerdictTakesAServerOutForNoLongerThanItsOwnBackoff) {
+TEST(PeerEjections, EjectAServerForNoLongerThanItsOwnBackoff) {
   Rig rig;
   rig.Servers(4);
   const auto advise = [&](ServerId server, double until, int failures, int attempts) {
-    rig.Do(PeerEjection{server, At(rig.now + until), failures, attempts});
+    rig.Handle(PeerEjection{server, At(rig.now + until), failures, attempts});
   };
   const auto serves = [&](ServerId server) {
     std::set<ServerId> used;
-    for (int i = 0; i < 4; ++i) used.insert(*rig.Ask(next_id, 0, 10, 900)), ++next_id;
+    for (int i = 0; i < 4; ++i) used.insert(*rig.Send(next_id, 0, 10, 900)), ++next_id;
     for (const Dispatch& sent : std::vector<Dispatch>(rig.sent.end() - 4, rig.sent.end()))
-      rig.End(sent.request, 0, sent.server, Outcome::kOk);
+      rig.EndAttempt(sent.request, 0, sent.server, Outcome::kOk);
     return used.contains(server);
   };
   advise(1, 1500, 2, 2);
@@ -48,14 +48,14 @@
   EXPECT_TRUE(serves(1)) << "its own backoff is 2 s, whatever the peer says";
 }
 
-TEST(Peers, ItsOwnEjectionIsToldWithItsSampleAndItsEnd) {
+TEST(PeerEjections, AnOwnEjectionIsReportedWithItsSampleAndItsEnd) {
   Rig rig;
   rig.Servers(3);
   std::vector<Ejected> told;
   for (int i = 0; i < 30 && told.empty(); ++i) {
     const RequestId id = next_id++;
-    const ServerId server = *rig.Ask(id, 2, 10, 900);
-    rig.End(id, 0, server, server == 1 ? Outcome::kError : Outcome::kOk, 10, true);
+    const ServerId server = *rig.Send(id, 2, 10, 900);
+    rig.EndAttempt(id, 0, server, server == 1 ? Outcome::kError : Outcome::kOk, 10, true);
     for (const Action& action : rig.actions)
       if (const auto* ejected = std::get_if<Ejected>(&action)) told.push_back(*ejected);
   }
@@ -66,17 +66,17 @@
   EXPECT_GE(told[0].attempts, 3);
 }
 
-TEST(LifeBefore, ItsEjectionsHoldForTheTimeThatTheyHadLeft) {
+TEST(Restart, RestoredEjectionsLastForTheirRemainingTime) {
   Rig rig;
   rig.Servers(3);
-  rig.Do(RestoredEjection{2, At(rig.now + 700), 3});
-  rig.Do(RestoredEjection{9, At(rig.now + 700), 1});
+  rig.Handle(RestoredEjection{2, At(rig.now + 700), 3});
+  rig.Handle(RestoredEjection{9, At(rig.now + 700), 1});
   const auto used = [&] {
     std::set<ServerId> servers;
     for (int i = 0; i < 9; ++i) {
       const RequestId id = next_id++;
-      servers.insert(*rig.Ask(id, 0, 10, 900));
-      rig.End(id, 0, rig.sent.back().server, Outcome::kOk);
+      servers.insert(*rig.Send(id, 0, 10, 900));
+      rig.EndAttempt(id, 0, rig.sent.back().server, Outcome::kOk);
     }
     return servers;
   };
@@ -87,67 +87,67 @@
   EXPECT_EQ(used(), (std::set<ServerId>{1, 2, 3}));
 }
 
-TEST(LifeBefore, ItsPaceLetsAYoungProxySendMoreAtOnce) {
+TEST(Restart, LearnedRatesLetANewProxySendMoreAtOnce) {
   const auto sent_at_once = [](const LearnedRates& rates) {
     Rig rig;
     rig.Servers(4);
-    if (rates.responses_per_ms > 0) rig.Do(rates);
+    if (rates.responses_per_ms > 0) rig.Handle(rates);
     int sent = 0;
-    for (int i = 0; i < 40; ++i) sent += rig.Ask(next_id++, 0, 10, 900).has_value();
+    for (int i = 0; i < 40; ++i) sent += rig.Send(next_id++, 0, 10, 900).has_value();
     return sent;
   };
   const int cold = sent_at_once({});
   EXPECT_GT(sent_at_once({0.5, 5, 0.25, 1}), cold);
 }
 
-TEST(LifeBefore, WhatItLearntGoesOnToTheNext) {
+TEST(Restart, LearnedRatesAreHandedOn) {
   Rig rig;
   rig.Servers(2);
   EXPECT_EQ(rig.learned_rates().responses_per_ms, 0);
   for (int i = 0; i < 50; ++i) {
     const RequestId id = next_id++;
-    const ServerId server = *rig.Ask(id, 0, 10, 900);
+    const ServerId server = *rig.Send(id, 0, 10, 900);
     rig.now += 10;
-    rig.End(id, 0, server, Outcome::kOk);
+    rig.EndAttempt(id, 0, server, Outcome::kOk);
   }
   const LearnedRates rates = rig.learned_rates();
   EXPECT_NEAR(rates.responses_per_ms, 0.1, 0.03);
   EXPECT_NEAR(rates.work_per_ms, 1, 0.3);
   Rig next;
   next.Servers(2);
-  next.Do(rates);
+  next.Handle(rates);
   EXPECT_EQ(next.learned_rates().responses_per_ms, rates.responses_per_ms);
 }
 
-TEST(Peers, NoServerHasMoreInFlightThanThisProxysShare) {
+TEST(ServerConcurrencyLimit, NoServerHasMoreInFlight) {
   Rig rig;
   rig.Servers(1);
-  rig.Do(ServerConcurrencyLimit{1});
+  rig.Handle(ServerConcurrencyLimit{1});
   int in_flight = 0;
-  for (int i = 0; i < 3; ++i) in_flight += rig.Ask(next_id++, 0, 10, 900).has_value();
+  for (int i = 0; i < 3; ++i) in_flight += rig.Send(next_id++, 0, 10, 900).has_value();
   EXPECT_EQ(in_flight, 1);
-  rig.End(rig.sent.front().request, 0, 1, Outcome::kOk);
+  rig.EndAttempt(rig.sent.front().request, 0, 1, Outcome::kOk);
   EXPECT_EQ(rig.Count<Dispatch>(), 1) << "one that was held takes the place";
-  rig.Do(ServerConcurrencyLimit{0});
+  rig.Handle(ServerConcurrencyLimit{0});
   EXPECT_EQ(rig.Count<Dispatch>(), 1) << "no limit: what is held goes";
 }
 
-TEST(Peers, AKeyIsWarmWhereAPeerHasSentItAndForgottenInTime) {
-  Settings settings = Usual();
+TEST(PeerAffinity, AKeyIsWarmWhereAPeerHasSentItAndForgottenInTime) {
+  Settings settings = DefaultSettings();
   settings.session_affinity = true;
   Rig rig(settings);
   rig.Servers(8);
   for (int i = 0; i < 4; ++i) {
-    rig.Do(PeerAffinity{5, 77, At(rig.now)});
+    rig.Handle(PeerAffinity{5, 77, At(rig.now)});
     const RequestId id = next_id++;
-    EXPECT_EQ(rig.Ask(id, 0, 10, 900, 77), ServerId{5});
-    rig.End(id, 0, 5, Outcome::kOk);
+    EXPECT_EQ(rig.Send(id, 0, 10, 900, 77), ServerId{5});
+    rig.EndAttempt(id, 0, 5, Outcome::kOk);
     rig.Tick(5000);
   }
 }
 
-TEST(Discovery, AsksAtStartAndAgainAfterAFailure) {
-  Settings s = Usual();
+TEST(ListPolling, PollsAtStartAndAgainAfterAFailure) {
+  Settings s = DefaultSettings();
   s.must_poll_for_list = true;
   s.max_poll_interval = Duration(10000);
   Rig rig(s);
@@ -160,7 +160,7 @@
   while (rig.Count<Subscribe>() == 0 && waited < 20000) rig.Tick(10), waited += 10;
   EXPECT_GE(waited, 200);
   EXPECT_LE(waited, 2500);
-  EXPECT_EQ(rig.Ask(next_id++), ServerId{1}) << "the old list serves";
+  EXPECT_EQ(rig.Send(next_id++), ServerId{1}) << "the old list serves";
   rig.List({Entry(1)});
   for (int i = 0; i < 1000; ++i) {
     rig.Tick(100);
@@ -168,7 +168,7 @@
   }
 }
 
-TEST(Discovery, PushIsNeverAsked) {
+TEST(ListPolling, APushedListIsNeverPolled) {
   Rig rig;
   rig.List({Entry(1)}, ListKind::kCached);
   for (int i = 0; i < 200; ++i) {
--- a/tests/policy/invariants_test.cpp
+++ b/tests/policy/invariants_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Random but legal rounds of events, fixed seeds, checked by a small oracle of the four rules that shares no
-// code with the module.
+// Random but legal events with fixed seeds, checked by a small oracle of the four operating rules that shares
+// no code with the module.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -18,8 +18,8 @@
 namespace {
 
 using testing::At;
+using testing::DefaultSettings;
 using testing::Entry;
-using testing::Usual;
 
 struct Try {
   ServerId server;
@@ -194,10 +194,10 @@
   std::map<RequestId, Open> open_;
 };
 
-// Rule four over many proxies: what all together send a cold server within the rule's window stays under the
-// multiple of what it can do then. The fleet has a load of 0.7; servers restart at random and are as slow to
-// warm as the settings allow.
-TEST(Rules, ColdServersAreNotPushedOverByManyProxies) {
+// Rule four over many proxies: what all together send a server in slow start within the rule's window stays
+// under the multiple of what it can do then. The fleet has a load of 0.7; servers restart at random and are
+// as slow to warm as the settings allow.
+TEST(Invariants, ManyProxiesDoNotOverloadServersInSlowStart) {
   constexpr int kProxies = 60, kServers = 12;
   constexpr double kWork = 10, kEveryMs = 200, kWindow = 1000;
   const double capacity = kProxies * kWork / kEveryMs / kServers / 0.7;  // work a ms of a warm server
@@ -206,7 +206,7 @@
     SCOPED_TRACE(seed);
     std::mt19937_64 rng(seed);
     std::vector<Balancer> proxies;
-    Settings settings = Usual();
+    Settings settings = DefaultSettings();
     settings.balancer_count = kProxies;
     settings.overload_window = Duration(kWindow);
     for (int me = 0; me < kProxies; ++me) {
@@ -284,7 +284,7 @@
   };
 
   SlowColdServer(std::uint64_t seed, double slowest) : rng(seed), slow(slowest) {
-    Settings settings = Usual();
+    Settings settings = DefaultSettings();
     settings.balancer_count = 3;
     settings.classes = {testing::Class(Idempotency::kIdempotent, 600)};
     settings.overload_window = Duration(kWindow);
@@ -314,7 +314,7 @@
   void Ask() {
     const auto proxy = static_cast<std::size_t>(rng() % rigs.size());
     work[++last] = Unit() < kLargeShare ? kLarge : kSmall;
-    rigs[proxy].Ask(last, 0, work[last]);
+    rigs[proxy].Send(last, 0, work[last]);
     Take(proxy);
   }
 
@@ -332,8 +332,8 @@
       while (!answers.empty() && answers.begin()->first <= now) {
         const Answer a = answers.begin()->second;
         answers.erase(answers.begin());
-        rigs[a.proxy].End(a.id, a.attempt, a.server, Fails(a.server) ? Outcome::kError : Outcome::kOk,
-                          now - a.sent_at);
+        rigs[a.proxy].EndAttempt(a.id, a.attempt, a.server, Fails(a.server) ? Outcome::kError : Outcome::kOk,
+                                 now - a.sent_at);
         Take(a.proxy);
       }
       for (due += 5 * kLoad * speed * kCores / kMean; due >= 1; --due) Ask();
@@ -357,7 +357,7 @@
   double now = 1000;
 };
 
-TEST(Rules, ASlowColdServerIsNotPushedOverWhileOthersFail) {
+TEST(Invariants, ASlowServerInSlowStartIsNotOverloadedWhileOthersFail) {
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const double slowest : {0.45, 0.2}) {
       SlowColdServer world(seed, slowest);
@@ -367,11 +367,11 @@
   }
 }
 
-TEST(Rules, RandomRoundsKeepThem) {
+TEST(Invariants, HoldForRandomEvents) {
   std::size_t attempts = 0;
   for (std::uint64_t seed = 1; seed <= 40; ++seed) {
     SCOPED_TRACE(seed);
-    Settings s = Usual();
+    Settings s = DefaultSettings();
     s.max_attempts = 1 + static_cast<int>(seed % 5);
     s.tenants = {{10}, {10}};
     s.over_quota_priority_share = 0.2;
--- a/tests/policy/list_polling_test.cpp
+++ b/tests/policy/list_polling_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Where discovery must be asked: how long the module goes without asking.
+// Where the list must be polled: how long the module goes without polling.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -11,15 +11,15 @@
 namespace load_balancer {
 namespace {
 
+using testing::DefaultSettings;
 using testing::Entry;
 using testing::Rig;
-using testing::Usual;
 
-// The list holds for the asking time from the last call. Each call may stay unanswered, fail, or be followed
-// by silence, in any order.
-TEST(Discovery, IsAskedAgainWithinTheAskingTimeWhateverBecomesOfTheCalls) {
+// The list is valid for the poll interval from the last poll. Each call may stay unanswered, fail, or be
+// followed by silence, in any order.
+TEST(ListPolling, PollsWithinThePollIntervalWhateverBecomesOfThePolls) {
   constexpr double kWithin = 8000, kStep = 10;
-  Settings settings = Usual();
+  Settings settings = DefaultSettings();
   settings.must_poll_for_list = true;
   settings.max_poll_interval = Duration(kWithin);
   Rig rig(settings);
@@ -68,7 +68,7 @@
 
  private:
   static Settings With(double within) {
-    Settings settings = Usual();
+    Settings settings = DefaultSettings();
     settings.must_poll_for_list = true;
     settings.max_poll_interval = Duration(within);
     return settings;
@@ -78,7 +78,7 @@
 };
 
 // Every sequence of four ends: whichever is the last, the next call is answered slowly and in time.
-TEST(Discovery, AChangeIsInForceInTimeAfterEverySequenceOfFailures) {
+TEST(ListPolling, AChangeIsInForceInTimeAfterEverySequenceOfFailures) {
   const Fate fates[] = {Fate::kRefusedAtOnce, Fate::kRefusedLate, Fate::kGivenUp, Fate::kWatchFellSilent};
   for (const double within : {4000.0, 5000.0, 6500.0, 8000.0, 10000.0, 13000.0}) {
     for (int sequence = 0; sequence < 4 * 4 * 4 * 4; ++sequence) {
@@ -90,8 +90,8 @@
   }
 }
 
-// An overloaded discovery turns all away: calls become rare, and those of many proxies come apart.
-TEST(Discovery, CallsThatAreTurnedAwayBecomeRareAndComeApart) {
+// An overloaded discovery service rejects all polls: they become rare, and those of many proxies are spread.
+TEST(ListPolling, RejectedPollsBackOffWithJitter) {
   constexpr double kWithin = 8000;
   std::set<double> times;
   for (std::uint64_t proxy = 1; proxy <= 100; ++proxy) {
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -18,13 +18,13 @@
 using testing::Answers;
 using testing::At;
 using testing::Busy;
+using testing::DefaultSettings;
 using testing::Entry;
 using testing::InService;
 using testing::next_id;
 using testing::Rig;
-using testing::Usual;
 
-TEST(OutlierDetection, EjectsAtTheVolumeFloorAndNotBelow) {
+TEST(OutlierDetection, EjectsAtTheRequestVolumeAndNotBelow) {
   Rig rig;
   rig.Servers(3);
   Answers(rig, 2, 2);
@@ -33,7 +33,7 @@
   EXPECT_FALSE(InService(rig, 1));
 }
 
-TEST(OutlierDetection, TheVolumeFloorIsTheServersOwn) {
+TEST(OutlierDetection, TheRequestVolumeIsTheServersOwn) {
   Rig rig;
   rig.Servers(3);
   Answers(rig, 3, 3, Outcome::kCancelled);  // the others qualify, server 1 has no answer that counts
@@ -43,18 +43,18 @@
   EXPECT_FALSE(InService(rig, 1));
 }
 
-TEST(OutlierDetection, NoMoreThanHalfAreOut) {
-  Settings settings = Usual();
+TEST(OutlierDetection, NoMoreThanHalfAreEjected) {
+  Settings settings = DefaultSettings();
   settings.max_attempts = 1;
   Rig rig(settings);
   rig.Servers(6);
   std::set<ServerId> late_on;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 5000);
+    const auto s = rig.Send(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
     if (i >= 80) late_on.insert(*s);
-    rig.End(id, 0, *s, *s <= 4 ? Outcome::kReset : Outcome::kOk);
+    rig.EndAttempt(id, 0, *s, *s <= 4 ? Outcome::kReset : Outcome::kOk);
   }
   EXPECT_EQ(late_on.size(), 3u) << "four of six always fail; three are out";
 }
@@ -78,9 +78,9 @@
   EXPECT_TRUE(InService(rig, 1)) << "there is nothing to compare a lone server with";
 }
 
-TEST(OutlierDetection, CancelsAndMootTellNothing) {
+TEST(OutlierDetection, CancelledAndUnsentAttemptsDoNotCount) {
   for (Outcome outcome : {Outcome::kCancelled, Outcome::kNotSent, Outcome::kUnknown}) {
-    Settings settings = Usual();
+    Settings settings = DefaultSettings();
     settings.max_attempts = 1;
     Rig rig(settings);
     rig.Servers(3);
@@ -92,7 +92,7 @@
 TEST(OutlierDetection, EveryFailureCounts) {
   for (Outcome outcome :
        {Outcome::kError, Outcome::kOverloaded, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
-    Settings s = Usual();
+    Settings s = DefaultSettings();
     s.max_attempts = 1;
     Rig rig(s);
     rig.Servers(3);
@@ -143,8 +143,8 @@
   EXPECT_TRUE(InService(rig, 1)) << "twice as long had the multiplier not fallen";
 }
 
-// At full size three attempts to one server within two seconds never come, and nothing was ever ejected.
-TEST(OutlierDetection, ThinTrafficEjectsOnWhatCouldHardlyBeChance) {
+// In a large fleet a proxy never makes three attempts at one server within an interval.
+TEST(OutlierDetection, SparseTrafficEjectsOnFailuresUnlikelyByChance) {
   for (const bool failing_elsewhere : {false, true}) {
     Rig rig;
     rig.Servers(8);
@@ -152,10 +152,10 @@
     for (int i = 0; i < 120; ++i) {
       rig.Tick(250);
       const RequestId id = next_id++;
-      const auto s = rig.Ask(id, 2, 10);
+      const auto s = rig.Send(id, 2, 10);
       ASSERT_TRUE(s.has_value());
       const bool fails = *s == 1 || (failing_elsewhere && i % 3 == 0);
-      rig.End(id, 0, *s, fails ? Outcome::kError : Outcome::kOk);
+      rig.EndAttempt(id, 0, *s, fails ? Outcome::kError : Outcome::kOk);
       if (*s == 1 && ++sent > 2) ++after_two;
     }
     if (!failing_elsewhere) {
@@ -166,14 +166,14 @@
   }
 }
 
-TEST(OutlierDetection, TheCapLeavesServersIn) {
+TEST(OutlierDetection, TheMaximumEjectionPercentLeavesServersInService) {
   Rig rig;
   rig.Servers(4);
   for (int i = 0; i < 60; ++i) {
     const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 5000);
+    const auto s = rig.Send(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, Outcome::kError);
+    rig.EndAttempt(id, 0, *s, Outcome::kError);
   }
   std::set<ServerId> in;
   for (ServerId s = 1; s <= 4; ++s) {
@@ -182,8 +182,8 @@
   EXPECT_GE(in.size(), 2u) << "never more than half";
 }
 
-// Ends answers of a fleet of six for 20 s, of which `usual` percent fail at any server and `worse` at server
-// 1; the times that a server was ejected, server 1 and the others.
+// Plays six servers for 20 s, of whose responses `usual` percent fail, and `worse` percent at server 1.
+// Returns how often server 1 and how often the others were ejected.
 std::pair<int, int> Ejections(int usual, int worse) {
   Rig rig;
   rig.Servers(6);
@@ -191,11 +191,11 @@
   int first = 0, others = 0;
   for (int i = 0; i < 10000; ++i) {
     const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 5000);
+    const auto s = rig.Send(id, 2, 10, 5000);
     if (!s) ADD_FAILURE() << "held";
     if (!s) break;
     const bool fails = static_cast<int>(chance() % 100) < (*s == 1 ? worse : usual);
-    rig.End(id, 0, *s, fails ? Outcome::kReset : Outcome::kOk);
+    rig.EndAttempt(id, 0, *s, fails ? Outcome::kReset : Outcome::kOk);
     for (const Action& a : rig.actions) {
       const auto* log = std::get_if<Log>(&a);
       if (!log || log->text.find("ejected:") == std::string::npos) continue;
@@ -206,13 +206,13 @@
   return {first, others};
 }
 
-// Connections that broke on the way to every server took half of the fleet out, by two failures of three.
-TEST(OutlierDetection, FailuresThatComeEverywhereEjectNobodyByChance) {
+// Connections that break on the way to every server fail two of three attempts somewhere in every interval.
+TEST(OutlierDetection, FailuresAtAllServersEjectNoneByChance) {
   const auto [first, others] = Ejections(10, 10);
   EXPECT_LE(first + others, 1);
 }
 
-TEST(OutlierDetection, AWorseServerGoesWhereAllFailNowAndThen) {
+TEST(OutlierDetection, AWorseServerIsEjectedWhereAllFailSometimes) {
   for (const int worse : {60, 90}) {
     const auto [first, others] = Ejections(10, worse);
     EXPECT_GE(first, 1) << worse;
@@ -229,17 +229,17 @@
   EXPECT_EQ(in, 3);
 }
 
-// With half the fleet failing, twice the share elsewhere passed 1 and nothing was ejected any more.
-TEST(OutlierDetection, AServerAlwaysFailingGoesHoweverBadTheRest) {
-  Settings settings = Usual();
+// With half the fleet failing, twice the failure share elsewhere would be a threshold over 1.
+TEST(OutlierDetection, AServerThatAlwaysFailsIsEjectedHoweverBadTheRest) {
+  Settings settings = DefaultSettings();
   settings.max_attempts = 1;
   Rig rig(settings);
   rig.Servers(4);
   for (int i = 0; i < 64; ++i) {  // of 16, six that fail elsewhere half of the time may fail all by chance
     const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 5000);
+    const auto s = rig.Send(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, *s == 1 || i % 2 ? Outcome::kError : Outcome::kOk);
+    rig.EndAttempt(id, 0, *s, *s == 1 || i % 2 ? Outcome::kError : Outcome::kOk);
   }
   EXPECT_FALSE(InService(rig, 1));
 }
--- a/tests/policy/overflow_test.cpp
+++ b/tests/policy/overflow_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the federation tells the module: a partner's account, a neighbour's overflow; and what it asks: its
-// spare.
+// What the federation tells the module, a partner's quota status and another site's overflow, and what it
+// asks for: the spare capacity.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -24,8 +24,8 @@
   return s;
 }
 
-// One request is within the static quota, which an account's word neither reads nor spends.
-TEST(Federation, AnAccountsWordReplacesTheDividedQuota) {
+// One request is within the static quota, which a known quota status neither reads nor charges.
+TEST(Overflow, TheQuotaStatusReplacesTheDividedQuota) {
   const struct {
     QuotaStatus first, second;
     bool first_goes, second_goes;
@@ -37,20 +37,20 @@
                {QuotaStatus::kWithinQuota, QuotaStatus::kWithinQuota, true, true}};
   for (const auto& row : table) {
     SCOPED_TRACE(&row - table);
-    Settings settings = Usual();
+    Settings settings = DefaultSettings();
     settings.tenants = {{0.4}};
     settings.over_quota_priority_share = 0;
     Rig rig(settings);
     rig.Servers(2);
-    rig.Do(Request(rig, 1, row.first, false));
+    rig.Handle(Request(rig, 1, row.first, false));
     EXPECT_EQ(rig.SentTo(1).has_value(), row.first_goes);
-    rig.Do(Request(rig, 2, row.second, false));
+    rig.Handle(Request(rig, 2, row.second, false));
     EXPECT_EQ(rig.SentTo(2).has_value(), row.second_goes);
   }
 }
 
-// A young proxy has room for two in flight; requests of its own have all of it, whatever is spilled.
-TEST(Federation, SpilledRequestsHaveTheirPartOfTheRoomThatIsLeft) {
+// A new proxy has a limit of two in flight; its own requests have all of it, whatever the overflow.
+TEST(Overflow, GetsItsFractionOfTheCapacityThatIsLeft) {
   const struct {
     double part;
     int own, spilled;
@@ -59,40 +59,40 @@
     SCOPED_TRACE(&row - table);
     Rig rig;
     rig.Servers(1);
-    if (row.part > 0) rig.Do(OverflowShare{row.part});
+    if (row.part > 0) rig.Handle(OverflowShare{row.part});
     RequestId id = 0;
-    for (int i = 0; i < row.own; ++i) ASSERT_TRUE(rig.Ask(++id));
+    for (int i = 0; i < row.own; ++i) ASSERT_TRUE(rig.Send(++id));
     int sent = 0;
     for (int i = 0; i < 4; ++i) {
-      rig.Do(Request(rig, ++id, QuotaStatus::kUnknown, true));
+      rig.Handle(Request(rig, ++id, QuotaStatus::kUnknown, true));
       sent += rig.SentTo(id).has_value();
       EXPECT_EQ(rig.Count<Dispatch>() + rig.Count<Reject>(), 1) << "it goes at once or is refused at once";
     }
     EXPECT_EQ(sent, row.spilled);
-    for (int i = row.own; i < 2; ++i) EXPECT_TRUE(rig.Ask(++id)) << "own requests have their room";
+    for (int i = row.own; i < 2; ++i) EXPECT_TRUE(rig.Send(++id)) << "own requests have their room";
   }
 }
 
-TEST(Federation, ASpilledRequestIsNotSentTwice) {
+TEST(Overflow, IsNotRetried) {
   for (const auto& [outcome, refused] : {std::pair(Outcome::kOverloaded, true), {Outcome::kReset, false}}) {
     Rig rig;
     rig.Servers(3);
-    rig.Do(OverflowShare{1});
-    rig.Do(Request(rig, 1, QuotaStatus::kUnknown, true));
-    rig.End(1, 0, rig.SentTo(1).value(), outcome);
+    rig.Handle(OverflowShare{1});
+    rig.Handle(Request(rig, 1, QuotaStatus::kUnknown, true));
+    rig.EndAttempt(1, 0, rig.SentTo(1).value(), outcome);
     EXPECT_EQ(rig.Count<Reject>(), refused);
     EXPECT_EQ(rig.Count<FailRequest>(), !refused);
     EXPECT_EQ(rig.Count<Dispatch>(), 0);
   }
 }
 
-TEST(Federation, NoSpilledRequestGoesWhileAnOwnOneWaits) {
+TEST(Overflow, IsNotSentWhileAnOwnRequestIsQueued) {
   int spilled = 0, waited = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     std::mt19937_64 rng(seed);
-    Rig rig(Usual(), seed);
+    Rig rig(DefaultSettings(), seed);
     rig.Servers(2);
-    rig.Do(OverflowShare{1});
+    rig.Handle(OverflowShare{1});
     std::set<RequestId> own, waiting;
     std::vector<Dispatch> out;
     for (RequestId id = 1; id <= 2000; ++id) {
@@ -102,13 +102,13 @@
         std::swap(out[rng() % out.size()], out.back());
         const Dispatch d = out.back();
         out.pop_back();
-        rig.End(d.request, 0, d.server, Outcome::kOk, 20);
+        rig.EndAttempt(d.request, 0, d.server, Outcome::kOk, 20);
       } else if (rng() % 3) {
         own.insert(id), waiting.insert(id);
-        rig.Ask(id, 2, 10);
+        rig.Send(id, 2, 10);
       } else {
         const bool behind = !waiting.empty();
-        rig.Do(Request(rig, id, QuotaStatus::kUnknown, true));
+        rig.Handle(Request(rig, id, QuotaStatus::kUnknown, true));
         spilled += rig.SentTo(id).has_value();
         waited += behind;
         EXPECT_FALSE(behind && rig.SentTo(id));
@@ -126,7 +126,7 @@
   EXPECT_GT(waited, 100);
 }
 
-TEST(Federation, SpareIsWhatAdmissionHasLeft) {
+TEST(Overflow, SpareCapacityIsWhatAdmissionHasLeft) {
   Rig rig;
   EXPECT_EQ(rig.EstimateSpareCapacity().work_per_ms, 0) << "nothing is known";
   rig.Servers(3);
@@ -134,7 +134,7 @@
   const auto answer = [&](int n) {
     for (int i = 0; i < n; ++i) {
       rig.Tick(10);
-      if (const auto s = rig.Ask(++id, 2, 10, 5000)) rig.End(id, 0, *s, Outcome::kOk, 20);
+      if (const auto s = rig.Send(++id, 2, 10, 5000)) rig.EndAttempt(id, 0, *s, Outcome::kOk, 20);
     }
   };
   answer(500);
@@ -146,7 +146,7 @@
 
   std::vector<Dispatch> out;
   double before = idle.work_per_ms;
-  while (out.size() < 1000 && rig.Ask(++id, 2, 10, 5000)) {
+  while (out.size() < 1000 && rig.Send(++id, 2, 10, 5000)) {
     out.push_back(rig.sent.back());
     EXPECT_LT(rig.EstimateSpareCapacity().work_per_ms, before) << "each one takes its room";
     before = rig.EstimateSpareCapacity().work_per_ms;
@@ -155,10 +155,10 @@
   EXPECT_EQ(rig.EstimateSpareCapacity().work_per_ms, 0) << "one is held";
   EXPECT_GT(rig.EstimateSpareCapacity().wait.count(), 0);
 
-  rig.Do(ClientGone{id});
-  EXPECT_FALSE(rig.Ask(++id, 2, 10, 5)) << "too late to be held";
+  rig.Handle(ClientGone{id});
+  EXPECT_FALSE(rig.Send(++id, 2, 10, 5)) << "too late to be held";
   EXPECT_EQ(rig.Count<Reject>(), 1);
-  for (const Dispatch& d : out) rig.End(d.request, 0, d.server, Outcome::kOk, 20);
+  for (const Dispatch& d : out) rig.EndAttempt(d.request, 0, d.server, Outcome::kOk, 20);
   EXPECT_EQ(rig.EstimateSpareCapacity().work_per_ms, 0) << "one was refused just now";
   rig.now += 1000;
   EXPECT_GT(rig.EstimateSpareCapacity().work_per_ms, 0);
--- a/tests/policy/request_bodies_test.cpp
+++ b/tests/policy/request_bodies_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The module's part in bodies that are passed on: what is in flight, and what may be sent again.
+// The module's part in relayed bodies: what is in flight, and what may be retried.
 #include <gtest/gtest.h>
 
 #include "harness.h"
@@ -19,71 +19,71 @@
   return s;
 }
 
-// One server, and a proxy so young that it has two requests in flight at most.
-TEST(Bodies, AnUploadIsNoWorkInFlightBeforeItsLastByte) {
+// One server, and a new proxy, which has a limit of two in flight.
+TEST(RequestBodies, AnUploadIsNoWorkInFlightBeforeItsLastByte) {
   Rig rig;
   rig.Servers(1);
   for (RequestId id = 1; id <= 5; ++id) {
-    rig.Do(Upload(rig, id));
+    rig.Handle(Upload(rig, id));
     EXPECT_TRUE(rig.SentTo(id)) << id;
   }
-  EXPECT_TRUE(rig.Ask(6));
-  rig.Do(BodyReceived{1, At(rig.now + 1000)});
-  EXPECT_FALSE(rig.Ask(7)) << "two are in flight";
-  rig.End(1, 0, 1, Outcome::kOk);
+  EXPECT_TRUE(rig.Send(6));
+  rig.Handle(BodyReceived{1, At(rig.now + 1000)});
+  EXPECT_FALSE(rig.Send(7)) << "two are in flight";
+  rig.EndAttempt(1, 0, 1, Outcome::kOk);
   EXPECT_TRUE(rig.SentTo(7));
 }
 
-TEST(Bodies, AnAnswerThatHasBegunLeavesItsPlace) {
+TEST(RequestBodies, AResponseThatHasBegunIsNotInFlight) {
   Rig rig;
   rig.Servers(1);
-  EXPECT_TRUE(rig.Ask(1));
-  EXPECT_TRUE(rig.Ask(2));
-  EXPECT_FALSE(rig.Ask(3));
-  rig.Do(StreamStarted{1, 0});
+  EXPECT_TRUE(rig.Send(1));
+  EXPECT_TRUE(rig.Send(2));
+  EXPECT_FALSE(rig.Send(3));
+  rig.Handle(StreamStarted{1, 0});
   EXPECT_TRUE(rig.SentTo(3));
 }
 
-TEST(Bodies, ARequestsTimeCountsFromItsLastByte) {
+TEST(RequestBodies, ARequestsTimeCountsFromItsLastByte) {
   Rig rig;
   rig.Servers(2);
-  rig.Do(Upload(rig, 1, 100));
+  rig.Handle(Upload(rig, 1, 100));
   const auto first = rig.SentTo(1);
   ASSERT_TRUE(first);
   rig.now += 5000;
-  rig.Do(BodyReceived{1, At(rig.now + 1000)});
-  rig.End(1, 0, *first, Outcome::kOverloaded);
+  rig.Handle(BodyReceived{1, At(rig.now + 1000)});
+  rig.EndAttempt(1, 0, *first, Outcome::kOverloaded);
   EXPECT_TRUE(rig.SentTo(1)) << "there is time for another";
 }
 
-// The held are kept by their time, which the end of an upload changes: one that had gone was looked up.
-TEST(Bodies, AHeldRequestWhoseUploadEndsGoesInItsTurnOrIsForgotten) {
+// The queue is ordered by arrival, which the end of an upload changes.
+TEST(RequestBodies, AQueuedRequestWhoseUploadEndsGoesInItsTurnOrIsForgotten) {
   Rig rig;
   rig.Servers(1);
-  EXPECT_TRUE(rig.Ask(1));
-  EXPECT_TRUE(rig.Ask(2));
+  EXPECT_TRUE(rig.Send(1));
+  EXPECT_TRUE(rig.Send(2));
   for (const RequestId id : {3, 4}) {
-    rig.Do(Upload(rig, id));
+    rig.Handle(Upload(rig, id));
     EXPECT_FALSE(rig.SentTo(id));
     rig.now += 10;
-    rig.Do(BodyReceived{id, At(rig.now + 1000)});
+    rig.Handle(BodyReceived{id, At(rig.now + 1000)});
   }
-  rig.Do(ClientGone{3});
-  rig.End(1, 0, 1, Outcome::kOk);
+  rig.Handle(ClientGone{3});
+  rig.EndAttempt(1, 0, 1, Outcome::kOk);
   EXPECT_TRUE(rig.SentTo(4));
   EXPECT_EQ(rig.Count<Dispatch>(), 1);
 }
 
-TEST(Bodies, WhatIsNotToBeHadAgainIsNotSentAgain) {
+TEST(RequestBodies, ABodyThatCannotBeReplayedIsNotRetried) {
   Rig rig;
   rig.Servers(2);
-  rig.Do(Upload(rig, 1));
+  rig.Handle(Upload(rig, 1));
   AttemptEnded end;
   end.request = 1;
   end.server = rig.SentTo(1).value_or(0);
   end.outcome = Outcome::kConnectFailed;
   end.is_replayable = false;
-  rig.Do(end);
+  rig.Handle(end);
   EXPECT_FALSE(rig.SentTo(1));
   EXPECT_EQ(rig.Count<Reject>(), 1) << "it never ran";
 }
--- a/tests/policy/retries_test.cpp
+++ b/tests/policy/retries_test.cpp
@@ -10,19 +10,19 @@
 
 using testing::AnswerOne;
 using testing::AskAndEnd;
+using testing::DefaultSettings;
 using testing::Entry;
 using testing::next_id;
 using testing::Rig;
-using testing::Usual;
 
-// What follows an attempt of each class that ended in each way: sent again, refused or failed.
+// What follows an attempt of each class that ended in each way: a retry, a rejection or a failure.
 struct Verdict {
   int cls;
   Outcome outcome;
   bool again, refusable;
 };
 
-TEST(Attempts, OnlyWhatIsPermittedIsSentAgainOrRefused) {
+TEST(Retries, OnlyPermittedRequestsAreRetriedOrRejected) {
   const Verdict verdicts[] = {
       {0, Outcome::kError, true, true},         {0, Outcome::kTimeout, true, true},
       {0, Outcome::kReset, true, true},         {0, Outcome::kOverloaded, true, true},
@@ -38,9 +38,9 @@
     SCOPED_TRACE(::testing::Message() << "class " << v.cls << " outcome " << static_cast<int>(v.outcome));
     Rig rig;
     rig.Servers(3);
-    const auto first = rig.Ask(1, v.cls);
+    const auto first = rig.Send(1, v.cls);
     ASSERT_TRUE(first.has_value());
-    rig.End(1, 0, *first, v.outcome);
+    rig.EndAttempt(1, 0, *first, v.outcome);
     EXPECT_EQ(rig.SentTo(1).has_value(), v.again);
     if (v.again) {
       EXPECT_NE(rig.SentTo(1), first) << "elsewhere";
@@ -48,105 +48,105 @@
       EXPECT_EQ(rig.Count<FailRequest>(), 1);
     }
     // And with no attempt left: refused only where that is permitted.
-    Settings s = Usual();
+    Settings s = DefaultSettings();
     s.max_attempts = 1;
     Rig last(s);
     last.Servers(3);
-    const auto only = last.Ask(1, v.cls);
-    last.End(1, 0, *only, v.outcome);
+    const auto only = last.Send(1, v.cls);
+    last.EndAttempt(1, 0, *only, v.outcome);
     EXPECT_EQ(last.Count<Reject>(), v.refusable ? 1 : 0);
     EXPECT_EQ(last.Count<FailRequest>(), v.refusable ? 0 : 1);
   }
 }
 
-TEST(Attempts, KeyedRepeatsStayInTheGroupAndTheWindow) {
+TEST(Retries, WithAnIdempotencyKeyStayInItsScopeAndWindow) {
   for (int gone : {0, 1}) {
     Rig rig;
     rig.List({Entry(1, 0, 1), Entry(2, 0, 1), Entry(3, 0, 2), Entry(4, 1, 1)});
-    ServerId first = *rig.Ask(next_id, 1);
+    ServerId first = *rig.Send(next_id, 1);
     while (first > 2) {  // start in the cell of servers 1 and 2
-      rig.End(next_id, 0, first, Outcome::kOk);
-      first = *rig.Ask(++next_id, 1);
+      rig.EndAttempt(next_id, 0, first, Outcome::kOk);
+      first = *rig.Send(++next_id, 1);
     }
     if (gone) rig.List({Entry(3 - first, 0, 1, ServerState::kGone)}, ListKind::kDelta);
     rig.now += 100;
-    rig.End(next_id, 0, first, Outcome::kError);
+    rig.EndAttempt(next_id, 0, first, Outcome::kError);
     EXPECT_EQ(rig.SentTo(next_id), gone ? first : 3 - first);
     rig.now += 401;  // past the 500 ms window
-    rig.End(next_id, 1, gone ? first : 3 - first, Outcome::kError);
+    rig.EndAttempt(next_id, 1, gone ? first : 3 - first, Outcome::kError);
     EXPECT_FALSE(rig.SentTo(next_id).has_value());
     EXPECT_EQ(rig.Count<FailRequest>(), 1);
     ++next_id;
   }
 }
 
-// Second copies of slow requests took more from others than they won, where they were allowed.
-TEST(Attempts, OneAtATime) {
+// No hedged requests: they would take more capacity from others than they win.
+TEST(Retries, OneAttemptAtATime) {
   Rig rig;
   rig.Servers(3);
   for (int i = 0; i < 30; ++i) AnswerOne(rig, Outcome::kOk, {});
   for (int i = 0; i < 30; ++i) {
     const RequestId id = next_id++;
-    rig.End(id, 0, *rig.Ask(id, 0), Outcome::kOk);
+    rig.EndAttempt(id, 0, *rig.Send(id, 0), Outcome::kOk);
   }
   const RequestId id = next_id++;
-  rig.Ask(id, 0);
+  rig.Send(id, 0);
   rig.sent.clear();
   for (int i = 0; i < 100; ++i) rig.Tick(9);
   EXPECT_TRUE(rig.sent.empty());
 }
 
-// Time-outs of what was merely late doubled its work; a silent server must still be shown before the client's
-// end.
-TEST(Attempts, OnlyASilentServerGetsATimeOut) {
+// Timing out what is merely late would double its work; a silent server must still be found before the
+// client's deadline.
+TEST(Retries, OnlyASilentServerGetsATimeOut) {
   Rig rig;
   rig.Servers(1);
   for (int i = 0; i < 40; ++i) AskAndEnd(rig);
-  rig.Ask(next_id++, 0, 10, 900);
+  rig.Send(next_id++, 0, 10, 900);
   EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "it owes nothing yet";
   rig.Tick(5);
-  rig.Ask(next_id++, 0, 10, 900);
+  rig.Send(next_id++, 0, 10, 900);
   EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "what it owes is not overdue";
 }
 
-TEST(Attempts, ASilentServerGetsATimeOutWhereARepeatIsPermitted) {
+TEST(Retries, ASilentServerGetsATimeOutWhereARetryIsPermitted) {
   for (int cls : {0, 1, 2}) {
     Rig rig;
     rig.Servers(1);
     for (int i = 0; i < 40; ++i) {
       const RequestId id = next_id++;
-      rig.End(id, 0, *rig.Ask(id, cls), Outcome::kOk);
+      rig.EndAttempt(id, 0, *rig.Send(id, cls), Outcome::kOk);
     }
-    rig.Ask(next_id++, cls, 10, 2000);
+    rig.Send(next_id++, cls, 10, 2000);
     rig.Tick(300);
     const RequestId id = next_id++;
-    ASSERT_TRUE(rig.Ask(id, cls, 10, 2000).has_value());
+    ASSERT_TRUE(rig.Send(id, cls, 10, 2000).has_value());
     EXPECT_EQ(rig.sent.back().timeout.count() > 0, cls != 2);
   }
 }
 
-TEST(Attempts, MaxAttempts) {
-  Settings s = Usual();
+TEST(Retries, StopAtTheMaximumNumberOfAttempts) {
+  Settings s = DefaultSettings();
   s.max_attempts = 2;
   Rig rig(s);
   rig.Servers(5);
-  const auto first = rig.Ask(1, 0);
-  rig.End(1, 0, *first, Outcome::kConnectFailed);
+  const auto first = rig.Send(1, 0);
+  rig.EndAttempt(1, 0, *first, Outcome::kConnectFailed);
   const auto second = rig.SentTo(1);
   ASSERT_TRUE(second.has_value());
-  rig.End(1, 1, *second, Outcome::kConnectFailed);
+  rig.EndAttempt(1, 1, *second, Outcome::kConnectFailed);
   EXPECT_FALSE(rig.SentTo(1).has_value());
   EXPECT_EQ(rig.Count<Reject>(), 1);
 }
 
-TEST(Attempts, AFailingFleetMeetsNoStorm) {
+TEST(Retries, AFailingFleetGetsNoRetryStorm) {
   Rig rig;
   rig.Servers(5);
   for (int i = 0; i < 300; ++i) {
     const RequestId id = next_id++;
-    auto s = rig.Ask(id, 0);
+    auto s = rig.Send(id, 0);
     for (int attempt = 0; s; ++attempt) {
-      rig.End(id, attempt, *s, Outcome::kError);
+      rig.EndAttempt(id, attempt, *s, Outcome::kError);
       s = rig.SentTo(id);
     }
   }
--- a/tests/policy/scripted_traffic.h
+++ b/tests/policy/scripted_traffic.h
@@ -21,16 +21,16 @@
 // One request and its answer, which fails if it came from one of `failing`.
 inline void AnswerOne(Rig& rig, Outcome outcome, std::set<ServerId> failing, double took = 10) {
   const RequestId id = next_id++;
-  const auto server = rig.Ask(id, 2, 10, 5000);  // unsafe: one attempt, so nothing is sent again
+  const auto server = rig.Send(id, 2, 10, 5000);  // unsafe: one attempt, so nothing is sent again
   ASSERT_TRUE(server.has_value());
   const bool fails = failing.count(*server) > 0;
-  rig.End(id, 0, *server, fails ? outcome : Outcome::kOk, took);
+  rig.EndAttempt(id, 0, *server, fails ? outcome : Outcome::kOk, took);
 }
 
 inline std::optional<ServerId> AskAndEnd(Rig& rig) {
   const RequestId id = next_id++;
-  const auto server = rig.Ask(id);
-  if (server) rig.End(id, 0, *server, Outcome::kOk);
+  const auto server = rig.Send(id);
+  if (server) rig.EndAttempt(id, 0, *server, Outcome::kOk);
   return server;
 }
 
@@ -39,12 +39,12 @@
   bool seen = false;
   for (int i = 0; i < 3; ++i) {
     const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 5000);
+    const auto s = rig.Send(id, 2, 10, 5000);
     if (!s) break;
     open.emplace_back(id, *s);
     seen |= *s == server;
   }
-  for (const auto& [id, s] : open) rig.End(id, 0, s, Outcome::kCancelled);
+  for (const auto& [id, s] : open) rig.EndAttempt(id, 0, s, Outcome::kCancelled);
   return seen;
 }
 
@@ -54,14 +54,14 @@
     std::map<ServerId, RequestId> open;
     for (int k = 0; k < 3; ++k) {
       const RequestId id = next_id++;
-      const auto s = rig.Ask(id, 2, 10, 5000);
+      const auto s = rig.Send(id, 2, 10, 5000);
       ASSERT_TRUE(s.has_value());
       open[*s] = id;
     }
     // Server 1 last: the others qualify by then.
     for (auto it = open.rbegin(); it != open.rend(); ++it) {
       const auto [s, id] = *it;
-      rig.End(id, 0, s, s == 1 && i < failures ? outcome : Outcome::kOk);
+      rig.EndAttempt(id, 0, s, s == 1 && i < failures ? outcome : Outcome::kOk);
     }
   }
 }
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -12,12 +12,12 @@
 namespace load_balancer {
 namespace {
 
+using testing::DefaultSettings;
 using testing::Entry;
 using testing::next_id;
 using testing::Rig;
-using testing::Usual;
 
-TEST(ColdStart, BudgetOverEveryWindow) {
+TEST(SlowStart, TheBudgetHoldsOverEveryWindow) {
   Rig rig;
   std::vector<ServerEntry> list = {Entry(1), Entry(2), Entry(3)};
   rig.List(list);
@@ -29,12 +29,12 @@
       std::vector<std::pair<RequestId, ServerId>> open;
       for (int k = 0; k < 3; ++k) {
         const RequestId id = next_id++;
-        const auto s = rig.Ask(id, 2, 10, 900);
+        const auto s = rig.Send(id, 2, 10, 900);
         if (!s) continue;
         open.emplace_back(id, *s);
         if (*s == 3) sent.emplace_back(rig.now, 10);
       }
-      for (const auto& [id, s] : open) rig.End(id, 0, s, Outcome::kOk, 5);
+      for (const auto& [id, s] : open) rig.EndAttempt(id, 0, s, Outcome::kOk, 5);
     }
     return sent;
   };
@@ -54,9 +54,9 @@
   EXPECT_GT(sent.size(), 100u) << "and it is brought back";
 }
 
-// An overloaded fleet is sent far more than it serves; the cold server's budget must follow what is served.
-TEST(ColdStart, TheBudgetFollowsWhatWarmServersServe) {
-  Settings s = Usual();
+// An overloaded fleet is sent far more than it serves; the budget must follow what is served.
+TEST(SlowStart, TheBudgetFollowsWhatWarmServersServe) {
+  Settings s = DefaultSettings();
   s.max_attempts = 1;
   Rig rig(s);
   rig.List({Entry(1), Entry(2), Entry(3, 0, 0, ServerState::kReady, rig.now)});
@@ -64,19 +64,19 @@
   for (int i = 0; i < 800; ++i) {
     rig.Tick(5);
     const RequestId id = next_id++;
-    const auto server = rig.Ask(id, 2, 10, 900);
+    const auto server = rig.Send(id, 2, 10, 900);
     if (!server) continue;
     sent += *server == 3;
-    rig.End(id, 0, *server, i % 20 ? Outcome::kOverloaded : Outcome::kOk, 5);
+    rig.EndAttempt(id, 0, *server, i % 20 ? Outcome::kOverloaded : Outcome::kOk, 5);
   }
   // Warm servers serve 0.05 a ms each; 3 x 0.55 of that, at 25 to 55% of its capacity, is 13 in 4 s.
   EXPECT_LE(sent, 13) << "and not 20 times as many, as the fleet is sent";
 }
 
-// A rolling deploy turned every server cold, and a budget of what is served now starved itself (catalogue
-// big-2).
-TEST(ColdStart, ABudgetDoesNotStarveItselfWhenNoServerIsWarm) {
-  Settings settings = Usual();
+// During a rolling deploy every server may be in slow start; a budget of what is served just then would
+// starve itself.
+TEST(SlowStart, TheBudgetDoesNotStarveItselfWhenNoServerIsWarm) {
+  Settings settings = DefaultSettings();
   settings.slow_start_window = Duration(20000);
   settings.slow_start_min_share = 0.1;
   Rig rig(settings);
@@ -87,8 +87,8 @@
     for (int i = 0; i < n; ++i) {
       rig.Tick(20);
       const RequestId id = next_id++;
-      const auto s = rig.Ask(id, 2, 10, 400);
-      if (s) ++sent, rig.End(id, 0, *s, served ? Outcome::kOk : Outcome::kCancelled, 12);
+      const auto s = rig.Send(id, 2, 10, 400);
+      if (s) ++sent, rig.EndAttempt(id, 0, *s, served ? Outcome::kOk : Outcome::kCancelled, 12);
     }
     return sent;
   };
@@ -102,31 +102,30 @@
   EXPECT_GT(run(100), 70) << "after five seconds in which nothing was answered";
 }
 
-TEST(ColdStart, RejectedWorkCountsToo) {
+TEST(SlowStart, RejectedWorkCountsToo) {
   Rig rig;
   rig.List({Entry(1, 0, 0, ServerState::kReady, 99999)});
   int sent = 0;
   for (int i = 0; i < 50; ++i) {
     const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10, 2000);
-    if (s) ++sent, rig.End(id, 0, *s, Outcome::kOverloaded);
+    const auto s = rig.Send(id, 2, 10, 2000);
+    if (s) ++sent, rig.EndAttempt(id, 0, *s, Outcome::kOverloaded);
   }
   EXPECT_LE(sent, 2) << "nothing is known of warm servers: one mean request a window";
 }
 
-TEST(ColdStart, AProxyThatKnowsNothingStillServes) {
+TEST(SlowStart, AProxyThatKnowsNothingStillServes) {
   Rig rig;
   rig.List({Entry(1, 0, 0, ServerState::kReady, 99999), Entry(2, 0, 0, ServerState::kReady, 99999)});
   const RequestId id = next_id++;
-  bool sent = rig.Ask(id, 0).has_value();
+  bool sent = rig.Send(id, 0).has_value();
   for (int i = 0; i < 20 && !sent; ++i) rig.Tick(5), sent = rig.SentTo(id).has_value();
   EXPECT_TRUE(sent) << "within half of the aim";
 }
 
-// Hundreds of proxies that each sent a starting server one first request at once pushed it over (big-1 and
-// big-2 of a catalogue: 4.1 times what it could do).
-TEST(ColdStart, ManyProxiesTakeTurnsAtAStartingServer) {
-  Settings settings = Usual();
+// Hundreds of proxies that each send a starting server one first request at once would overload it.
+TEST(SlowStart, ManyProxiesTakeTurnsAtAStartingServer) {
+  Settings settings = DefaultSettings();
   settings.balancer_count = 400;
   settings.slow_start_min_share = 0.1;
   int at_once = 0;
@@ -135,13 +134,13 @@
     rig.List({Entry(1), Entry(2), Entry(3)});
     for (int i = 0; i < 100; ++i) {  // a request every 200 ms
       rig.Tick(200);
-      if (const auto s = rig.Ask(next_id++, 2, 10)) rig.End(next_id - 1, 0, *s, Outcome::kOk);
+      if (const auto s = rig.Send(next_id++, 2, 10)) rig.EndAttempt(next_id - 1, 0, *s, Outcome::kOk);
     }
     rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);
     for (int k = 0; k < 5; ++k) {
       rig.Tick(200);
-      if (const auto s = rig.Ask(next_id++, 2, 10))
-        at_once += *s == 3, rig.End(next_id - 1, 0, *s, Outcome::kOk);
+      if (const auto s = rig.Send(next_id++, 2, 10))
+        at_once += *s == 3, rig.EndAttempt(next_id - 1, 0, *s, Outcome::kOk);
     }
   }
   // Each warm server serves 400 x 10 ms of work each 600 ms: 6.7 a ms. A cold one does 0.1 to 0.19 of that in
--- a/tests/policy/subset_test.cpp
+++ b/tests/policy/subset_test.cpp
@@ -13,17 +13,17 @@
 namespace load_balancer {
 namespace {
 
+using testing::DefaultSettings;
 using testing::Entry;
 using testing::next_id;
 using testing::Rig;
-using testing::Usual;
 
-// Incident i0f08a6: hundreds of proxies each held a connection to every server, more than servers accept.
-TEST(Subset, ThinTrafficUsesFewServersAndAllProxiesTogetherUseThemAlike) {
+// Hundreds of proxies with a connection to every server would have more than servers accept.
+TEST(Subset, SparseTrafficUsesFewServersAndAllProxiesTogetherUseThemAlike) {
   constexpr int kProxies = 400, kServers = 80;
   std::map<ServerId, int> proxies_at;
   for (int me = 0; me < kProxies; ++me) {
-    Settings settings = Usual();
+    Settings settings = DefaultSettings();
     settings.balancer_count = kProxies;
     settings.balancer_index = me;
     Rig rig(settings, me + 1);
@@ -32,7 +32,7 @@
     for (int i = 0; i < 100; ++i) {
       rig.Tick(250);
       const RequestId id = next_id++;
-      if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, Outcome::kOk);
+      if (const auto s = rig.Send(id, 2, 10)) used.insert(*s), rig.EndAttempt(id, 0, *s, Outcome::kOk);
     }
     EXPECT_LE(used.size(), 16u);
     EXPECT_GE(used.size(), 4u);
@@ -43,9 +43,9 @@
   for (const auto& [s, proxies] : proxies_at) EXPECT_NEAR(proxies, mean, mean / 4) << s;
 }
 
-// A shrunk fleet: a fixed subset brought 133 proxies to each server (tsoa big-1), and old connections stayed.
-TEST(Subset, FewServersAreSharedByNoMoreProxiesThanTheyCanHold) {
-  Settings settings = Usual();
+// Where the fleet shrinks, a subset of fixed size would bring too many proxies to each server.
+TEST(Subset, FewServersGetNoMoreConnectionsThanTheyAccept) {
+  Settings settings = DefaultSettings();
   settings.balancer_count = 640;
   Rig rig(settings);
   rig.Servers(80);
@@ -57,21 +57,21 @@
   for (int i = 0; i < 60; ++i) {
     rig.Tick(250);
     const RequestId id = next_id++;
-    if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, Outcome::kOk);
+    if (const auto s = rig.Send(id, 2, 10)) used.insert(*s), rig.EndAttempt(id, 0, *s, Outcome::kOk);
   }
   EXPECT_LE(used.size(), 4u) << "640 x 3 / 30 is 64";
 }
 
-TEST(Subset, AnEjectedServersConnectionsAreGivenBack) {
+TEST(Subset, AnEjectedServersIdleConnectionsAreClosed) {
   Rig rig;
   rig.Servers(8);
   int closed = 0;
   for (int i = 0; i < 60; ++i) {
     rig.Tick(250);
     const RequestId id = next_id++;
-    const auto s = rig.Ask(id, 2, 10);
+    const auto s = rig.Send(id, 2, 10);
     ASSERT_TRUE(s.has_value());
-    rig.End(id, 0, *s, *s == 1 ? Outcome::kConnectFailed : Outcome::kOk);
+    rig.EndAttempt(id, 0, *s, *s == 1 ? Outcome::kConnectFailed : Outcome::kOk);
     for (const Action& a : rig.actions) {
       const auto* close = std::get_if<CloseIdle>(&a);
       if (!close) continue;
@@ -83,7 +83,7 @@
 }
 
 TEST(Subset, ABusyProxyUsesAllServers) {
-  Settings settings = Usual();
+  Settings settings = DefaultSettings();
   settings.balancer_count = 400;
   Rig rig(settings);
   rig.Servers(40);
@@ -91,7 +91,7 @@
   for (int i = 0; i < 2000; ++i) {
     rig.Tick(5);
     const RequestId id = next_id++;
-    if (const auto s = rig.Ask(id, 2, 10)) used.insert(*s), rig.End(id, 0, *s, Outcome::kOk);
+    if (const auto s = rig.Send(id, 2, 10)) used.insert(*s), rig.EndAttempt(id, 0, *s, Outcome::kOk);
   }
   EXPECT_EQ(used.size(), 40u);
 }
