--- a/src/fleet/membership/mailer.cpp
+++ b/src/fleet/membership/mailer.cpp
@@ -4,7 +4,7 @@
 #include <map>
 #include <utility>
 
-#include "fleet/sync/pieces.h"
+#include "fleet/sync/chunks.h"
 #include "fleet/wire/codec.h"
 
 namespace load_balancer::fleet {
--- a/src/fleet/node/describe.h
+++ b/src/fleet/node/describe.h
@@ -7,7 +7,7 @@
 #include <string>
 
 #include "fleet/membership/membership.h"
-#include "fleet/node/counts.h"
+#include "fleet/node/traffic_counters.h"
 #include "fleet/state/state.h"
 
 namespace load_balancer::fleet {
--- a/src/fleet/node/facts.h
+++ b/src/fleet/node/fleet_listener.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a fleet tells the process that is a member of it.
-#ifndef LOAD_BALANCER_FLEET_NODE_FACTS_H_
-#define LOAD_BALANCER_FLEET_NODE_FACTS_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_FLEET_LISTENER_H_
+#define LOAD_BALANCER_FLEET_NODE_FLEET_LISTENER_H_
 
 #include <string>
 
@@ -30,4 +30,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_NODE_FACTS_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_FLEET_LISTENER_H_
--- a/src/fleet/node/limit_share.h
+++ b/src/fleet/node/limit_share.h
@@ -9,7 +9,7 @@
 #include <string>
 
 #include "fleet/membership/membership.h"
-#include "fleet/node/facts.h"
+#include "fleet/node/fleet_listener.h"
 #include "fleet/section.h"
 
 namespace load_balancer::fleet {
--- a/src/fleet/node/channels.h
+++ b/src/fleet/node/payload_subscriptions.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Who takes the payloads that layers above the fleet send to each other.
-#ifndef LOAD_BALANCER_FLEET_NODE_CHANNELS_H_
-#define LOAD_BALANCER_FLEET_NODE_CHANNELS_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
+#define LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
 
 #include <functional>
 #include <map>
@@ -35,4 +35,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_NODE_CHANNELS_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
--- a/src/fleet/node/state_exchange.h
+++ b/src/fleet/node/state_exchange.h
@@ -9,7 +9,7 @@
 
 #include "base/time.h"
 #include "base/wall_clock.h"
-#include "fleet/node/facts.h"
+#include "fleet/node/fleet_listener.h"
 #include "fleet/section.h"
 #include "fleet/state/gossip.h"
 
--- a/src/fleet/node/counts.cpp
+++ b/src/fleet/node/traffic_counters.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/node/counts.h"
+#include "fleet/node/traffic_counters.h"
 
 namespace load_balancer::fleet {
 
--- a/src/fleet/node/counts.h
+++ b/src/fleet/node/traffic_counters.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a member has sent, received and dropped.
-#ifndef LOAD_BALANCER_FLEET_NODE_COUNTS_H_
-#define LOAD_BALANCER_FLEET_NODE_COUNTS_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_TRAFFIC_COUNTERS_H_
+#define LOAD_BALANCER_FLEET_NODE_TRAFFIC_COUNTERS_H_
 
 #include <array>
 #include <cstdint>
@@ -24,4 +24,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_NODE_COUNTS_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_TRAFFIC_COUNTERS_H_
--- a/src/fleet/node/transport.h
+++ b/src/fleet/node/transport.h
@@ -13,7 +13,7 @@
 #include <string>
 
 #include "base/time.h"
-#include "fleet/node/counts.h"
+#include "fleet/node/traffic_counters.h"
 #include "fleet/wire/codec.h"
 
 namespace load_balancer::fleet {
--- a/src/fleet/state/fences.cpp
+++ b/src/fleet/state/fencing_tokens.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/state/fences.h"
+#include "fleet/state/fencing_tokens.h"
 
 #include <algorithm>
 
--- a/src/fleet/state/fences.h
+++ b/src/fleet/state/fencing_tokens.h
@@ -2,8 +2,8 @@
 //
 // The largest token seen of each duty: what the holder before it wrote is refused. A fence is kept as long as
 // a fact written under a smaller token could last, so that none outlives the fence that stops it.
-#ifndef LOAD_BALANCER_FLEET_STATE_FENCES_H_
-#define LOAD_BALANCER_FLEET_STATE_FENCES_H_
+#ifndef LOAD_BALANCER_FLEET_STATE_FENCING_TOKENS_H_
+#define LOAD_BALANCER_FLEET_STATE_FENCING_TOKENS_H_
 
 #include <cstdint>
 #include <map>
@@ -40,4 +40,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_STATE_FENCES_H_
+#endif  // LOAD_BALANCER_FLEET_STATE_FENCING_TOKENS_H_
--- a/src/fleet/state/state.h
+++ b/src/fleet/state/state.h
@@ -20,8 +20,8 @@
 #include <vector>
 
 #include "fleet/state/entry.h"
-#include "fleet/state/fences.h"
-#include "fleet/sync/pieces.h"
+#include "fleet/state/fencing_tokens.h"
+#include "fleet/sync/chunks.h"
 
 namespace load_balancer::fleet {
 
--- a/src/fleet/sync/buckets.cpp
+++ b/src/fleet/sync/bucket_digests.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/sync/buckets.h"
+#include "fleet/sync/bucket_digests.h"
 
 #include <algorithm>
 #include <bit>
--- a/src/fleet/sync/buckets.h
+++ b/src/fleet/sync/bucket_digests.h
@@ -2,8 +2,8 @@
 //
 // What of two sets of entries differs, by digests of equal parts of the space of their keys' hashes
 // (docs/fleet.md, "Exchange of what differs").
-#ifndef LOAD_BALANCER_FLEET_SYNC_BUCKETS_H_
-#define LOAD_BALANCER_FLEET_SYNC_BUCKETS_H_
+#ifndef LOAD_BALANCER_FLEET_SYNC_BUCKET_DIGESTS_H_
+#define LOAD_BALANCER_FLEET_SYNC_BUCKET_DIGESTS_H_
 
 #include <bitset>
 #include <cstddef>
@@ -57,4 +57,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_SYNC_BUCKETS_H_
+#endif  // LOAD_BALANCER_FLEET_SYNC_BUCKET_DIGESTS_H_
--- a/src/fleet/sync/pieces.h
+++ b/src/fleet/sync/chunks.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Cuts the entries of some buckets into pieces of a datagram each.
-#ifndef LOAD_BALANCER_FLEET_SYNC_PIECES_H_
-#define LOAD_BALANCER_FLEET_SYNC_PIECES_H_
+#ifndef LOAD_BALANCER_FLEET_SYNC_CHUNKS_H_
+#define LOAD_BALANCER_FLEET_SYNC_CHUNKS_H_
 
 #include <algorithm>
 #include <cstdint>
 #include <utility>
 #include <vector>
 
-#include "fleet/sync/buckets.h"
+#include "fleet/sync/bucket_digests.h"
 
 namespace load_balancer::fleet {
 
@@ -56,4 +56,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_SYNC_PIECES_H_
+#endif  // LOAD_BALANCER_FLEET_SYNC_CHUNKS_H_
--- a/src/fleet/wire/message.h
+++ b/src/fleet/wire/message.h
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "fleet/lease/message.h"
-#include "fleet/sync/buckets.h"
+#include "fleet/sync/bucket_digests.h"
 
 namespace load_balancer::fleet {
 
--- a/src/proxy/fleet_link/fleet_link.h
+++ b/src/proxy/fleet_link/fleet_link.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "config.h"
-#include "fleet/node/facts.h"
+#include "fleet/node/fleet_listener.h"
 #include "fleet/node/node.h"
 
 namespace load_balancer::proxy {
--- a/src/proxy/recovery/recovery.h
+++ b/src/proxy/recovery/recovery.h
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "config.h"
-#include "state/keeper.h"
+#include "state/snapshot_writer.h"
 
 namespace load_balancer::proxy {
 
--- a/src/state/keeper.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "keeper.h"
+#include "snapshot_writer.h"
 
 #include <spdlog/fmt/fmt.h>
 
--- a/src/state/keeper.h
+++ b/src/state/snapshot_writer.h
@@ -2,8 +2,8 @@
 //
 // Keeps a process's snapshot: reads the last one at the start and writes a new one at each interval, by a
 // thread of its own, since the disk may be slow and requests must not wait for it.
-#ifndef LOAD_BALANCER_STATE_KEEPER_H_
-#define LOAD_BALANCER_STATE_KEEPER_H_
+#ifndef LOAD_BALANCER_STATE_SNAPSHOT_WRITER_H_
+#define LOAD_BALANCER_STATE_SNAPSHOT_WRITER_H_
 
 #include <atomic>
 #include <boost/asio/io_context.hpp>
@@ -53,4 +53,4 @@
 
 }  // namespace load_balancer::state
 
-#endif  // LOAD_BALANCER_STATE_KEEPER_H_
+#endif  // LOAD_BALANCER_STATE_SNAPSHOT_WRITER_H_
--- a/tests/model/sync_test.cpp
+++ b/tests/model/sync_test.cpp
@@ -5,7 +5,7 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "fleet/sync/pieces.h"
+#include "fleet/sync/chunks.h"
 #include "fleet/wire/codec.h"
 #include "model/fleet/federation.h"
 #include "registers.h"
