--- a/tests/compatibility/fleet_datagrams.cpp
+++ b/tests/compatibility/fleet_datagrams.cpp
@@ -7,7 +7,7 @@
 
 #include "fleet/lease/message.h"
 #include "fleet/state/entry.h"
-#include "fleet/sync/buckets.h"
+#include "fleet/sync/bucket_digests.h"
 #include "fleet/wire/codec.h"
 #include "fleet/wire/message.h"
 #include "golden_case.h"
