--- a/bench/model_state.cpp
+++ b/bench/model_state.cpp
@@ -68,7 +68,7 @@
   const double sent = BytesSent(federation);
   takers.Begin(began);
   const auto until = world.host(0).Wall() + static_cast<fleet::UnixMs>(setting.lasts.count());
-  federation.member(0, model::kSitePool)->Tell(fleet::Verdict{"s-1", until, 9, 9});
+  federation.member(0, model::kSitePool)->Announce(fleet::Ejection{"s-1", until, 9, 9});
   world.RunUntil(began + setting.lasts);
   row->missed += setting.members - 1 - (row->taken_ms.size() - before);
   row->bytes_per_second +=
--- a/bench/model_sync.cpp
+++ b/bench/model_sync.cpp
@@ -41,8 +41,8 @@
   }
   void OnSent(const model::PoolMember& by, const model::Endpoint&, const fleet::Message& message) override {
     if (message.kind != fleet::Message::Kind::kSync) return;
-    sync_bytes += fleet::kMostDatagram - fleet::RoomFor(by.options().section.name, message);
-    for (const fleet::Update& update : message.updates) sync_bytes += fleet::SizeOf(update);
+    sync_bytes += fleet::kMaxDatagramBytes - fleet::RemainingBytes(by.options().section.name, message);
+    for (const fleet::Update& update : message.updates) sync_bytes += fleet::EncodedSize(update);
   }
   std::size_t count = 0, sync_bytes = 0;
 };
--- a/bench/spill_gossip.cpp
+++ b/bench/spill_gossip.cpp
@@ -30,12 +30,12 @@
 
 struct Member : fleet::SharedState::Host {
   explicit Member(std::string name) : state({.name = std::move(name)}, *this) {}
-  bool Listed(const std::string&) const override { return true; }
-  void Taken(const fleet::Entry& entry) override {
-    const auto made = std::get<fleet::DutyFact>(entry.fact).value.at("made_at").get<UnixMs>();
+  bool IsListed(const std::string&) const override { return true; }
+  void OnAccepted(const fleet::Entry& entry) override {
+    const auto made = std::get<fleet::FencedValue>(entry.content).value.at("made_at").get<UnixMs>();
     ages.push_back(static_cast<double>(now - made));
   }
-  void Refused(const std::string&, const std::string&, fleet::Refusal) override { ++refused; }
+  void OnRejected(const std::string&, const std::string&, fleet::EntryRejection) override { ++refused; }
 
   fleet::SharedState state;
   UnixMs now = 0;
@@ -96,7 +96,7 @@
         "site-" + std::to_string(site), 41, now, 123456, 98765, 17, gateways_, false, 3600000};
     const std::string duty = "ambassador/site";
     members_[site * gateways_].state.Write(
-        now, fleet::DutyFact{duty, "estimate/" + estimate.site, 41, now + 3000, ToJson(estimate)});
+        now, fleet::FencedValue{duty, "estimate/" + estimate.site, 41, now + 3000, ToJson(estimate)});
     Push(site * gateways_, now);
   }
 
@@ -111,7 +111,8 @@
     while (told.size() < std::min<std::size_t>(kFanout + 1, members_.size())) {
       const std::size_t to = random_() % members_.size();
       if (!told.insert(to).second) continue;
-      message.state = members_[from].state.Fill(now, fleet::RoomFor(kPool, message), transmits);
+      message.state =
+          members_[from].state.PackPiggyback(now, fleet::RemainingBytes(kPool, message), transmits);
       members_[from].bytes += fleet::Encode(kPool, message).size();
       const bool lost = std::uniform_real_distribution<double>(0, 1)(random_) < loss_;
       if (!lost) under_way_.push({now + way_ / 2 + random_() % way_, ++order_, to, std::move(message.state)});
--- a/model/fleet/federation.cpp
+++ b/model/fleet/federation.cpp
@@ -121,7 +121,8 @@
     PoolMember* first = nullptr;
     for (const std::size_t other : federation.PoolOf(machine, pool))
       if (!first) first = federation.member(other, pool);
-    if (!one || one->state().Digest(one->host().Wall()) == first->state().Digest(first->host().Wall()))
+    if (!one ||
+        one->state().ComputeDigest(one->host().Wall()) == first->state().ComputeDigest(first->host().Wall()))
       continue;
     std::string line = one->host().Name();
     wrong.push_back(line.append(" holds another state than ").append(first->host().Name()));
--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -23,7 +23,7 @@
   of.indirect_probes = section.indirect_probes;
   of.retransmit_multiplier = section.retransmit_multiplier;
   of.sync_interval = section.sync_interval;
-  of.forget_after = section.forget;
+  of.forget_after = section.forget_after;
   of.incarnation = host.Wall();
   of.seed = options.seed;
   return of;
@@ -39,8 +39,8 @@
     : host_(host),
       options_(std::move(options)),
       gossip_(options_.section, host.Name(), static_cast<fleet::SharedState::Host&>(*this),
-              static_cast<fleet::StateGossip::Outlet&>(*this)),
-      allowance_(options_.section.most_bytes_per_second),
+              static_cast<fleet::StateGossip::MessageSender&>(*this)),
+      allowance_(options_.section.max_bytes_per_second),
       allowed_at_(host.Now()),
       membership_(MembershipOf(options_, host), host.Now(), static_cast<fleet::Membership::Outlet&>(*this)),
       votes_(host.Disk(), options_.pool, options_.section.seeds) {
@@ -83,8 +83,10 @@
   return leases_ ? std::min(membership_.Next(), leases_->Next()) : membership_.Next();
 }
 
-void PoolMember::Tell(fleet::Verdict verdict) { gossip_.Tell(host_.Wall(), std::move(verdict)); }
-void PoolMember::Tell(fleet::KeySite site) { gossip_.Tell(host_.Wall(), std::move(site)); }
+void PoolMember::Announce(fleet::Ejection ejection) { gossip_.Announce(host_.Wall(), std::move(ejection)); }
+void PoolMember::Announce(fleet::KeyAffinity affinity) {
+  gossip_.Announce(host_.Wall(), std::move(affinity));
+}
 
 void PoolMember::Publish(const std::string& duty, const std::string& key, nlohmann::json value, Span lasts) {
   if (const auto guard = Guard(duty)) Publish(*guard, key, std::move(value), lasts);
@@ -95,7 +97,7 @@
   if (!guard.Holds(host_.Now())) return false;
   const fleet::UnixMs now = host_.Wall();
   const fleet::UnixMs until = now + static_cast<fleet::UnixMs>(Milliseconds(lasts));
-  gossip_.Tell(now, fleet::DutyFact{guard.duty(), key, guard.token(), until, std::move(value)});
+  gossip_.Announce(now, fleet::FencedValue{guard.duty(), key, guard.token(), until, std::move(value)});
   return true;
 }
 
@@ -134,24 +136,24 @@
 
 void PoolMember::Send(const Endpoint& to, const Message& message) {
   Message whole = message;
-  gossip_.AddTo(host_.Wall(), &whole);
-  const std::size_t size = SizeOf(whole);
+  gossip_.AttachState(host_.Wall(), &whole);
+  const std::size_t size = EncodedSize(whole);
   if (!MaySend(size)) return void(++throttled_);
   if (options_.observer) options_.observer->OnSent(*this, to, whole);
   host_.Send(to, Datagram{options_.pool, std::move(whole)}, size);
 }
 
 // At most: what the codec would make of it may be some bytes smaller.
-std::size_t PoolMember::SizeOf(const Message& message) const {
-  std::size_t size = fleet::kMostDatagram - fleet::RoomFor(options_.section.name, message);
-  for (const fleet::Update& update : message.updates) size += fleet::SizeOf(update);
+std::size_t PoolMember::EncodedSize(const Message& message) const {
+  std::size_t size = fleet::kMaxDatagramBytes - fleet::RemainingBytes(options_.section.name, message);
+  for (const fleet::Update& update : message.updates) size += fleet::EncodedSize(update);
   if (!message.state.is_null()) size += nlohmann::json::to_msgpack(message.state).size();
   return size;
 }
 
 bool PoolMember::MaySend(std::size_t size) {
   const Time now = host_.Now();
-  const double most = options_.section.most_bytes_per_second;
+  const double most = options_.section.max_bytes_per_second;
   const double since = std::chrono::duration<double>(now - std::exchange(allowed_at_, now)).count();
   allowance_ = std::min(most, allowance_ + most * since);
   if (allowance_ < static_cast<double>(size)) return false;
@@ -168,16 +170,16 @@
   if (leases_) leases_->Release(host_.Now());
 }
 
-void PoolMember::Taken(const fleet::Entry& entry) {
-  if (const auto* fact = std::get_if<fleet::DutyFact>(&entry.fact)) HearOfLease(*fact);
+void PoolMember::OnAccepted(const fleet::Entry& entry) {
+  if (const auto* fenced = std::get_if<fleet::FencedValue>(&entry.content)) HearOfLease(*fenced);
   if (options_.observer) options_.observer->OnTaken(*this, entry);
 }
 
-void PoolMember::HearOfLease(const fleet::DutyFact& fact) {
-  if (!leases_ || fact.key != "lease/" + fact.duty) return;
-  const auto left = std::clamp<std::int64_t>(fact.value.at("left_ms").get<std::int64_t>(), 0,
+void PoolMember::HearOfLease(const fleet::FencedValue& fenced) {
+  if (!leases_ || fenced.key != "lease/" + fenced.duty) return;
+  const auto left = std::clamp<std::int64_t>(fenced.value.at("left_ms").get<std::int64_t>(), 0,
                                              options_.section.lease_term.count());
-  leases_->Hear(host_.Now(), fact.duty, fact.value.at("holder").get<std::string>(), fact.token,
+  leases_->Hear(host_.Now(), fenced.duty, fenced.value.at("holder").get<std::string>(), fenced.token,
                 std::chrono::milliseconds(left));
 }
 
--- a/model/fleet/member.h
+++ b/model/fleet/member.h
@@ -51,7 +51,7 @@
 
 class PoolMember : private fleet::Membership::Outlet,
                    private fleet::SharedState::Host,
-                   private fleet::StateGossip::Outlet,
+                   private fleet::StateGossip::MessageSender,
                    private fleet::Leases::Outlet {
  public:
   // Joins at once. The host is the machine's and outlives this.
@@ -62,8 +62,8 @@
   Time Next() const;
 
   // What this process has found, for its peers.
-  void Tell(fleet::Verdict verdict);
-  void Tell(fleet::KeySite site);
+  void Announce(fleet::Ejection ejection);
+  void Announce(fleet::KeyAffinity affinity);
   // A fact of a duty for so long; nothing unless this member holds the lease.
   void Publish(const std::string& duty, const std::string& key, nlohmann::json value, Span lasts);
   // The same under a lease of any pool; false, and nothing, if it does not hold now.
@@ -95,9 +95,9 @@
   void Stalled(Span) override {}
   void Displaced(const Endpoint&) override;
 
-  bool Listed(const std::string&) const override { return true; }
-  void Taken(const fleet::Entry& entry) override;
-  void Refused(const std::string&, const std::string&, fleet::Refusal) override {}
+  bool IsListed(const std::string&) const override { return true; }
+  void OnAccepted(const fleet::Entry& entry) override;
+  void OnRejected(const std::string&, const std::string&, fleet::EntryRejection) override {}
 
   void Send(const Endpoint& to, const fleet::LeaseMessage& lease) override;
   void OnRole(const std::string& duty, fleet::Role role, fleet::Token token, Span left,
@@ -106,8 +106,8 @@
 
   void StartLeases();
   std::string Holder() const;
-  void HearOfLease(const fleet::DutyFact& fact);
-  std::size_t SizeOf(const fleet::Message& message) const;
+  void HearOfLease(const fleet::FencedValue& fact);
+  std::size_t EncodedSize(const fleet::Message& message) const;
   bool MaySend(std::size_t size);
 
   model::Host& host_;
--- a/model/site/gateway.cpp
+++ b/model/site/gateway.cpp
@@ -161,9 +161,9 @@
 
 void GatewayProgram::Do(const Ejected& action) {
   const double left = (action.until - PointOf(host_.Now())).count();
-  site().Tell(fleet::Verdict{std::to_string(action.server),
-                             host_.Wall() + static_cast<fleet::UnixMs>(std::max(0.0, left)), action.failures,
-                             action.attempts});
+  site().Announce(fleet::Ejection{std::to_string(action.server),
+                                  host_.Wall() + static_cast<fleet::UnixMs>(std::max(0.0, left)),
+                                  action.failures, action.attempts});
 }
 
 void GatewayProgram::Finish(RequestId id, Ending ending, Span retry_after) {
--- a/model/system/gateway.cpp
+++ b/model/system/gateway.cpp
@@ -30,7 +30,7 @@
   GatewayProgram::Receive(packet);
   const auto* datagram = std::any_cast<Datagram>(packet.content.get());
   if (datagram && datagram->message.kind == fleet::Message::Kind::kPayload) OnPayload(datagram->message);
-  for (const fleet::DutyFact& fact : facts_.Take()) spill_.OnPoolFact(fact);
+  for (const fleet::FencedValue& fact : facts_.Take()) spill_.OnPoolFact(fact);
 }
 
 // Of the federation's pool only what comes from a gateway's configured address.
--- a/model/system/gateway.h
+++ b/model/system/gateway.h
@@ -22,13 +22,13 @@
 class PoolFacts : public Observer {
  public:
   void OnTaken(const PoolMember&, const fleet::Entry& entry) override {
-    const auto* fact = std::get_if<fleet::DutyFact>(&entry.fact);
+    const auto* fact = std::get_if<fleet::FencedValue>(&entry.content);
     if (fact && fact->key != "lease/" + fact->duty) taken_.push_back(*fact);
   }
-  std::vector<fleet::DutyFact> Take() { return std::exchange(taken_, {}); }
+  std::vector<fleet::FencedValue> Take() { return std::exchange(taken_, {}); }
 
  private:
-  std::vector<fleet::DutyFact> taken_;
+  std::vector<fleet::FencedValue> taken_;
 };
 
 // What is there before the pools are.
--- a/model/system/scenario.cpp
+++ b/model/system/scenario.cpp
@@ -121,8 +121,8 @@
   federation.federated = true;
   federation.wide = PoolSection(milliseconds(500), 5, seconds(3));
   federation.wide.name = "sites";
-  federation.wide.share_verdicts = false;
-  federation.wide.most_bytes_per_second = 131072;
+  federation.wide.share_ejections = false;
+  federation.wide.max_bytes_per_second = 131072;
   for (std::size_t i = 0; i < wiring.allocators; ++i)
     federation.wide_duties.push_back({Wiring::AllocatorOf(i), fleet::DutyKind::kExclusive});
   for (const std::string& site : wiring.sites)
--- a/model/system/spill_side.cpp
+++ b/model/system/spill_side.cpp
@@ -106,7 +106,7 @@
 }
 
 // ---- estimates ----------------------------------------------------------------------------------------
-void SpillSide::OnPoolFact(const fleet::DutyFact& fact) {
+void SpillSide::OnPoolFact(const fleet::FencedValue& fact) {
   const auto estimate = spill::FromJson(fact.value);
   if (estimate && fact.key == "estimate/" + estimate->site &&
       fact.duty == Wiring::AmbassadorOf(estimate->site))
--- a/model/system/spill_side.h
+++ b/model/system/spill_side.h
@@ -46,7 +46,7 @@
   bool TakeMark(ClientAsk* ask, const Endpoint& peer) const;
   std::string EstimateText() const;
 
-  void OnPoolFact(const fleet::DutyFact& fact);
+  void OnPoolFact(const fleet::FencedValue& fact);
   void HearSpare(const std::string& member, const nlohmann::json& payload);
   void Tick();
   Time Next() const;
--- a/src/fleet/federation/section.cpp
+++ b/src/fleet/federation/section.cpp
@@ -124,7 +124,7 @@
   section.Time("sync_interval_ms", 100, 600000, &sites.sync_interval);
   section.Time("lease_term_ms", 100, 600000, &sites.lease_term);
   section.Time("lease_drift_ms", 1, 60000, &sites.lease_drift);
-  section.Whole("most_bytes_per_second", 4096, 1 << 30, &sites.most_bytes_per_second);
+  section.Whole("most_bytes_per_second", 4096, 1 << 30, &sites.max_bytes_per_second);
   if (sites.lease_term < sites.lease_drift * 6)
     section.Fault("lease_term_ms", "is under 6 times lease_drift_ms");
   ReadGateways(&section, &sites);
@@ -168,9 +168,9 @@
   pool.sync_interval = sites.sync_interval;
   pool.lease_term = sites.lease_term;
   pool.lease_drift = sites.lease_drift;
-  pool.most_bytes_per_second = sites.most_bytes_per_second;
-  pool.share_verdicts = false;
-  pool.forget = std::max(pool.forget, LongestSuspicion(pool));
+  pool.max_bytes_per_second = sites.max_bytes_per_second;
+  pool.share_ejections = false;
+  pool.forget_after = std::max(pool.forget_after, LongestSuspicion(pool));
   return pool;
 }
 
--- a/src/fleet/federation/section.h
+++ b/src/fleet/federation/section.h
@@ -37,7 +37,7 @@
   Milliseconds sync_interval{15000};
   Milliseconds lease_term{3000};
   Milliseconds lease_drift{100};
-  int most_bytes_per_second = 131072;  // sent by this process in the pool
+  int max_bytes_per_second = 131072;  // sent by this process in the pool
 };
 
 // Reads `sites` of the file's root object. Appends one line per fault to `faults`.
--- a/src/fleet/membership/mailer.cpp
+++ b/src/fleet/membership/mailer.cpp
@@ -27,9 +27,9 @@
 }
 
 void Mailer::SendWithNews(const Udp::endpoint& to, const std::string& receiver, Message message) {
-  std::size_t room = RoomFor(options_.fleet, message);
+  std::size_t room = RemainingBytes(options_.fleet, message);
   const auto take = [&](const Update& update) {
-    const std::size_t size = SizeOf(update);
+    const std::size_t size = EncodedSize(update);
     if (size > room) return false;
     room -= size;
     message.updates.push_back(update);
@@ -43,27 +43,27 @@
 
 void Mailer::AskForTable(const Udp::endpoint& to) {
   Message message = Make(Kind::kSync, 0);
-  message.reply = true;
-  message.table = claims_.table().Digest(claims_.self().last);
-  message.buckets =
-      claims_.table().Digests(claims_.self().last, Buckets::CountFor(claims_.table().all().size() + 1));
+  message.wants_reply = true;
+  message.member_digest = claims_.table().Digest(claims_.self().last);
+  message.member_buckets =
+      claims_.table().Digests(claims_.self().last, BucketDigests::CountFor(claims_.table().all().size() + 1));
   outlet_.Send(to, message);
 }
 
-void Mailer::SendUnlike(const Udp::endpoint& to, const Buckets& theirs, std::uint64_t start) {
+void Mailer::SendUnlike(const Udp::endpoint& to, const BucketDigests& theirs, std::uint64_t start) {
   const MemberTable& table = claims_.table();
-  const auto unlike = table.Digests(claims_.self().last, theirs.count()).Unlike(theirs);
-  if (unlike.none()) return;
-  std::vector<Placed<Update>> all;
+  const BucketSet differing = table.Digests(claims_.self().last, theirs.count()).DifferingFrom(theirs);
+  if (differing.IsEmpty()) return;
+  std::vector<HashedEntry<Update>> all;
   for (const auto& [name, member] : table.all())
-    all.push_back({MemberTable::PlaceOf(name), SizeOf(member.last), member.last});
+    all.push_back({MemberTable::HashOf(name), EncodedSize(member.last), member.last});
   Message message = Make(Kind::kSync, 0);
-  message.reply = true;
-  message.slice.emplace();
-  const std::size_t room = RoomFor(options_.fleet, message);
-  for (auto& piece : CutToPieces(std::move(all), theirs.count(), unlike, start, room, kMostPieces)) {
-    message.slice = piece.slice;
-    message.updates = std::move(piece.entries);
+  message.wants_reply = true;
+  message.range.emplace();
+  const std::size_t room = RemainingBytes(options_.fleet, message);
+  for (auto& chunk : SplitIntoChunks(std::move(all), differing, start, room, kMaxAnswerChunks)) {
+    message.range = chunk.range;
+    message.updates = std::move(chunk.entries);
     outlet_.Send(to, message);
   }
 }
@@ -74,14 +74,14 @@
   for (const Update& update : answer.updates) listed[update.name] = &update;
   std::vector<Update> lacking;
   for (const auto& [name, member] : claims_.table().all()) {
-    if (!answer.slice->Holds(MemberTable::PlaceOf(name))) continue;
+    if (!answer.range->Contains(MemberTable::HashOf(name))) continue;
     const auto other = listed.find(name);
     if (other == listed.end() ? Present(member.last.state) : Overrides(member.last, *other->second))
       lacking.push_back(member.last);
   }
   if (lacking.empty()) return;
   Message message = Make(Kind::kSync, 0);
-  message.slice = answer.slice;
+  message.range = answer.range;
   SendAll(answer.sender.address, std::move(message), lacking);
 }
 
@@ -89,19 +89,19 @@
   std::vector<Update> all;
   for (const auto& [name, member] : claims_.table().all()) all.push_back(member.last);
   Message message = Make(Kind::kSync, 0);
-  message.reply = reply;
+  message.wants_reply = reply;
   SendAll(to, std::move(message), all);
 }
 
 void Mailer::SendAll(const Udp::endpoint& to, Message message, const std::vector<Update>& updates) {
-  const std::size_t all = RoomFor(options_.fleet, message);
+  const std::size_t all = RemainingBytes(options_.fleet, message);
   std::size_t room = all;
   for (const Update& update : updates) {
-    const std::size_t size = SizeOf(update);
+    const std::size_t size = EncodedSize(update);
     if (size > room) {
       outlet_.Send(to, message);
       message.updates.clear();
-      message.reply = false;
+      message.wants_reply = false;
       room = all;
     }
     room -= size;
--- a/src/fleet/membership/mailer.h
+++ b/src/fleet/membership/mailer.h
@@ -14,7 +14,7 @@
 
 class Mailer {
  public:
-  static constexpr std::size_t kMostPieces = 32;
+  static constexpr std::size_t kMaxAnswerChunks = 32;
 
   // All of these outlive this.
   Mailer(const MembershipOptions& options, Claims& claims, MembershipOutlet& outlet)
@@ -27,8 +27,8 @@
   void Send(const Udp::endpoint& to, const Message& message) { outlet_.Send(to, message); }
   // Asks for what a table has unlike this member's.
   void AskForTable(const Udp::endpoint& to);
-  // What is unlike in an asker's table, listed from the place `start` on, at most kMostPieces messages.
-  void SendUnlike(const Udp::endpoint& to, const Buckets& theirs, std::uint64_t start);
+  // What is unlike in an asker's table, listed from the hash `start` on, at most kMaxAnswerChunks messages.
+  void SendUnlike(const Udp::endpoint& to, const BucketDigests& theirs, std::uint64_t start);
   // What an answer's sender lacks of what it has listed.
   void SendLacking(const Message& answer);
   // The whole table, in as many messages as it takes, as older members ask for it; `reply`: the first one
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -110,7 +110,8 @@
 }
 
 void Membership::Dispatch(Time now, const Message& message) {
-  if (message.slice && message.slice->more) next_sync_ = std::min(next_sync_, now + options_.probe_interval);
+  if (message.range && message.range->is_truncated)
+    next_sync_ = std::min(next_sync_, now + options_.probe_interval);
   switch (message.kind) {
     case Kind::kPing:
       return probes_.OnPing(message);
@@ -130,12 +131,14 @@
 }
 
 void Membership::OnSync(const Message& message) {
-  if (!message.reply) return;
-  if (message.slice) return mailer_.SendLacking(message);
-  if (message.buckets) return mailer_.SendUnlike(message.sender.address, *message.buckets, random_());
+  if (!message.wants_reply) return;
+  if (message.range) return mailer_.SendLacking(message);
+  if (message.member_buckets)
+    return mailer_.SendUnlike(message.sender.address, *message.member_buckets, random_());
   // Of an older member.
   if (!message.updates.empty()) return mailer_.SendTable(message.sender.address, false);
-  if (message.table != claims_.table().Digest(self().last)) mailer_.SendTable(message.sender.address, true);
+  if (message.member_digest != claims_.table().Digest(self().last))
+    mailer_.SendTable(message.sender.address, true);
 }
 
 std::vector<Udp::endpoint> Membership::Sample(std::size_t most) {
--- a/src/fleet/membership/table.cpp
+++ b/src/fleet/membership/table.cpp
@@ -9,7 +9,7 @@
 namespace load_balancer::fleet {
 namespace {
 
-std::uint64_t HashOf(const Update& update) {
+std::uint64_t HashContent(const Update& update) {
   return XXH64(update.name.data(), update.name.size(), update.incarnation);
 }
 
@@ -46,21 +46,21 @@
 
 std::uint64_t MemberTable::Digest(const Update& self) const {
   // A sum: the same in whatever order.
-  std::uint64_t digest = HashOf(self);
+  std::uint64_t digest = HashContent(self);
   for (const auto& [name, member] : members_)
-    if (Present(member.last.state)) digest += HashOf(member.last);
+    if (Present(member.last.state)) digest += HashContent(member.last);
   return digest;
 }
 
-Buckets MemberTable::Digests(const Update& self, std::size_t count) const {
-  Buckets digests(count);
-  digests.Add(PlaceOf(self.name), HashOf(self));
+BucketDigests MemberTable::Digests(const Update& self, std::size_t count) const {
+  BucketDigests digests(count);
+  digests.Add(HashOf(self.name), HashContent(self));
   for (const auto& [name, member] : members_)
-    if (Present(member.last.state)) digests.Add(PlaceOf(name), HashOf(member.last));
+    if (Present(member.last.state)) digests.Add(HashOf(name), HashContent(member.last));
   return digests;
 }
 
-std::uint64_t MemberTable::PlaceOf(const std::string& name) { return XXH64(name.data(), name.size(), 0); }
+std::uint64_t MemberTable::HashOf(const std::string& name) { return XXH64(name.data(), name.size(), 0); }
 
 void MemberTable::Forget(Time now, Span after) {
   std::erase_if(members_, [&](const auto& each) {
--- a/src/fleet/membership/table.h
+++ b/src/fleet/membership/table.h
@@ -31,9 +31,9 @@
   // Of those that are present, `self` among them: of others that are gone a joiner need not know.
   std::uint64_t Digest(const Update& self) const;
   // The same by buckets.
-  Buckets Digests(const Update& self, std::size_t count) const;
+  BucketDigests Digests(const Update& self, std::size_t count) const;
   // Where a member is in the space of hashes.
-  static std::uint64_t PlaceOf(const std::string& name);
+  static std::uint64_t HashOf(const std::string& name);
   // Drops those that have been gone for so long.
   void Forget(Time now, Span after);
 
--- a/src/fleet/node/describe.cpp
+++ b/src/fleet/node/describe.cpp
@@ -17,21 +17,22 @@
 
 }  // namespace
 
-std::string DescribeMembers(const Membership& membership, const Counts& counts, Time now) {
+std::string DescribeMembers(const Membership& membership, const TrafficCounters& counts, Time now) {
   std::string line = LineOf(membership.self(), now);
   for (const auto& [name, member] : membership.others()) line += ", " + LineOf(member, now);
   return line + fmt::format("; health={} sent={} bytes_sent={} received={} {}", membership.health(),
-                            counts.sent, counts.bytes_sent, counts.received, DropsLine(counts));
+                            counts.sent, counts.bytes_sent, counts.received, FormatDropCounters(counts));
 }
 
 std::string DescribeState(const SharedState::Summary& all, int limit, int share) {
   std::string line = fmt::format(
       "verdicts={} newest_ms={} oldest_ms={}, affinity={} newest_ms={} oldest_ms={}, facts={}, limit={} "
       "share={}; refused",
-      all.verdicts, all.newest_verdict, all.oldest_verdict, all.sites, all.newest_site, all.oldest_site,
-      all.facts, limit, std::max(0, share));
-  for (int i = 0; i < kRefusals; ++i)
-    line += fmt::format(" {}={}", Name(static_cast<Refusal>(i)), all.refused[static_cast<std::size_t>(i)]);
+      all.ejections.count, all.ejections.newest_age, all.ejections.oldest_age, all.affinities.count,
+      all.affinities.newest_age, all.affinities.oldest_age, all.fenced_values, limit, std::max(0, share));
+  for (int i = 0; i < kEntryRejections; ++i)
+    line += fmt::format(" {}={}", Name(static_cast<EntryRejection>(i)),
+                        all.rejected[static_cast<std::size_t>(i)]);
   return line;
 }
 
--- a/src/fleet/node/describe.h
+++ b/src/fleet/node/describe.h
@@ -13,7 +13,7 @@
 namespace load_balancer::fleet {
 
 // Every member as "name state incarnation age", this one first, and the counts.
-std::string DescribeMembers(const Membership& membership, const Counts& counts, Time now);
+std::string DescribeMembers(const Membership& membership, const TrafficCounters& counts, Time now);
 
 // Of each kind of shared state how much is held, its newest and oldest age, the share of the limit, and what
 // was refused.
--- a/src/fleet/node/duties.cpp
+++ b/src/fleet/node/duties.cpp
@@ -40,7 +40,7 @@
 void Node::LoadVotes(LeaseOptions* options) {
   if (options_.votes.empty()) return;
   std::vector<std::string> voters;
-  for (const Udp::endpoint& voter : options->voters) voters.push_back(Text(voter));
+  for (const Udp::endpoint& voter : options->voters) voters.push_back(FormatEndpoint(voter));
   votes_ = std::make_unique<VoteFile>(options_.votes, name_, std::move(voters));
   options->store = votes_.get();
   auto loaded = votes_->Load();
@@ -87,7 +87,7 @@
   return leases_ ? leases_->Guard(Steady::now(), duty) : std::nullopt;
 }
 
-bool Node::FollowerOf(const std::string& duty) const {
+bool Node::IsFollowerOf(const std::string& duty) const {
   return leases_ && leases_->role(Steady::now(), duty) == Role::kFollower;
 }
 
@@ -102,7 +102,8 @@
   if (!guard.Holds(Steady::now())) return tl::unexpected(Failure(kPastDeadline, key));
   const UnixMs now = UnixMilliseconds();
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(lasts).count();
-  state_.Tell(DutyFact{guard.duty(), key, guard.token(), now + static_cast<UnixMs>(ms), std::move(value)});
+  state_.Announce(
+      FencedValue{guard.duty(), key, guard.token(), now + static_cast<UnixMs>(ms), std::move(value)});
   return {};
 }
 
@@ -118,8 +119,8 @@
   return line;
 }
 
-void Node::OnFact(const DutyFact& fact) {
-  if (fact.key != "lease/" + fact.duty) return facts_.OnDutyFact(fact);
+void Node::OnFact(const FencedValue& fact) {
+  if (fact.key != "lease/" + fact.duty) return facts_.OnFencedValue(fact);
   if (!leases_ || !fact.value.is_object()) return;
   const auto holder = fact.value.find("holder"), left = fact.value.find("left_ms");
   if (holder == fact.value.end() || !holder->is_string() || left == fact.value.end() ||
--- a/src/fleet/node/fleet_listener.h
+++ b/src/fleet/node/fleet_listener.h
@@ -11,21 +11,21 @@
 
 namespace load_balancer::fleet {
 
-class Facts {
+class FleetListener {
  public:
-  virtual ~Facts() = default;
+  virtual ~FleetListener() = default;
   // Whether discovery's list has the server now.
-  virtual bool Listed(const std::string& server) const = 0;
-  virtual void OnVerdict(const Verdict& verdict) = 0;
-  virtual void OnKey(const KeySite& site, UnixMs met) = 0;
+  virtual bool IsListed(const std::string& server) const = 0;
+  virtual void OnEjection(const Ejection& ejection) = 0;
+  virtual void OnKeyAffinity(const KeyAffinity& affinity, UnixMs written) = 0;
   // Of the fleet's limit of requests in flight at one server, what is this process's.
-  virtual void OnShare(int most_in_flight) = 0;
+  virtual void OnLimitShare(int most_in_flight) = 0;
   // A peer's whole table and state have come for the first time.
   virtual void OnJoined() = 0;
   // What this process is to a duty from now on.
   virtual void OnRole(const std::string& duty, Role role) = 0;
   // The holder of a duty has made this known.
-  virtual void OnDutyFact(const DutyFact& fact) = 0;
+  virtual void OnFencedValue(const FencedValue& fenced) = 0;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -12,7 +12,7 @@
 using Steady = std::chrono::steady_clock;
 
 LimitShare::LimitShare(boost::asio::io_context& io, const FleetSection& section, std::string component,
-                       Facts& facts)
+                       FleetListener& facts)
     : section_(section), component_(std::move(component)), facts_(facts), settle_(io) {}
 
 // Until news of this process have gone round, the others hold on to its share.
@@ -54,7 +54,7 @@
   if (share == std::exchange(share_, share)) return;
   log::Info(component_, "limit=" + std::to_string(section_.server_limit) + " share=" + std::to_string(share) +
                             " present=" + std::to_string(membership_->present()));
-  facts_.OnShare(share);
+  facts_.OnLimitShare(share);
 }
 
 void LimitShare::Stop() {
--- a/src/fleet/node/limit_share.h
+++ b/src/fleet/node/limit_share.h
@@ -17,7 +17,8 @@
 class LimitShare {
  public:
   // `component` speaks in the log; `facts`, which outlives this, is told of each new share.
-  LimitShare(boost::asio::io_context& io, const FleetSection& section, std::string component, Facts& facts);
+  LimitShare(boost::asio::io_context& io, const FleetSection& section, std::string component,
+             FleetListener& facts);
 
   // `membership` outlives this or the call of Stop.
   void Join(const Membership* membership) { membership_ = membership; }
@@ -37,7 +38,7 @@
 
   const FleetSection section_;
   const std::string component_;
-  Facts& facts_;
+  FleetListener& facts_;
   boost::asio::steady_timer settle_;
   const Membership* membership_ = nullptr;
   bool settled_ = false;  // every member may be taken to know of this one
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -28,7 +28,7 @@
   options.indirect_probes = section.indirect_probes;
   options.retransmit_multiplier = section.retransmit_multiplier;
   options.sync_interval = section.sync_interval;
-  options.forget_after = section.forget;
+  options.forget_after = section.forget_after;
   options.incarnation = UnixMilliseconds();
   options.seed = seed;
   return options;
@@ -42,14 +42,14 @@
   options.fleet = section.name;
   options.bind = section.bind;
   options.retry = section.probe_interval;
-  options.most_bytes_per_second = section.most_bytes_per_second;
+  options.max_bytes_per_second = section.max_bytes_per_second;
   return options;
 }
 
 }  // namespace
 
 Node::Node(asio::io_context& io, const FleetSection& section, const std::string& name, std::uint64_t seed,
-           Facts& facts, NodeOptions options)
+           FleetListener& facts, NodeOptions options)
     : section_(section),
       name_(name),
       seed_(seed),
@@ -63,8 +63,9 @@
 }
 
 void Node::OnOpen() {
-  log::Info(options_.component, "joining fleet=" + section_.name + " member=" + name_ + " bind=" +
-                                    Text(section_.bind) + " advertise=" + Text(section_.advertise));
+  log::Info(options_.component, "joining fleet=" + section_.name + " member=" + name_ +
+                                    " bind=" + FormatEndpoint(section_.bind) +
+                                    " advertise=" + FormatEndpoint(section_.advertise));
   membership_.emplace(OptionsOf(section_, name_, seed_), Steady::now(),
                       static_cast<Membership::Outlet&>(*this));
   state_.Join(&*membership_);
@@ -80,7 +81,7 @@
   state_.Receive(message);
   if (leases_ && message.lease) leases_->Receive(Steady::now(), message.sender.address, *message.lease);
   const bool payload = message.kind == Message::Kind::kPayload && message.sender.name != name_;
-  if (payload && !channels_.Deliver(message)) transport_.Count(Drop::kOtherChannel);
+  if (payload && !channels_.Deliver(message)) transport_.Count(DropReason::kOtherChannel);
   if (!stopped_) Arm();
 }
 
@@ -99,8 +100,8 @@
   for (const auto& [duty, token] : kept.tokens) leases_->Outgrow(duty, token);
 }
 
-void Node::Tell(Verdict verdict) { state_.Tell(std::move(verdict)); }
-void Node::Tell(KeySite site) { state_.Tell(std::move(site)); }
+void Node::Announce(Ejection ejection) { state_.Announce(std::move(ejection)); }
+void Node::Announce(KeyAffinity affinity) { state_.Announce(std::move(affinity)); }
 
 void Node::Arm() {
   const Time next = leases_ ? std::min(membership_->Next(), leases_->Next()) : membership_->Next();
@@ -118,8 +119,8 @@
 }
 
 bool Node::Send(const Udp::endpoint& to, std::string channel, nlohmann::json payload) {
-  if (channel.empty() || channel.size() > kMostChannel ||
-      nlohmann::json::to_msgpack(payload).size() > kMostPayload)
+  if (channel.empty() || channel.size() > kMaxChannelBytes ||
+      nlohmann::json::to_msgpack(payload).size() > kMaxPayloadBytes)
     return false;
   if (!membership_) return true;
   Message message;
@@ -134,7 +135,7 @@
 void Node::Send(const Udp::endpoint& to, const Message& message) {
   if (!transport_.open()) return;
   Message whole = message;
-  state_.AddTo(&whole);
+  state_.AttachState(&whole);
   transport_.Send(to, whole);
 }
 
@@ -142,8 +143,8 @@
   const Update& last = member.last;
   std::string line = "member=" + last.name + " state=" + std::string(Name(last.state)) +
                      " was=" + std::string(before ? Name(*before) : "unknown") +
-                     " incarnation=" + std::to_string(last.incarnation) + " address=" + Text(last.address) +
-                     " by=" + std::string(why);
+                     " incarnation=" + std::to_string(last.incarnation) +
+                     " address=" + FormatEndpoint(last.address) + " by=" + std::string(why);
   log::Info(options_.component, line);
   share_.Update();
 }
@@ -155,7 +156,7 @@
 }
 
 void Node::Displaced(const Udp::endpoint& by) {
-  log::Error(options_.component, Failure(kDisplaced, "displaced by=" + Text(by)));
+  log::Error(options_.component, Failure(kDisplaced, "displaced by=" + FormatEndpoint(by)));
   share_.Unsettle();
   if (leases_) leases_->Release(Steady::now());
 }
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -51,7 +51,7 @@
   // one leaves it. `name` is the member's, `seed` for random numbers. `facts` outlives this and is called
   // from the event loop only, never from within the constructor.
   Node(boost::asio::io_context& io, const FleetSection& section, const std::string& name, std::uint64_t seed,
-       Facts& facts, NodeOptions options = {});
+       FleetListener& facts, NodeOptions options = {});
 
   void Leave();
   void Rejoin();
@@ -67,8 +67,8 @@
   void Restore(const Kept& kept);
 
   // What this process has found, for its peers.
-  void Tell(Verdict verdict);
-  void Tell(KeySite site);
+  void Announce(Ejection ejection);
+  void Announce(KeyAffinity affinity);
 
   // Whether this process is to do the duty: it holds the lease, or there are no leases, or, of an available
   // duty, no quorum for one.
@@ -78,7 +78,7 @@
   // Whether duties have leases here; without them each process does each duty.
   bool leased() const { return section_.lease_term.count() > 0; }
   // Another member is known to hold it.
-  bool FollowerOf(const std::string& duty) const;
+  bool IsFollowerOf(const std::string& duty) const;
   // Of the lease that this process holds; 0 if it holds none.
   Token HeldToken(const std::string& duty) const;
   std::string HolderOf(const std::string& duty) const;
@@ -87,9 +87,9 @@
 
   // To a member's address, for who has subscribed to the channel there; a member that has none drops it. It
   // may be lost, as any datagram may. False, and nothing is sent, if the channel's name is empty or over
-  // kMostChannel bytes or the payload over kMostPayload bytes (MessagePack).
+  // kMaxChannelBytes bytes or the payload over kMaxPayloadBytes bytes (MessagePack).
   bool Send(const Udp::endpoint& to, std::string channel, nlohmann::json payload);
-  void Subscribe(std::string channel, TakePayload take) {
+  void Subscribe(std::string channel, PayloadHandler take) {
     channels_.Subscribe(std::move(channel), std::move(take));
   }
   // Who is present; nothing until the address is had.
@@ -102,7 +102,7 @@
   std::string DescribeState();
   // One line: every member as "name state incarnation age", this one first, and the counts.
   std::string Describe() const;
-  const Counts& counts() const { return transport_.counts(); }
+  const TrafficCounters& counts() const { return transport_.counts(); }
 
  private:
   void OnOpen() override;
@@ -113,7 +113,7 @@
   void Stalled(Span late) override;
   void Displaced(const Udp::endpoint& by) override;
 
-  void OnFact(const DutyFact& fact) override;
+  void OnFact(const FencedValue& fact) override;
 
   void Send(const Udp::endpoint& to, const LeaseMessage& message) override;
   void OnRole(const std::string& duty, Role role, Token token, Span left, std::string_view why) override;
@@ -127,12 +127,12 @@
   const std::string name_;
   const std::uint64_t seed_;
   const NodeOptions options_;
-  Facts& facts_;
+  FleetListener& facts_;
   boost::asio::steady_timer timer_;
   Transport transport_;
   StateExchange state_;
   LimitShare share_;
-  Channels channels_;
+  PayloadSubscriptions channels_;
   bool stopped_ = false;
   bool away_ = false;                     // told to leave while the address was not to be had
   std::optional<Membership> membership_;  // once the address is had
--- a/src/fleet/node/payload_subscriptions.h
+++ b/src/fleet/node/payload_subscriptions.h
@@ -14,12 +14,12 @@
 namespace load_balancer::fleet {
 
 // Takes a payload as it came: whoever sent it may have sent anything. `sender` is as it sees itself.
-using TakePayload = std::function<void(const Update& sender, const nlohmann::json& payload)>;
+using PayloadHandler = std::function<void(const Update& sender, const nlohmann::json& payload)>;
 
-class Channels {
+class PayloadSubscriptions {
  public:
   // Replaces who took the channel before.
-  void Subscribe(std::string channel, TakePayload take) { takers_[std::move(channel)] = std::move(take); }
+  void Subscribe(std::string channel, PayloadHandler take) { takers_[std::move(channel)] = std::move(take); }
 
   // False if nobody takes this message's channel.
   bool Deliver(const Message& message) const {
@@ -30,7 +30,7 @@
   }
 
  private:
-  std::map<std::string, TakePayload> takers_;
+  std::map<std::string, PayloadHandler> takers_;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/state_exchange.cpp
+++ b/src/fleet/node/state_exchange.cpp
@@ -19,7 +19,7 @@
 }  // namespace
 
 StateExchange::StateExchange(const FleetSection& section, const std::string& name, std::string component,
-                             Facts& facts, Host& host)
+                             FleetListener& facts, Host& host)
     : name_(name),
       component_(std::move(component)),
       facts_(facts),
@@ -32,19 +32,19 @@
 
 SharedState::Summary StateExchange::Summarize() { return gossip_.state().Summarize(UnixMilliseconds()); }
 
-bool StateExchange::Listed(const std::string& server) const { return facts_.Listed(server); }
+bool StateExchange::IsListed(const std::string& server) const { return facts_.IsListed(server); }
 
-void StateExchange::Taken(const Entry& entry) {
-  if (const auto* site = std::get_if<KeySite>(&entry.fact))
-    return facts_.OnKey(*site, MillisecondsOf(entry.version.stamp));
-  if (const auto* fact = std::get_if<DutyFact>(&entry.fact)) return host_.OnFact(*fact);
-  const Verdict& verdict = std::get<Verdict>(entry.fact);
+void StateExchange::OnAccepted(const Entry& entry) {
+  if (const auto* affinity = std::get_if<KeyAffinity>(&entry.content))
+    return facts_.OnKeyAffinity(*affinity, MillisecondsOf(entry.version.stamp));
+  if (const auto* fenced = std::get_if<FencedValue>(&entry.content)) return host_.OnFact(*fenced);
+  const Ejection& ejection = std::get<Ejection>(entry.content);
   const UnixMs now = UnixMilliseconds();
   log::Info(component_,
             fmt::format("verdict server={} from={} failures={} attempts={} left_ms={} age_ms={} taken",
-                        verdict.server, entry.version.origin, verdict.failures, verdict.attempts,
-                        verdict.until - now, now - std::min(now, MillisecondsOf(entry.version.stamp))));
-  facts_.OnVerdict(verdict);
+                        ejection.server, entry.version.origin, ejection.failures, ejection.attempts,
+                        ejection.until - now, now - std::min(now, MillisecondsOf(entry.version.stamp))));
+  facts_.OnEjection(ejection);
 }
 
 // At most so many lines in a time: a member that lies must not fill the log.
@@ -57,11 +57,13 @@
   return ++refusals_ <= kMostRefusalLines;
 }
 
-void StateExchange::Refused(const std::string& about, const std::string& origin, Refusal why) {
+void StateExchange::OnRejected(const std::string& subject, const std::string& origin,
+                               EntryRejection rejection) {
   if (MayLogRefusal())
-    log::Warn(component_, Failure(kEntryRefused, fmt::format("state server={} from={} refused={}",
-                                                             about.empty() ? "-" : about,
-                                                             origin.empty() ? "-" : origin, Name(why))));
+    log::Warn(component_,
+              Failure(kEntryRefused,
+                      fmt::format("state server={} from={} refused={}", subject.empty() ? "-" : subject,
+                                  origin.empty() ? "-" : origin, Name(rejection))));
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/state_exchange.h
+++ b/src/fleet/node/state_exchange.h
@@ -18,15 +18,15 @@
 class StateExchange : private SharedState::Host {
  public:
   // Called from within the calls below.
-  class Host : public StateGossip::Outlet {
+  class Host : public StateGossip::MessageSender {
    public:
     // Another member's fact of a duty, taken for the first time.
-    virtual void OnFact(const DutyFact& fact) = 0;
+    virtual void OnFact(const FencedValue& fact) = 0;
   };
 
   // `component` speaks in the log. `facts` and `host` outlive this.
-  StateExchange(const FleetSection& section, const std::string& name, std::string component, Facts& facts,
-                Host& host);
+  StateExchange(const FleetSection& section, const std::string& name, std::string component,
+                FleetListener& facts, Host& host);
 
   // From now on there are others to tell. `membership` outlives this or the call of Stop.
   void Join(Membership* membership) { gossip_.Join(membership); }
@@ -34,24 +34,24 @@
 
   void Receive(const Message& message);
   // Adds entries as far as there is room, or, to a table, the digests of them all.
-  void AddTo(Message* message) { gossip_.AddTo(UnixMilliseconds(), message); }
+  void AttachState(Message* message) { gossip_.AttachState(UnixMilliseconds(), message); }
 
   // This process's own. A key's site waits for the next message that has room.
-  void Tell(Verdict verdict) { gossip_.Tell(UnixMilliseconds(), std::move(verdict)); }
-  void Tell(KeySite site) { gossip_.Tell(UnixMilliseconds(), std::move(site)); }
-  void Tell(DutyFact fact) { gossip_.Tell(UnixMilliseconds(), std::move(fact)); }
+  void Announce(Ejection ejection) { gossip_.Announce(UnixMilliseconds(), std::move(ejection)); }
+  void Announce(KeyAffinity affinity) { gossip_.Announce(UnixMilliseconds(), std::move(affinity)); }
+  void Announce(FencedValue fenced) { gossip_.Announce(UnixMilliseconds(), std::move(fenced)); }
 
   SharedState::Summary Summarize();
 
  private:
-  bool Listed(const std::string& server) const override;
-  void Taken(const Entry& entry) override;
-  void Refused(const std::string& about, const std::string& origin, Refusal why) override;
+  bool IsListed(const std::string& server) const override;
+  void OnAccepted(const Entry& entry) override;
+  void OnRejected(const std::string& subject, const std::string& origin, EntryRejection rejection) override;
 
   bool MayLogRefusal();
 
   const std::string name_, component_;
-  Facts& facts_;
+  FleetListener& facts_;
   Host& host_;
   StateGossip gossip_;
   Time refusals_from_{};  // of the count that follows
--- a/src/fleet/node/traffic_counters.cpp
+++ b/src/fleet/node/traffic_counters.cpp
@@ -3,10 +3,10 @@
 
 namespace load_balancer::fleet {
 
-std::string DropsLine(const Counts& counts) {
+std::string FormatDropCounters(const TrafficCounters& counts) {
   std::string line;
-  for (int i = 0; i < kDrops; ++i)
-    line += std::string(Name(static_cast<Drop>(i))) + "=" +
+  for (int i = 0; i < kDropReasons; ++i)
+    line += std::string(Name(static_cast<DropReason>(i))) + "=" +
             std::to_string(counts.dropped[static_cast<std::size_t>(i)]) + " ";
   return line + "throttled=" + std::to_string(counts.throttled);
 }
--- a/src/fleet/node/traffic_counters.h
+++ b/src/fleet/node/traffic_counters.h
@@ -12,15 +12,15 @@
 
 namespace load_balancer::fleet {
 
-struct Counts {
-  std::uint64_t received = 0, sent = 0;              // datagrams
-  std::uint64_t bytes_received = 0, bytes_sent = 0;  // of datagrams
-  std::array<std::uint64_t, kDrops> dropped{};       // received, by Drop
-  std::uint64_t throttled = 0;                       // not sent, for the sake of most_bytes_per_second
+struct TrafficCounters {
+  std::uint64_t received = 0, sent = 0;               // datagrams
+  std::uint64_t bytes_received = 0, bytes_sent = 0;   // of datagrams
+  std::array<std::uint64_t, kDropReasons> dropped{};  // received, by DropReason
+  std::uint64_t throttled = 0;                        // not sent, for the sake of max_bytes_per_second
 };
 
 // "malformed=.. oversized=.. foreign=.. version=.. channel=.. throttled=.."
-std::string DropsLine(const Counts& counts);
+std::string FormatDropCounters(const TrafficCounters& counts);
 
 }  // namespace load_balancer::fleet
 
--- a/src/fleet/node/transport.cpp
+++ b/src/fleet/node/transport.cpp
@@ -24,7 +24,7 @@
       host_(host),
       socket_(io),
       again_(io),
-      allowance_(options_.most_bytes_per_second),
+      allowance_(options_.max_bytes_per_second),
       allowed_at_(Steady::now()) {}
 
 void Transport::Open() {
@@ -37,8 +37,8 @@
     return Receive();
   }
   if (!std::exchange(waits_, true))
-    log::Warn(options_.component,
-              Failure(kAddressTaken, "cannot have " + Text(options_.bind) + " yet: " + failed.message()));
+    log::Warn(options_.component, Failure(kAddressTaken, "cannot have " + FormatEndpoint(options_.bind) +
+                                                             " yet: " + failed.message()));
   Error ignored;
   socket_.close(ignored);
   again_.expires_after(options_.retry);
@@ -66,11 +66,11 @@
   ++counts_.received;
   counts_.bytes_received += size;
   const auto decoded = Decode(options_.fleet, std::span(in_).first(size));
-  if (const Drop* drop = std::get_if<Drop>(&decoded)) return Count(*drop);
+  if (const DropReason* drop = std::get_if<DropReason>(&decoded)) return Count(*drop);
   host_.OnMessage(std::get<Message>(decoded));
 }
 
-void Transport::Count(Drop drop) {
+void Transport::Count(DropReason drop) {
   ++counts_.dropped[static_cast<std::size_t>(drop)];
   ReportDrops();
 }
@@ -80,13 +80,13 @@
   const Time now = Steady::now();
   if (now < report_at_) return;
   report_at_ = now + kBetweenReports;
-  log::Warn(options_.component, Failure(kDatagramsDropped, "dropped " + DropsLine(counts_)));
+  log::Warn(options_.component, Failure(kDatagramsDropped, "dropped " + FormatDropCounters(counts_)));
 }
 
 // A bucket of one second's worth.
 bool Transport::MaySend(std::size_t size) {
   const Time now = Steady::now();
-  const double most = options_.most_bytes_per_second;
+  const double most = options_.max_bytes_per_second;
   const std::chrono::duration<double> since = now - std::exchange(allowed_at_, now);
   allowance_ = std::min(most, allowance_ + most * since.count());
   if (allowance_ < static_cast<double>(size)) return false;
--- a/src/fleet/node/transport.h
+++ b/src/fleet/node/transport.h
@@ -23,7 +23,7 @@
   std::string fleet;      // whose messages are taken
   Udp::endpoint bind;
   std::chrono::milliseconds retry{1000};  // while another process holds the address
-  double most_bytes_per_second = 65536;   // sent, in bursts of up to one second's worth
+  double max_bytes_per_second = 65536;    // sent, in bursts of up to one second's worth
 };
 
 class Transport {
@@ -47,8 +47,8 @@
   // The message may be lost, as any datagram may.
   void Send(const Udp::endpoint& to, const Message& message);
   // A message that came was of no use.
-  void Count(Drop drop);
-  const Counts& counts() const { return counts_; }
+  void Count(DropReason drop);
+  const TrafficCounters& counts() const { return counts_; }
 
  private:
   void Receive();
@@ -60,9 +60,9 @@
   Host& host_;
   Udp::socket socket_;
   boost::asio::steady_timer again_;
-  std::array<std::uint8_t, kMostDatagram + 1> in_{};
+  std::array<std::uint8_t, kMaxDatagramBytes + 1> in_{};
   Udp::endpoint from_;
-  Counts counts_;
+  TrafficCounters counts_;
   Time report_at_{};
   double allowance_;  // bytes that may be sent now
   Time allowed_at_;
--- a/src/fleet/section.cpp
+++ b/src/fleet/section.cpp
@@ -29,13 +29,13 @@
   section.Address("advertise", false, &fleet.advertise);
   section.Whole("retransmit_multiplier", 1, 16, &fleet.retransmit_multiplier);
   section.Time("sync_interval_ms", 100, 600000, &fleet.sync_interval);
-  section.Time("forget_ms", 1000, 86400000, &fleet.forget);
-  section.Whole("most_bytes_per_second", 4096, 1 << 30, &fleet.most_bytes_per_second);
-  section.Flag("share_verdicts", &fleet.share_verdicts);
+  section.Time("forget_ms", 1000, 86400000, &fleet.forget_after);
+  section.Whole("most_bytes_per_second", 4096, 1 << 30, &fleet.max_bytes_per_second);
+  section.Flag("share_verdicts", &fleet.share_ejections);
   section.Whole("server_limit", 0, 1000000, &fleet.server_limit);
   section.Whole("affinity_entries", 0, 65536, &fleet.affinity_entries);
   section.Time("affinity_ttl_ms", 100, 600000, &fleet.affinity_ttl);
-  section.Time("most_skew_ms", 1, 60000, &fleet.most_skew);
+  section.Time("most_skew_ms", 1, 60000, &fleet.max_clock_skew);
   section.Time("lease_term_ms", 0, 600000, &fleet.lease_term);
   section.Time("lease_drift_ms", 1, 60000, &fleet.lease_drift);
   if (!fleet.on) return fleet;
@@ -45,7 +45,7 @@
     faults->push_back("fleet.seeds is missing, as leases need voters");
   if (fleet.name.empty()) faults->push_back("fleet.name is empty");
   const Milliseconds longest = LongestSuspicion(fleet);
-  if (fleet.forget < longest)
+  if (fleet.forget_after < longest)
     faults->push_back("fleet.forget_ms is under " + std::to_string(longest.count()) +
                       ", the longest suspicion");
   return fleet;
--- a/src/fleet/section.h
+++ b/src/fleet/section.h
@@ -26,15 +26,15 @@
   boost::asio::ip::udp::endpoint advertise;  // where others reach this process; `bind` unless it is set
   int retransmit_multiplier = 4;             // lambda of SWIM
   Milliseconds sync_interval{10000};         // between two exchanges of the whole table
-  Milliseconds forget{3600000};              // until one that is dead or has left is dropped from the table
-  int most_bytes_per_second = 65536;         // sent by this process
-  bool share_verdicts = true;
-  int server_limit = 0;             // requests in flight at one server, of all members; 0: no limit
-  int affinity_entries = 0;         // at most; 0: affinity is not shared
-  Milliseconds affinity_ttl{4000};  // how long a key is taken to be warm where it was met
-  Milliseconds lease_term{0};       // of a duty that one member does at a time; 0: no leases
-  Milliseconds lease_drift{100};    // that two members' clocks may differ over a term
-  Milliseconds most_skew{500};      // that a member's wall clock may be ahead of another's
+  Milliseconds forget_after{3600000};        // until one that is dead or has left is dropped from the table
+  int max_bytes_per_second = 65536;          // sent by this process
+  bool share_ejections = true;
+  int server_limit = 0;              // requests in flight at one server, of all members; 0: no limit
+  int affinity_entries = 0;          // at most; 0: affinity is not shared
+  Milliseconds affinity_ttl{4000};   // how long a key is taken to be warm where it was met
+  Milliseconds lease_term{0};        // of a duty that one member does at a time; 0: no leases
+  Milliseconds lease_drift{100};     // that two members' clocks may differ over a term
+  Milliseconds max_clock_skew{500};  // that a member's wall clock may be ahead of another's
 };
 
 // In a fleet of up to 10,000: no member may be forgotten sooner.
--- /dev/null
+++ b/src/fleet/state/dissemination.cpp
@@ -0,0 +1,55 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "fleet/state/dissemination.h"
+
+#include <vector>
+
+#include "fleet/state/anti_entropy.h"
+#include "fleet/state/entry_codec.h"
+
+namespace load_balancer::fleet {
+namespace {
+
+using nlohmann::json;
+
+// Entries that are passed over because they do not fit the remaining bytes; bounds the search for smaller
+// ones.
+constexpr int kMaxSkipped = 16;
+
+std::vector<EntryKey> SelectPending(const EntryStore& store, std::size_t max_bytes) {
+  std::vector<EntryKey> selected;
+  if (max_bytes < kArrayBytes) return selected;
+  std::size_t left = max_bytes - kArrayBytes;
+  int skipped = 0;
+  for (const PendingTransmit& pending : store.pending()) {
+    const std::size_t size = store.Find(pending.key)->packed_bytes;
+    if (size > left) {
+      ++skipped;
+      if (skipped > kMaxSkipped) break;
+      continue;
+    }
+    left -= size;
+    selected.push_back(pending.key);
+  }
+  return selected;
+}
+
+json PackAll(const EntryStore& store, const std::vector<EntryKey>& keys) {
+  json packed = json::array();
+  for (const EntryKey& key : keys) packed.push_back(Pack(store.Find(key)->entry));
+  return packed;
+}
+
+}  // namespace
+
+json PackPending(const EntryStore& store, std::size_t max_bytes) {
+  return PackAll(store, SelectPending(store, max_bytes));
+}
+
+json PackAndCountPending(EntryStore* store, std::size_t max_bytes, int max_transmits) {
+  const std::vector<EntryKey> selected = SelectPending(*store, max_bytes);
+  json packed = PackAll(*store, selected);
+  for (const EntryKey& key : selected) store->CountTransmit(key, max_transmits);
+  return packed;
+}
+
+}  // namespace load_balancer::fleet
--- a/src/fleet/state/entry.h
+++ b/src/fleet/state/entry.h
@@ -1,9 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What members tell each other of servers, keys and duties, and its form in a message.
+/// \file
+/// The entries of the replicated state: what members of a fleet announce to each other about servers, keys
+/// and duties. The form of an entry in a message is in entry_codec.h.
 #ifndef LOAD_BALANCER_FLEET_STATE_ENTRY_H_
 #define LOAD_BALANCER_FLEET_STATE_ENTRY_H_
 
+#include <cstddef>
 #include <cstdint>
 #include <nlohmann/json.hpp>
 #include <string>
@@ -13,57 +16,61 @@
 
 namespace load_balancer::fleet {
 
+/// Milliseconds since the Unix epoch, or a span of that many milliseconds.
 using UnixMs = std::uint64_t;
 
-inline constexpr std::size_t kMostEntry = 1024;           // bytes, packed: fits any message of the state
-inline constexpr std::size_t kMostValue = 800;            // bytes of a duty's fact, packed
-inline constexpr UnixMs kLongestFact = 24 * 3600 * 1000;  // from a duty's fact to its end
-inline constexpr std::size_t kMostDuties = 4096;          // whose tokens are remembered
-inline constexpr std::size_t kMostFacts = 16384;          // of all duties
+/// Largest packed entry, in bytes; one of this size fits any message that carries state.
+inline constexpr std::size_t kMaxEntryBytes = 1024;
+/// Largest packed `FencedValue::value`, in bytes.
+inline constexpr std::size_t kMaxValueBytes = 800;
+/// Longest time from the writing of a fenced value to its end, in milliseconds.
+inline constexpr UnixMs kMaxValueLifetime = 24 * 3600 * 1000;
+/// Duties whose fencing token is remembered at a time.
+inline constexpr std::size_t kMaxDuties = 4096;
+/// Fenced values of all duties that are stored at a time.
+inline constexpr std::size_t kMaxFencedValues = 16384;
 
-// A member has taken a server out: on `failures` of `attempts`, until then.
-struct Verdict {
-  std::string server;  // discovery's id
-  UnixMs until = 0;
-  int failures = 0, attempts = 0;
+/// A member has ejected a server after `failures` of `attempts`.
+struct Ejection {
+  std::string server;  ///< discovery's id
+  UnixMs until = 0;    ///< end of the ejection
+  int failures = 0;
+  int attempts = 0;
 };
 
-// A request with this key went there.
-struct KeySite {
+/// The server that last received a request with this affinity key.
+struct KeyAffinity {
   std::uint64_t key = 0;
   std::string server;
 };
 
-// What the holder of a duty makes known. The larger token wins, then the later stamp; a token smaller than
-// the largest seen of the duty is refused (Kleppmann: "How to do distributed locking", 2016).
-struct DutyFact {
-  std::string duty, key;  // the key is the fact's own among all duties
+/// A value that the lease holder of a duty publishes. Of two values with one key the larger token wins, then
+/// the later version; a token below the highest one seen of the duty is rejected (Kleppmann: "How to do
+/// distributed locking", 2016).
+struct FencedValue {
+  std::string duty;
+  std::string key;  ///< unique among the values of all duties
   std::uint64_t token = 0;
   UnixMs until = 0;
   nlohmann::json value;
 };
 
-// Who wrote an entry, and when. The later stamp wins; of equal ones the greater name.
+/// The writer of an entry and the time of writing. The later stamp wins; of equal stamps the greater origin.
 struct Version {
-  Stamp stamp = 0;
+  HybridTimestamp stamp = 0;
   std::string origin;
   auto operator<=>(const Version&) const = default;
 };
 
+/// One register of the replicated state.
 struct Entry {
-  std::variant<Verdict, KeySite, DutyFact> fact;
+  std::variant<Ejection, KeyAffinity, FencedValue> content;
   Version version;
 };
 
-// The server, or the key of a duty's fact.
+/// The server that an entry is about, or the key of a fenced value.
 const std::string& SubjectOf(const Entry& entry);
 
-nlohmann::json Pack(const Entry& entry);
-// Throws json::exception or std::invalid_argument on anything out of form.
-Entry Unpack(const nlohmann::json& packed);
-// Bytes that it takes in a message.
-std::size_t PackedSize(const nlohmann::json& packed);
-
 }  // namespace load_balancer::fleet
 
 #endif  // LOAD_BALANCER_FLEET_STATE_ENTRY_H_
--- a/src/fleet/state/fencing_tokens.cpp
+++ b/src/fleet/state/fencing_tokens.cpp
@@ -5,25 +5,25 @@
 
 namespace load_balancer::fleet {
 
-std::uint64_t Fences::Of(const std::string& duty) const {
-  const auto found = fences_.find(duty);
-  return found == fences_.end() ? 0 : found->second.token;
+std::uint64_t FencingTokens::HighestOf(const std::string& duty) const {
+  const auto found = tokens_.find(duty);
+  return found == tokens_.end() ? 0 : found->second.token;
 }
 
-bool Fences::Raise(const std::string& duty, std::uint64_t token, UnixMs written) {
-  Fence& fence = fences_[duty];
-  by_end_.erase({fence.until, duty});
-  fence.until = std::max(fence.until, written + kLongestFact);
-  by_end_.emplace(fence.until, duty);
-  if (token <= fence.token) return false;
-  fence.token = token;
+bool FencingTokens::Raise(const std::string& duty, std::uint64_t token, UnixMs written) {
+  HighestToken& highest = tokens_[duty];
+  by_expiry_.erase({highest.expires_at, duty});
+  highest.expires_at = std::max(highest.expires_at, written + kMaxValueLifetime);
+  by_expiry_.insert({highest.expires_at, duty});
+  if (token <= highest.token) return false;
+  highest.token = token;
   return true;
 }
 
-void Fences::Expire(UnixMs now) {
-  while (!by_end_.empty() && by_end_.begin()->first <= now) {
-    fences_.erase(by_end_.begin()->second);
-    by_end_.erase(by_end_.begin());
+void FencingTokens::Expire(UnixMs now) {
+  while (!by_expiry_.empty() && by_expiry_.begin()->expires_at <= now) {
+    tokens_.erase(by_expiry_.begin()->duty);
+    by_expiry_.erase(by_expiry_.begin());
   }
 }
 
--- a/src/fleet/state/gossip.cpp
+++ b/src/fleet/state/gossip.cpp
@@ -12,111 +12,135 @@
 namespace load_balancer::fleet {
 namespace {
 
-constexpr std::size_t kPushFanout = 3;                     // members told at once of a new verdict
-constexpr std::size_t kMostPieces = 16;                    // datagrams of an answer
-constexpr std::uint64_t kStartStep = 0x9e3779b97f4a7c15u;  // 2^64 by the golden ratio: starts spread evenly
+constexpr std::size_t kPushFanout = 3;        // members that are sent a new entry at once
+constexpr std::size_t kMaxAnswerChunks = 16;  // datagrams of an answer
+// 2^64 divided by the golden ratio, so that the starts of consecutive answers spread evenly.
+constexpr std::uint64_t kStartStep = 0x9e3779b97f4a7c15u;
 
-StateOptions OptionsOf(const FleetSection& section, const std::string& name) {
+StateOptions StateOptionsOf(const FleetSection& section, const std::string& name) {
   StateOptions options;
   options.name = name;
-  options.verdicts = section.share_verdicts;
+  options.share_ejections = section.share_ejections;
   options.affinity_entries = static_cast<std::size_t>(section.affinity_entries);
   options.affinity_ttl = static_cast<UnixMs>(section.affinity_ttl.count());
-  options.most_skew = static_cast<UnixMs>(section.most_skew.count());
-  options.longest_ejection = static_cast<UnixMs>(kLongestEjection.count());
-  options.way = static_cast<UnixMs>(2 * section.probe_interval.count());
+  options.max_clock_skew = static_cast<UnixMs>(section.max_clock_skew.count());
+  options.max_ejection = static_cast<UnixMs>(kLongestEjection.count());
+  options.propagation_time = static_cast<UnixMs>(2 * section.probe_interval.count());
   return options;
 }
 
 }  // namespace
 
 StateGossip::StateGossip(const FleetSection& section, const std::string& name, SharedState::Host& host,
-                         Outlet& outlet)
+                         MessageSender& sender)
     : fleet_(section.name),
       name_(name),
-      outlet_(outlet),
-      state_(OptionsOf(section, name), host),
-      start_(XXH64(name.data(), name.size(), 0)) {}
+      sender_(sender),
+      state_(StateOptionsOf(section, name), host),
+      next_start_(XXH64(name.data(), name.size(), 0)) {}
 
 bool StateGossip::Receive(UnixMs now, const Message& message) {
   if (!membership_ || message.sender.name == name_) return false;
-  if (!message.state.is_null() && state_.Receive(now, message.state)) Push(now);
-  const bool table = message.kind == Message::Kind::kSync;
-  if (table) OnAsk(now, message);
-  if (message.kind == Message::Kind::kState && message.slice && message.reply)
-    Send(message.sender.address, state_.Lacking(now, message.state, *message.slice,
-                                                RoomFor(fleet_, FromHere(Message::Kind::kState))));
-  // A peer's table that came with the digest of its state, once that is held here, too.
-  if (table && (!message.updates.empty() || message.slice)) joining_digest_ = message.digest;
-  if (joined_ || !joining_digest_ || *joining_digest_ != state_.Digest(now)) return false;
-  return joined_ = true;
+  const bool has_new = !message.state.is_null() && state_.Receive(now, message.state);
+  if (has_new) PushNewEntries(now);
+  if (message.kind == Message::Kind::kSync) AnswerSync(now, message);
+  if (message.kind == Message::Kind::kState && message.range && message.wants_reply)
+    SendMissing(now, message);
+  return HasJoinedNow(now, message);
 }
 
-// Of an older member: whoever differs sends everything, and asks for everything, since the one that is asked
-// may be the one that lacks something.
-void StateGossip::OnAsk(UnixMs now, const Message& message) {
+// A joiner is up to date once it stores what a peer stored when that peer sent its whole table.
+bool StateGossip::HasJoinedNow(UnixMs now, const Message& message) {
+  const bool has_table = message.kind == Message::Kind::kSync && (!message.updates.empty() || message.range);
+  if (has_table) joining_digest_ = message.state_digest;
+  if (has_joined_ || !joining_digest_ || *joining_digest_ != state_.ComputeDigest(now)) return false;
+  has_joined_ = true;
+  return true;
+}
+
+void StateGossip::AnswerSync(UnixMs now, const Message& message) {
+  if (message.state_buckets)
+    SendDiffering(now, message.sender.address, *message.state_buckets);
+  else if (!message.range)
+    AnswerDigest(now, message);
+}
+
+// Members of an older version send no buckets: members whose digests differ send everything, and the one that
+// is asked asks in turn, since it may be the one that lacks entries.
+void StateGossip::AnswerDigest(UnixMs now, const Message& message) {
+  if (message.state_digest == state_.ComputeDigest(now)) return;
   const Udp::endpoint& from = message.sender.address;
-  if (message.state_buckets) return SendUnlike(now, from, *message.state_buckets);
-  if (message.slice || message.digest == state_.Digest(now)) return;
-  Send(from, state_.All(now, RoomFor(fleet_, FromHere(Message::Kind::kState))));
-  if (message.reply) outlet_.Send(from, FromHere(Message::Kind::kSync));
+  SendEach(from, state_.PackAll(now, RemainingStateBytes()));
+  if (message.wants_reply) sender_.Send(from, MakeMessage(Message::Kind::kSync));
 }
 
-void StateGossip::SendUnlike(UnixMs now, const Udp::endpoint& to, const Buckets& theirs) {
-  Message message = FromHere(Message::Kind::kState);
-  message.reply = true;
-  message.slice.emplace();
-  start_ += kStartStep;
-  for (auto& piece : state_.Unlike(now, theirs, start_, RoomFor(fleet_, message), kMostPieces)) {
-    message.slice = piece.slice;
-    message.state = std::move(piece.entries);
-    outlet_.Send(to, message);
+void StateGossip::SendDiffering(UnixMs now, const Udp::endpoint& to, const BucketDigests& theirs) {
+  Message message = MakeMessage(Message::Kind::kState);
+  message.wants_reply = true;
+  message.range.emplace();
+  next_start_ += kStartStep;
+  const std::size_t max_bytes = RemainingBytes(fleet_, message);
+  for (auto& chunk : state_.PackDiffering(now, theirs, next_start_, max_bytes, kMaxAnswerChunks)) {
+    message.range = chunk.range;
+    message.state = std::move(chunk.entries);
+    sender_.Send(to, message);
   }
 }
 
-void StateGossip::Send(const Udp::endpoint& to, std::vector<nlohmann::json> pieces) {
-  Message message = FromHere(Message::Kind::kState);
-  for (nlohmann::json& piece : pieces) {
-    message.state = std::move(piece);
-    outlet_.Send(to, message);
+void StateGossip::SendMissing(UnixMs now, const Message& listing) {
+  SendEach(listing.sender.address,
+           state_.PackMissing(now, listing.state, *listing.range, RemainingStateBytes()));
+}
+
+void StateGossip::SendEach(const Udp::endpoint& to, std::vector<nlohmann::json> entry_arrays) {
+  Message message = MakeMessage(Message::Kind::kState);
+  for (nlohmann::json& entries : entry_arrays) {
+    message.state = std::move(entries);
+    sender_.Send(to, message);
   }
 }
 
-Message StateGossip::FromHere(Message::Kind kind) const {
+Message StateGossip::MakeMessage(Message::Kind kind) const {
   Message message;
   message.kind = kind;
   message.sender = membership_->self().last;
   return message;
 }
 
-// A new verdict goes to a few members at once; each passes it on when it is new there, too.
-void StateGossip::Push(UnixMs now) {
+std::size_t StateGossip::RemainingStateBytes() const {
+  return RemainingBytes(fleet_, MakeMessage(Message::Kind::kState));
+}
+
+// Each receiver to which an entry is new pushes it on.
+void StateGossip::PushNewEntries(UnixMs now) {
   if (!membership_) return;
-  Message message = FromHere(Message::Kind::kState);
-  message.state = state_.Push(now, RoomFor(fleet_, message));
-  for (const Udp::endpoint& to : membership_->Sample(kPushFanout)) outlet_.Send(to, message);
+  Message message = MakeMessage(Message::Kind::kState);
+  message.state = state_.PackPush(now, RemainingBytes(fleet_, message));
+  for (const Udp::endpoint& to : membership_->Sample(kPushFanout)) sender_.Send(to, message);
 }
 
-void StateGossip::AddTo(UnixMs now, Message* message) {
+void StateGossip::AttachState(UnixMs now, Message* message) {
   if (message->kind == Message::Kind::kSync) {
-    message->digest = state_.Digest(now);
-    if (message->buckets) message->state_buckets = state_.Digests(now, Buckets::CountFor(state_.size()));
+    message->state_digest = state_.ComputeDigest(now);
+    if (message->member_buckets)
+      message->state_buckets = state_.ComputeBucketDigests(now, BucketDigests::CountFor(state_.size()));
     return;
   }
   if (!message->state.is_null() || !membership_) return;
-  std::size_t room = RoomFor(fleet_, *message);
-  for (const Update& update : message->updates) room -= std::min(room, SizeOf(update));
-  auto entries = state_.Fill(now, room, MostTransmits(membership_->options(), membership_->present()));
+  std::size_t bytes_left = RemainingBytes(fleet_, *message);
+  for (const Update& update : message->updates) bytes_left -= std::min(bytes_left, EncodedSize(update));
+  auto entries =
+      state_.PackPiggyback(now, bytes_left, MostTransmits(membership_->options(), membership_->present()));
   if (!entries.empty()) message->state = std::move(entries);
 }
 
-void StateGossip::Tell(UnixMs now, Verdict verdict) {
-  state_.Write(now, std::move(verdict));
-  Push(now);
+void StateGossip::Announce(UnixMs now, Ejection ejection) {
+  state_.Write(now, std::move(ejection));
+  PushNewEntries(now);
 }
 
-void StateGossip::Tell(UnixMs now, DutyFact fact) {
-  if (state_.Write(now, std::move(fact))) Push(now);
+void StateGossip::Announce(UnixMs now, FencedValue fenced) {
+  if (state_.Write(now, std::move(fenced))) PushNewEntries(now);
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/state/gossip.h
+++ b/src/fleet/state/gossip.h
@@ -1,13 +1,17 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How shared state goes between members: news on every message that has room, a new verdict or duty's fact to
-// a few members at once, and what differs with each sync of membership. Owns no socket and no clock.
+/// \file
+/// Exchange of the replicated state between members: new entries on every message that has room, a new
+/// ejection or fenced value at once to a few members, and what differs with each sync of membership. Has no
+/// socket and no clock.
 #ifndef LOAD_BALANCER_FLEET_STATE_GOSSIP_H_
 #define LOAD_BALANCER_FLEET_STATE_GOSSIP_H_
 
 #include <cstdint>
 #include <optional>
 #include <string>
+#include <utility>
+#include <vector>
 
 #include "fleet/membership/membership.h"
 #include "fleet/section.h"
@@ -17,47 +21,53 @@
 
 class StateGossip {
  public:
-  // Called from within the calls below; has AddTo called for each message.
-  class Outlet {
+  /// Sends messages to members. Called from within the calls below; calls AttachState for each message.
+  class MessageSender {
    public:
-    virtual ~Outlet() = default;
+    virtual ~MessageSender() = default;
     virtual void Send(const Udp::endpoint& to, const Message& message) = 0;
   };
 
-  // `name` is this member's. `host` and `outlet` outlive this.
-  StateGossip(const FleetSection& section, const std::string& name, SharedState::Host& host, Outlet& outlet);
+  /// `name` is this member's. `host` and `sender` outlive this.
+  StateGossip(const FleetSection& section, const std::string& name, SharedState::Host& host,
+              MessageSender& sender);
 
-  // From now on there are others to tell. `membership` outlives this or the call of Stop.
+  /// Entries are exchanged from now on. `membership` outlives this or the call of Stop.
   void Join(Membership* membership) { membership_ = membership; }
   void Stop() { membership_ = nullptr; }
 
-  // A message of any kind, after membership has it. True if a peer's whole table and state have now come for
-  // the first time.
+  /// Takes a message of any kind, after membership has taken it. True if this member has received the whole
+  /// table and state of a peer for the first time.
   bool Receive(UnixMs now, const Message& message);
-  // Adds entries as far as there is room, or, to a table, the digests of them all.
-  void AddTo(UnixMs now, Message* message);
+  /// Adds entries as far as there is room, or, to a sync, the digests of all entries.
+  void AttachState(UnixMs now, Message* message);
 
-  // This member's own. A key's site waits for the next message that has room.
-  void Tell(UnixMs now, Verdict verdict);
-  void Tell(UnixMs now, KeySite site) { state_.Write(now, std::move(site)); }
-  void Tell(UnixMs now, DutyFact fact);
+  /// Writes an entry of this member and disseminates it. An affinity waits for a message that has room.
+  void Announce(UnixMs now, Ejection ejection);
+  void Announce(UnixMs now, KeyAffinity affinity) { state_.Write(now, std::move(affinity)); }
+  void Announce(UnixMs now, FencedValue fenced);
 
   SharedState& state() { return state_; }
 
  private:
-  Message FromHere(Message::Kind kind) const;
-  void Push(UnixMs now);
-  void OnAsk(UnixMs now, const Message& message);
-  void SendUnlike(UnixMs now, const Udp::endpoint& to, const Buckets& theirs);
-  void Send(const Udp::endpoint& to, std::vector<nlohmann::json> pieces);
+  Message MakeMessage(Message::Kind kind) const;
+  std::size_t RemainingStateBytes() const;
+  void PushNewEntries(UnixMs now);
+  void AnswerSync(UnixMs now, const Message& message);
+  void AnswerDigest(UnixMs now, const Message& message);
+  void SendDiffering(UnixMs now, const Udp::endpoint& to, const BucketDigests& theirs);
+  void SendMissing(UnixMs now, const Message& listing);
+  void SendEach(const Udp::endpoint& to, std::vector<nlohmann::json> entry_arrays);
+  bool HasJoinedNow(UnixMs now, const Message& message);
 
-  const std::string fleet_, name_;
-  Outlet& outlet_;
+  const std::string fleet_;
+  const std::string name_;
+  MessageSender& sender_;
   SharedState state_;
   Membership* membership_ = nullptr;
-  bool joined_ = false;
-  std::optional<std::uint64_t> joining_digest_;
-  std::uint64_t start_;  // of the next answer's range
+  bool has_joined_ = false;
+  std::optional<std::uint64_t> joining_digest_;  // of the peer that sent its whole table
+  std::uint64_t next_start_;                     // the hash at which the next answer's ranges begin
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/state/state.h
+++ b/src/fleet/state/state.h
@@ -1,145 +1,107 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What members tell each other of servers and keys: last-writer-wins registers, exchanged as deltas and,
-// where digests differ, whole (Almeida, Shoker, Baquero: "Delta state replicated data types", 2018). Owns no
-// socket and no clock; times are Unix milliseconds, since they are compared between machines. Bounds are in
-// docs/fleet.md.
+/// \file
+/// The state that members of a fleet replicate: last-writer-wins registers, exchanged as deltas and, where
+/// digests differ, by buckets (Almeida, Shoker, Baquero: "Delta state replicated data types", 2018). Has no
+/// socket and no clock; times are Unix milliseconds, since they are compared between machines. Its bounds are
+/// in docs/fleet.md.
 #ifndef LOAD_BALANCER_FLEET_STATE_STATE_H_
 #define LOAD_BALANCER_FLEET_STATE_STATE_H_
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
-#include <map>
 #include <nlohmann/json.hpp>
-#include <optional>
-#include <set>
 #include <string>
-#include <string_view>
 #include <utility>
-#include <variant>
 #include <vector>
 
 #include "fleet/state/entry.h"
+#include "fleet/state/entry_rejection.h"
+#include "fleet/state/entry_store.h"
+#include "fleet/state/entry_validator.h"
 #include "fleet/state/fencing_tokens.h"
+#include "fleet/state/hybrid_clock.h"
+#include "fleet/state/state_options.h"
 #include "fleet/sync/chunks.h"
 
 namespace load_balancer::fleet {
 
-// Why an entry was not taken. kOlder, that what is held is as new or newer, and kOff, that this member does
-// not share the kind, are no faults. kFull: there are kMostFacts or kMostDuties already.
-enum class Refusal {
-  kOlder,
-  kOff,
-  kMalformed,
-  kUnlisted,
-  kStale,
-  kFuture,
-  kImplausible,
-  kFenced,
-  kOversized,
-  kFull
-};
-inline constexpr int kRefusals = 10;
-std::string_view Name(Refusal refusal);
-
-struct StateOptions {
-  std::string name;                  // of this member
-  bool verdicts = true;              // whether they are shared
-  std::size_t affinity_entries = 0;  // at most; 0: none are shared
-  UnixMs affinity_ttl = 4000;
-  UnixMs most_skew = 500;       // that a stamp may be ahead of this member's wall clock
-  UnixMs longest_ejection = 0;  // from a verdict's stamp to its end
-  UnixMs way = 0;               // that a verdict may take beyond its end's distance
-};
-
 class SharedState {
  public:
-  // What the entries are for. Called from within Receive, and Refused from within Write.
-  class Host {
+  /// The user of the entries. Called from within Receive, and OnRejected from within Write.
+  class Host : public ServerList {
    public:
-    virtual ~Host() = default;
-    virtual bool Listed(const std::string& server) const = 0;
-    // Another member's entry is taken, for the first time.
-    virtual void Taken(const Entry& entry) = 0;
-    // `about` is the server, or the duty's fact; empty if it cannot be read.
-    virtual void Refused(const std::string& about, const std::string& origin, Refusal why) = 0;
+    /// Another member's entry has been accepted.
+    virtual void OnAccepted(const Entry& entry) = 0;
+    /// `subject` is the server or the fenced value's key; empty, as `origin`, if the entry is malformed.
+    virtual void OnRejected(const std::string& subject, const std::string& origin,
+                            EntryRejection rejection) = 0;
   };
 
-  SharedState(StateOptions options, Host& host) : options_(std::move(options)), host_(host) {}
+  /// `host` outlives this.
+  SharedState(StateOptions options, Host& host)
+      : options_(std::move(options)), host_(host), store_(options_.affinity_entries) {}
 
-  // This member's own. A fact that the others would refuse is refused here, and false returned.
-  void Write(UnixMs now, Verdict verdict);
-  void Write(UnixMs now, KeySite site);
-  bool Write(UnixMs now, DutyFact fact);
+  /// Writes an entry of this member. A fenced value that the others would reject is rejected here, and false
+  /// returned.
+  void Write(UnixMs now, Ejection ejection);
+  void Write(UnixMs now, KeyAffinity affinity);
+  bool Write(UnixMs now, FencedValue fenced);
 
-  // Entries from `from`, as Fill and All made them. True if a verdict or a duty's fact among them was new.
+  /// Takes an array of packed entries. True if an ejection or a fenced value among them was new.
   bool Receive(UnixMs now, const nlohmann::json& entries);
 
-  // Entries that have been passed on fewer than `most_transmits` times, as far as they fit in `room` bytes.
-  nlohmann::json Fill(UnixMs now, std::size_t room, int most_transmits);
-  // The same for a push: what goes out to several members at one moment is one loss away from none, and is
-  // not counted as passed on.
-  nlohmann::json Push(UnixMs now, std::size_t room);
-  // Everything, in pieces of at most `room` bytes each.
-  std::vector<nlohmann::json> All(UnixMs now, std::size_t room);
-  // Digests of everything, over so many buckets.
-  Buckets Digests(UnixMs now, std::size_t count);
-  // What is in the buckets that differ, in at most `most` pieces that are listed from the place `start` on.
-  std::vector<Piece<nlohmann::json>> Unlike(UnixMs now, const Buckets& theirs, std::uint64_t start,
-                                            std::size_t room, std::size_t most);
-  // What is in the slice and not listed there, or listed at another version, in pieces as All makes them.
-  // `listed` is what Receive had before.
-  std::vector<nlohmann::json> Lacking(UnixMs now, const nlohmann::json& listed, const Slice& slice,
-                                      std::size_t room);
-  // Entries that are held.
-  std::size_t size() const { return held_.size(); }
-  // The same at members that hold the same (xxHash of the versions).
-  std::uint64_t Digest(UnixMs now);
-
+  /// Packs entries for a message that is sent anyway: those that have been sent fewer than `max_transmits`
+  /// times, in at most `max_bytes`.
+  nlohmann::json PackPiggyback(UnixMs now, std::size_t max_bytes, int max_transmits);
+  /// Packs the same entries for an immediate push to several members. A push does not count as a
+  /// transmission, since one local fault may lose all of its datagrams.
+  nlohmann::json PackPush(UnixMs now, std::size_t max_bytes);
+  /// Packs all entries, in arrays of at most `max_bytes` each.
+  std::vector<nlohmann::json> PackAll(UnixMs now, std::size_t max_bytes);
+  /// See anti_entropy.h. `listed` is what Receive has just taken.
+  std::vector<nlohmann::json> PackMissing(UnixMs now, const nlohmann::json& listed, const DigestRange& range,
+                                          std::size_t max_bytes);
+  std::vector<Chunk<nlohmann::json>> PackDiffering(UnixMs now, const BucketDigests& theirs,
+                                                   std::uint64_t start, std::size_t max_bytes,
+                                                   std::size_t max_chunks);
+  BucketDigests ComputeBucketDigests(UnixMs now, std::size_t bucket_count);
+  std::uint64_t ComputeDigest(UnixMs now);
+
+  /// Entries that are stored.
+  std::size_t size() const { return store_.size(); }
+
+  /// The entries of one kind; ages in milliseconds, 0 if there are none.
+  struct KindSummary {
+    std::size_t count = 0;
+    UnixMs newest_age = 0;
+    UnixMs oldest_age = 0;
+  };
   struct Summary {
-    std::size_t verdicts = 0, sites = 0, facts = 0;
-    UnixMs newest_verdict = 0, oldest_verdict = 0, newest_site = 0, oldest_site = 0;  // ages, ms
-    std::array<std::uint64_t, kRefusals> refused{};
+    KindSummary ejections;
+    KindSummary affinities;
+    std::size_t fenced_values = 0;
+    std::array<std::uint64_t, kEntryRejections> rejected{};  ///< by EntryRejection
   };
   Summary Summarize(UnixMs now);
-  // Those that hold, of whatever member.
-  std::vector<Entry> Verdicts(UnixMs now);
+  /// The ejections in force, of all members.
+  std::vector<Entry> Ejections(UnixMs now);
 
  private:
-  struct Held {
-    Entry entry;
-    std::size_t size = 0;  // bytes, packed
-    int transmits = 0;
-  };
-  using Key = std::variant<std::string, std::uint64_t>;
-
-  static Key KeyOf(const Entry& entry);
-  // In the space of hashes.
-  static std::uint64_t PlaceOf(const Key& key);
-  UnixMs ExpiresAt(const Entry& entry) const;
+  EntryValidator Validator() const { return {options_, store_, tokens_, host_}; }
+  Version NextVersion(UnixMs now);
   void Expire(UnixMs now);
-  void Put(Entry entry);
-  void PutFact(Entry entry);
-  void Drop(const Key& key);
-  // Packs entries that are to be passed on, those first that have been least; `taken` gets their keys.
-  nlohmann::json Take(std::size_t room, std::vector<Key>* taken) const;
-  std::optional<Refusal> JudgeDuty(UnixMs now, const Entry& entry) const;
-  // By what holds for this member's own, too.
-  std::optional<Refusal> JudgeFact(const Entry& entry) const;
-  // Nothing if the entry is to be taken.
-  std::optional<Refusal> Judge(UnixMs now, const Entry& entry) const;
-  std::optional<Refusal> JudgeVerdict(const Verdict& verdict, Stamp stamp) const;
-  void Refuse(const std::string& about, const std::string& origin, Refusal why);
+  void Store(Entry entry);
+  void ReceiveEntry(UnixMs now, const Entry& entry, bool* has_new);
+  void Reject(const std::string& subject, const std::string& origin, EntryRejection rejection);
 
   const StateOptions options_;
   Host& host_;
   HybridClock clock_;
-  std::map<Key, Held> held_;
-  std::set<std::pair<UnixMs, Key>> by_expiry_;
-  std::set<std::pair<int, Key>> to_pass_on_;  // by how often each has been
-  std::size_t sites_ = 0, facts_ = 0;
-  Fences fences_;
-  std::array<std::uint64_t, kRefusals> refused_{};
+  EntryStore store_;
+  FencingTokens tokens_;
+  std::array<std::uint64_t, kEntryRejections> rejected_{};
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/sync/bucket_digests.cpp
+++ b/src/fleet/sync/bucket_digests.cpp
@@ -7,50 +7,54 @@
 namespace load_balancer::fleet {
 namespace {
 
-constexpr std::size_t kDigestBytes = 4, kEntriesOfABucket = 4;
-constexpr int kPlaceBits = 64;
+constexpr std::size_t kDigestBytes = 4;
+constexpr std::size_t kEntriesPerBucket = 4;
+constexpr int kBitsPerByte = 8;
+constexpr int kHashBits = 64;
 
 }  // namespace
 
-bool IsCount(std::size_t buckets) {
-  return buckets >= kFewestBuckets && buckets <= kMostBuckets && std::has_single_bit(buckets);
+bool IsValidBucketCount(std::size_t count) {
+  return count >= kMinBuckets && count <= kMaxBuckets && std::has_single_bit(count);
 }
 
-std::size_t BucketAt(std::uint64_t place, std::size_t count) {
-  return static_cast<std::size_t>(place >> (kPlaceBits - std::countr_zero(count)));
+std::size_t BucketOf(std::uint64_t hash, std::size_t count) {
+  return static_cast<std::size_t>(hash >> (kHashBits - std::countr_zero(count)));
 }
 
-std::size_t Buckets::CountFor(std::size_t entries) {
-  return std::clamp(std::bit_ceil(entries / kEntriesOfABucket), kFewestBuckets, kMostBuckets);
+std::size_t BucketDigests::CountFor(std::size_t entries) {
+  return std::clamp(std::bit_ceil(entries / kEntriesPerBucket), kMinBuckets, kMaxBuckets);
 }
 
-std::optional<Buckets> Buckets::Unpack(std::span<const std::uint8_t> packed) {
+std::optional<BucketDigests> BucketDigests::Unpack(std::span<const std::uint8_t> packed) {
   const std::size_t count = packed.size() / kDigestBytes;
-  if (packed.size() % kDigestBytes != 0 || !IsCount(count)) return std::nullopt;
-  Buckets buckets(count);
-  for (std::size_t i = 0; i < packed.size(); ++i)
-    buckets.digests_[i / kDigestBytes] |= std::uint32_t{packed[i]} << (8 * (i % kDigestBytes));
-  return buckets;
+  if (packed.size() % kDigestBytes != 0 || !IsValidBucketCount(count)) return std::nullopt;
+  BucketDigests unpacked(count);
+  for (std::size_t i = 0; i < packed.size(); ++i) {
+    const std::size_t shift = kBitsPerByte * (i % kDigestBytes);
+    unpacked.digests_[i / kDigestBytes] |= std::uint32_t{packed[i]} << shift;
+  }
+  return unpacked;
 }
 
-void Buckets::Add(std::uint64_t place, std::uint64_t hash) {
-  // A sum: the same in whatever order.
-  digests_[BucketAt(place, count())] += static_cast<std::uint32_t>(hash);
+void BucketDigests::Add(std::uint64_t hash, std::uint64_t content) {
+  // A sum does not depend on the order of the entries.
+  digests_[BucketOf(hash, count())] += static_cast<std::uint32_t>(content);
 }
 
-std::vector<std::uint8_t> Buckets::Pack() const {
+std::vector<std::uint8_t> BucketDigests::Pack() const {
   std::vector<std::uint8_t> packed;
   packed.reserve(digests_.size() * kDigestBytes);
   for (const std::uint32_t digest : digests_)
     for (std::size_t i = 0; i < kDigestBytes; ++i)
-      packed.push_back(static_cast<std::uint8_t>(digest >> (8 * i)));
+      packed.push_back(static_cast<std::uint8_t>(digest >> (kBitsPerByte * i)));
   return packed;
 }
 
-std::bitset<kMostBuckets> Buckets::Unlike(const Buckets& other) const {
-  std::bitset<kMostBuckets> unlike;
-  for (std::size_t i = 0; i < count(); ++i) unlike.set(i, digests_[i] != other.digests_[i]);
-  return unlike;
+BucketSet BucketDigests::DifferingFrom(const BucketDigests& other) const {
+  BucketSet differing{count(), {}};
+  for (std::size_t i = 0; i < count(); ++i) differing.indices.set(i, digests_[i] != other.digests_[i]);
+  return differing;
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/sync/bucket_digests.h
+++ b/src/fleet/sync/bucket_digests.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What of two sets of entries differs, by digests of equal parts of the space of their keys' hashes
-// (docs/fleet.md, "Exchange of what differs").
+/// \file
+/// Digests of a set of entries by hash bucket, by which two members find what differs between their sets
+/// (docs/fleet.md, "Exchange of what differs").
 #ifndef LOAD_BALANCER_FLEET_SYNC_BUCKET_DIGESTS_H_
 #define LOAD_BALANCER_FLEET_SYNC_BUCKET_DIGESTS_H_
 
@@ -14,45 +15,53 @@
 
 namespace load_balancer::fleet {
 
-inline constexpr std::size_t kFewestBuckets = 8, kMostBuckets = 128;
+inline constexpr std::size_t kMinBuckets = 8;
+inline constexpr std::size_t kMaxBuckets = 128;
 
-// Whether a set may be cut into so many: a power of two within the limits.
-bool IsCount(std::size_t buckets);
-// Of `count` buckets, the one of a place in the space of hashes.
-std::size_t BucketAt(std::uint64_t place, std::size_t count);
+/// Whether the hash space may be divided into so many buckets: a power of two within the limits.
+bool IsValidBucketCount(std::size_t count);
 
-// A set's digests.
-class Buckets {
+/// The bucket of a hash where the space is divided into `count` equal buckets.
+std::size_t BucketOf(std::uint64_t hash, std::size_t count);
+
+/// Some of the `count` buckets that the hash space is divided into.
+struct BucketSet {
+  std::size_t count = kMinBuckets;
+  std::bitset<kMaxBuckets> indices;
+
+  bool IsEmpty() const { return indices.none(); }
+  bool Contains(std::uint64_t hash) const { return indices.test(BucketOf(hash, count)); }
+};
+
+class BucketDigests {
  public:
-  explicit Buckets(std::size_t count) : digests_(count) {}
-  // So many that there are about four entries in each.
+  explicit BucketDigests(std::size_t count) : digests_(count) {}
+  /// A valid count that leaves about four of `entries` in each bucket.
   static std::size_t CountFor(std::size_t entries);
-  // As Pack made them; nothing of any other size.
-  static std::optional<Buckets> Unpack(std::span<const std::uint8_t> packed);
+  /// Reads what Pack returned; nothing if the size is invalid.
+  static std::optional<BucketDigests> Unpack(std::span<const std::uint8_t> packed);
 
-  // An entry at the place, with the hash of all that is compared of it.
-  void Add(std::uint64_t place, std::uint64_t hash);
+  /// Adds an entry. `hash` is its position in the hash space, `content` the hash of all that is compared.
+  void Add(std::uint64_t hash, std::uint64_t content);
   std::size_t count() const { return digests_.size(); }
-  // Four bytes a bucket.
+  /// Four bytes a bucket, little-endian.
   std::vector<std::uint8_t> Pack() const;
-  // Which are unlike those of `other`, which has as many.
-  std::bitset<kMostBuckets> Unlike(const Buckets& other) const;
+  /// The buckets whose digests differ from those of `other`, which has as many.
+  BucketSet DifferingFrom(const BucketDigests& other) const;
 
  private:
   std::vector<std::uint32_t> digests_;
 };
 
-// A part of the space of which a message lists every entry that its sender has: of some buckets of `count`
-// the places from `from` to `to`, both included, round the end of the space if `to` is before `from`.
-struct Slice {
-  std::size_t count = kFewestBuckets;
-  std::bitset<kMostBuckets> buckets;
-  std::uint64_t from = 0, to = 0;
-  bool more = false;  // what follows was not sent
-
-  bool Holds(std::uint64_t place) const {
-    return place - from <= to - from && buckets.test(BucketAt(place, count));
-  }
+/// The part of the hash space for which a message lists every entry that its sender has: the hashes in
+/// `buckets` from `first` to `last`, both included, wrapping around the end of the space.
+struct DigestRange {
+  BucketSet buckets;
+  std::uint64_t first = 0;
+  std::uint64_t last = 0;
+  bool is_truncated = false;  ///< differing entries beyond `last` were not sent
+
+  bool Contains(std::uint64_t hash) const { return hash - first <= last - first && buckets.Contains(hash); }
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/sync/chunks.h
+++ b/src/fleet/sync/chunks.h
@@ -1,10 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Cuts the entries of some buckets into pieces of a datagram each.
+/// \file
+/// Splits the entries of some hash buckets into chunks that fit a datagram each.
 #ifndef LOAD_BALANCER_FLEET_SYNC_CHUNKS_H_
 #define LOAD_BALANCER_FLEET_SYNC_CHUNKS_H_
 
 #include <algorithm>
+#include <cstddef>
 #include <cstdint>
 #include <utility>
 #include <vector>
@@ -13,45 +15,47 @@
 
 namespace load_balancer::fleet {
 
-// Something of a set, at its place, and the bytes that it takes in a message.
+/// An entry with its position in the hash space and the bytes that it takes in a message.
 template <typename Entry>
-struct Placed {
-  std::uint64_t place = 0;
+struct HashedEntry {
+  std::uint64_t hash = 0;
   std::size_t size = 0;
   Entry entry;
 };
 
+/// The entries of a range. A range without entries tells the receiver that the sender has none there.
 template <typename Entry>
-struct Piece {
-  Slice slice;
+struct Chunk {
+  DigestRange range;
   std::vector<Entry> entries;
 };
 
-// Those of `all` whose buckets are among `buckets` of `count`, in the order of their places from `start` on,
-// in pieces that have `room` bytes each. All pieces together cover the whole space, or say that there is more
-// after `most` of them. There is one at least: it may be empty, as one that lists nothing says so.
+/// Splits those of `entries` that are in `buckets` into at least one and at most `max_chunks` chunks of at
+/// most `max_bytes` each, in the order of their hashes from `start` on. The ranges of all chunks together
+/// cover the whole hash space, unless the last one is marked as truncated.
 template <typename Entry>
-std::vector<Piece<Entry>> CutToPieces(std::vector<Placed<Entry>> all, std::size_t count,
-                                      const std::bitset<kMostBuckets>& buckets, std::uint64_t start,
-                                      std::size_t room, std::size_t most) {
-  std::erase_if(all, [&](const auto& each) { return !buckets.test(BucketAt(each.place, count)); });
-  std::sort(all.begin(), all.end(),
-            [start](const auto& a, const auto& b) { return a.place - start < b.place - start; });
-  std::vector<Piece<Entry>> pieces(1, {{count, buckets, start, start - 1, false}, {}});
-  std::size_t left = room;
-  for (Placed<Entry>& each : all) {
-    if (each.size > left && !pieces.back().entries.empty()) {
-      Slice& full = pieces.back().slice;
-      full.to = each.place - 1;
-      full.more = pieces.size() == most;
-      if (full.more) break;
-      pieces.push_back({{count, buckets, each.place, start - 1, false}, {}});
-      left = room;
+std::vector<Chunk<Entry>> SplitIntoChunks(std::vector<HashedEntry<Entry>> entries, const BucketSet& buckets,
+                                          std::uint64_t start, std::size_t max_bytes,
+                                          std::size_t max_chunks) {
+  std::erase_if(entries, [&](const auto& entry) { return !buckets.Contains(entry.hash); });
+  std::sort(entries.begin(), entries.end(),
+            [start](const auto& left, const auto& right) { return left.hash - start < right.hash - start; });
+  const std::uint64_t end = start - 1;
+  std::vector<Chunk<Entry>> chunks(1, {{buckets, start, end, false}, {}});
+  std::size_t bytes_left = max_bytes;
+  for (HashedEntry<Entry>& entry : entries) {
+    if (entry.size > bytes_left && !chunks.back().entries.empty()) {
+      DigestRange& full = chunks.back().range;
+      full.last = entry.hash - 1;
+      full.is_truncated = chunks.size() == max_chunks;
+      if (full.is_truncated) break;
+      chunks.push_back({{buckets, entry.hash, end, false}, {}});
+      bytes_left = max_bytes;
     }
-    left -= std::min(left, each.size);
-    pieces.back().entries.push_back(std::move(each.entry));
+    bytes_left -= std::min(bytes_left, entry.size);
+    chunks.back().entries.push_back(std::move(entry.entry));
   }
-  return pieces;
+  return chunks;
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/wire/decode.cpp
+++ b/src/fleet/wire/decode.cpp
@@ -1,129 +1,160 @@
 // SPDX-License-Identifier: Apache-2.0
+#include <algorithm>
 #include <stdexcept>
 
 #include "base/config/endpoint.h"
 #include "fleet/wire/codec.h"
+#include "fleet/wire/message_keys.h"
 
 namespace load_balancer::fleet {
 namespace {
 
 using nlohmann::json;
 
-// What follows throws json::exception or std::invalid_argument on anything out of form.
-std::string NameIn(const json& value) {
+// Offsets in the arrays of an update and of a lease message beyond which older versions send nothing.
+constexpr std::size_t kUpdateFields = 4;
+constexpr std::size_t kLeaseFields = 6;
+constexpr std::size_t kBitsPerByte = 8;
+
+bool IsPrintable(char c) { return static_cast<unsigned char>(c) > ' ' && c != 0x7f; }
+
+// All of the following throw json::exception or std::invalid_argument if the value is malformed.
+std::string ReadName(const json& value) {
   auto name = value.get<std::string>();
-  if (name.empty() || name.size() > kMostName) throw std::invalid_argument("name");
-  for (const char c : name)
-    if (static_cast<unsigned char>(c) <= ' ' || c == 0x7f) throw std::invalid_argument("name");
+  const bool is_valid =
+      !name.empty() && name.size() <= kMaxNameBytes && std::all_of(name.begin(), name.end(), IsPrintable);
+  if (!is_valid) throw std::invalid_argument("name");
   return name;
 }
 
-Udp::endpoint AddressIn(const json& value) {
+Udp::endpoint ReadAddress(const json& value) {
   const auto address = ParseUdpEndpoint(value.get<std::string>());
   if (!address) throw std::invalid_argument("address");
   return *address;
 }
 
-std::uint64_t FigureIn(const json& value) {
-  if (!value.is_number_unsigned()) throw std::invalid_argument("figure");
+std::uint64_t ReadUnsigned(const json& value) {
+  if (!value.is_number_unsigned()) throw std::invalid_argument("number");
   return value.get<std::uint64_t>();
 }
 
 template <typename Enum>
-Enum OneOf(const json& value, std::size_t count) {
-  const std::uint64_t index = FigureIn(value);
+Enum ReadEnum(const json& value, std::size_t count) {
+  const std::uint64_t index = ReadUnsigned(value);
   if (index >= count) throw std::invalid_argument("out of range");
   return static_cast<Enum>(index);
 }
 
-Update UpdateIn(const json& value) {
+Update ReadUpdate(const json& value) {
   Update update;
-  update.name = NameIn(value.at(0));
-  update.address = AddressIn(value.at(1));
-  update.state = OneOf<MemberState>(value.at(2), kStates);
-  update.incarnation = FigureIn(value.at(3));
-  if (value.size() > 4) update.accuser = NameIn(value.at(4));
+  update.name = ReadName(value.at(0));
+  update.address = ReadAddress(value.at(1));
+  update.state = ReadEnum<MemberState>(value.at(2), kMemberStates);
+  update.incarnation = ReadUnsigned(value.at(3));
+  if (value.size() > kUpdateFields) update.accuser = ReadName(value.at(4));
   return update;
 }
 
-LeaseMessage LeaseIn(const json& value) {
+LeaseMessage ReadLease(const json& value) {
   LeaseMessage lease;
-  lease.verb = OneOf<LeaseMessage::Verb>(value.at(0), kLeaseVerbs);
-  lease.duty = NameIn(value.at(1));
-  lease.token = FigureIn(value.at(2));
+  lease.verb = ReadEnum<LeaseMessage::Verb>(value.at(0), kLeaseVerbs);
+  lease.duty = ReadName(value.at(1));
+  lease.token = ReadUnsigned(value.at(2));
   lease.holder = value.at(3).get<std::string>();
-  if (lease.holder.empty() || lease.holder.size() > 2 * kMostName) throw std::invalid_argument("holder");
-  lease.left_ms = FigureIn(value.at(4));
-  lease.asked = FigureIn(value.at(5));
-  if (value.size() <= 6) return lease;  // of a version without numbers of requests
-  lease.request = FigureIn(value.at(6));
-  lease.term_ms = FigureIn(value.at(7));
-  lease.drift_ms = FigureIn(value.at(8));
-  lease.voters = FigureIn(value.at(9));
-  lease.why = OneOf<LeaseMessage::Why>(value.at(10), kLeaseReasons);
+  if (lease.holder.empty() || lease.holder.size() > 2 * kMaxNameBytes) throw std::invalid_argument("holder");
+  lease.left_ms = ReadUnsigned(value.at(4));
+  lease.asked = ReadUnsigned(value.at(5));
+  if (value.size() <= kLeaseFields) return lease;  // of a version without numbers of requests
+  lease.request = ReadUnsigned(value.at(6));
+  lease.term_ms = ReadUnsigned(value.at(7));
+  lease.drift_ms = ReadUnsigned(value.at(8));
+  lease.voters = ReadUnsigned(value.at(9));
+  lease.why = ReadEnum<LeaseMessage::Why>(value.at(10), kLeaseReasons);
   return lease;
 }
 
-Buckets BucketsIn(const json& value) {
-  const auto buckets = Buckets::Unpack(value.get_binary());
-  if (!buckets) throw std::invalid_argument("buckets");
-  return *buckets;
+BucketDigests ReadBucketDigests(const json& value) {
+  const auto digests = BucketDigests::Unpack(value.get_binary());
+  if (!digests) throw std::invalid_argument("buckets");
+  return *digests;
 }
 
-Slice SliceIn(const json& value) {
-  const auto& bits = value.at(0).get_binary();
-  Slice slice;
-  slice.count = bits.size() * 8;
-  if (!IsCount(slice.count)) throw std::invalid_argument("slice");
-  for (std::size_t i = 0; i < slice.count; ++i) slice.buckets.set(i, (bits[i / 8] >> (i % 8)) & 1);
-  slice.from = FigureIn(value.at(1));
-  slice.to = FigureIn(value.at(2));
-  slice.more = value.at(3).get<bool>();
-  return slice;
+BucketSet ReadBucketSet(const json& value) {
+  const auto& bits = value.get_binary();
+  BucketSet buckets;
+  buckets.count = bits.size() * kBitsPerByte;
+  if (!IsValidBucketCount(buckets.count)) throw std::invalid_argument("range");
+  for (std::size_t i = 0; i < buckets.count; ++i)
+    buckets.indices.set(i, (bits[i / kBitsPerByte] >> (i % kBitsPerByte)) & 1);
+  return buckets;
 }
 
-Message MessageIn(const json& root) {
-  Message message;
-  message.kind = OneOf<Message::Kind>(root.at("k"), Message::kKinds);
-  message.sender = UpdateIn(root.at("m"));
-  message.sequence = FigureIn(root.at("s"));
-  if (root.contains("t")) {
-    message.target = NameIn(root.at("t"));
-    message.target_address = AddressIn(root.at("a"));
+DigestRange ReadRange(const json& value) {
+  DigestRange range;
+  range.buckets = ReadBucketSet(value.at(0));
+  range.first = ReadUnsigned(value.at(1));
+  range.last = ReadUnsigned(value.at(2));
+  range.is_truncated = value.at(3).get<bool>();
+  return range;
+}
+
+void ReadProbeFields(const json& root, Message* message) {
+  if (root.contains(wire_keys::kTarget)) {
+    message->target = ReadName(root.at(wire_keys::kTarget));
+    message->target_address = ReadAddress(root.at(wire_keys::kTargetAddress));
   }
-  const bool probes = message.kind == Message::Kind::kPing || message.kind == Message::Kind::kPingReq;
-  if (probes && message.target.empty()) throw std::invalid_argument("target");
-  if (root.contains("r")) message.reply = root.at("r").get<bool>();
-  if (root.contains("d")) message.state = root.at("d");
-  if (root.contains("w")) message.table = FigureIn(root.at("w"));
-  if (root.contains("h")) message.digest = FigureIn(root.at("h"));
-  if (root.contains("b")) message.buckets = BucketsIn(root.at("b"));
-  if (root.contains("e")) message.state_buckets = BucketsIn(root.at("e"));
-  if (root.contains("x")) message.slice = SliceIn(root.at("x"));
-  if (root.contains("l")) message.lease = LeaseIn(root.at("l"));
+  const bool is_probe = message->kind == Message::Kind::kPing || message->kind == Message::Kind::kPingReq;
+  if (is_probe && message->target.empty()) throw std::invalid_argument("target");
+}
+
+void ReadSyncFields(const json& root, Message* message) {
+  if (root.contains(wire_keys::kMemberDigest))
+    message->member_digest = ReadUnsigned(root.at(wire_keys::kMemberDigest));
+  if (root.contains(wire_keys::kStateDigest))
+    message->state_digest = ReadUnsigned(root.at(wire_keys::kStateDigest));
+  if (root.contains(wire_keys::kMemberBuckets))
+    message->member_buckets = ReadBucketDigests(root.at(wire_keys::kMemberBuckets));
+  if (root.contains(wire_keys::kStateBuckets))
+    message->state_buckets = ReadBucketDigests(root.at(wire_keys::kStateBuckets));
+  if (root.contains(wire_keys::kRange)) message->range = ReadRange(root.at(wire_keys::kRange));
+}
+
+void ReadPayloadFields(const json& root, Message* message) {
+  message->channel = ReadName(root.at(wire_keys::kChannel));
+  if (message->channel.size() > kMaxChannelBytes) throw std::invalid_argument("channel");
+  message->payload = root.at(wire_keys::kPayload);
+}
+
+Message ReadMessage(const json& root) {
+  Message message;
+  message.kind = ReadEnum<Message::Kind>(root.at(wire_keys::kKind), Message::kKinds);
+  message.sender = ReadUpdate(root.at(wire_keys::kSender));
+  message.sequence = ReadUnsigned(root.at(wire_keys::kSequence));
+  ReadProbeFields(root, &message);
+  if (root.contains(wire_keys::kWantsReply))
+    message.wants_reply = root.at(wire_keys::kWantsReply).get<bool>();
+  if (root.contains(wire_keys::kState)) message.state = root.at(wire_keys::kState);
+  ReadSyncFields(root, &message);
+  if (root.contains(wire_keys::kLease)) message.lease = ReadLease(root.at(wire_keys::kLease));
   if (message.kind == Message::Kind::kLease && !message.lease) throw std::invalid_argument("lease");
-  if (message.kind == Message::Kind::kPayload) {
-    message.channel = NameIn(root.at("c"));
-    if (message.channel.size() > kMostChannel) throw std::invalid_argument("channel");
-    message.payload = root.at("p");
-  }
-  for (const json& update : root.at("u")) message.updates.push_back(UpdateIn(update));
+  if (message.kind == Message::Kind::kPayload) ReadPayloadFields(root, &message);
+  for (const json& update : root.at(wire_keys::kUpdates)) message.updates.push_back(ReadUpdate(update));
   return message;
 }
 
 }  // namespace
 
-std::variant<Message, Drop> Decode(std::string_view fleet, std::span<const std::uint8_t> datagram) {
-  if (datagram.size() > kMostDatagram) return Drop::kOversized;
+std::variant<Message, DropReason> Decode(std::string_view fleet, std::span<const std::uint8_t> datagram) {
+  if (datagram.size() > kMaxDatagramBytes) return DropReason::kOversized;
   try {
     const json root = json::from_msgpack(datagram.begin(), datagram.end());
-    if (FigureIn(root.at("v")) != kProtocolVersion) return Drop::kOtherVersion;
-    if (root.at("f").get<std::string>() != fleet) return Drop::kForeignFleet;
-    return MessageIn(root);
+    if (ReadUnsigned(root.at(wire_keys::kVersion)) != kProtocolVersion) return DropReason::kOtherVersion;
+    if (root.at(wire_keys::kFleet).get<std::string>() != fleet) return DropReason::kForeignFleet;
+    return ReadMessage(root);
   } catch (const json::exception&) {
-    return Drop::kMalformed;
+    return DropReason::kMalformed;
   } catch (const std::invalid_argument&) {
-    return Drop::kMalformed;
+    return DropReason::kMalformed;
   }
 }
 
--- a/src/fleet/wire/encoded_size.cpp
+++ b/src/fleet/wire/encoded_size.cpp
@@ -4,32 +4,43 @@
 namespace load_balancer::fleet {
 namespace {
 
-// Bytes of MessagePack beside the texts: of an update (its array, three texts, the state, the incarnation),
-// of the rest of a message (a map of up to fifteen one-letter keys with their values), and of a lease.
-constexpr std::size_t kUpdateBytes = 1 + 3 * 2 + 1 + 9;
-constexpr std::size_t kMessageBytes = 1 + 15 * 2 + 3 * 1 + 3 * 9 + 3 * 2 + 3 + 2;
-constexpr std::size_t kLeaseBytes = 2 + 1 + 2 * 1 + 2 * 2 + 7 * 9;
-// Beside the digests themselves; and a slice with its key.
-constexpr std::size_t kBucketsBytes = 2 + 3, kSliceBytes = 2 + 1 + 2 + kMostBuckets / 8 + 2 * 9 + 1;
-
-std::size_t SizeOf(const std::optional<Buckets>& buckets) {
-  return buckets ? kBucketsBytes + buckets->Pack().size() : 0;
+// Upper bounds of the MessagePack bytes besides the texts themselves.
+constexpr std::size_t kIntegerBytes = 9;
+constexpr std::size_t kShortTextHeader = 2;
+// An update's array, three texts, state and incarnation.
+constexpr std::size_t kUpdateBytes = 1 + 3 * kShortTextHeader + 1 + kIntegerBytes;
+// A map of up to fifteen one-letter keys with their values, without updates and the optional parts below.
+constexpr std::size_t kMessageBytes = 1 + 15 * 2 + 3 * 1 + 3 * kIntegerBytes + 3 * kShortTextHeader + 3 + 2;
+// A lease's key, array, verb and reason, two texts and seven integers.
+constexpr std::size_t kLeaseBytes = 2 + 1 + 2 * 1 + 2 * kShortTextHeader + 7 * kIntegerBytes;
+// The key and the header of bucket digests.
+constexpr std::size_t kBucketDigestsBytes = 2 + 3;
+// A range's key, array, bits, two integers and flag.
+constexpr std::size_t kRangeBytes = 2 + 1 + 2 + kMaxBuckets / 8 + 2 * kIntegerBytes + 1;
+
+std::size_t EncodedSize(const std::optional<BucketDigests>& digests) {
+  return digests ? kBucketDigestsBytes + digests->Pack().size() : 0;
+}
+
+std::size_t EncodedSize(const LeaseMessage& lease) {
+  return kLeaseBytes + lease.duty.size() + lease.holder.size();
 }
 
 }  // namespace
 
-std::size_t SizeOf(const Update& update) {
-  return kUpdateBytes + update.name.size() + update.accuser.size() + Text(update.address).size();
+std::size_t EncodedSize(const Update& update) {
+  return kUpdateBytes + update.name.size() + update.accuser.size() + FormatEndpoint(update.address).size();
 }
 
-std::size_t RoomFor(std::string_view fleet, const Message& message) {
-  std::size_t taken = kMessageBytes + fleet.size() + SizeOf(message.sender) + message.target.size() +
-                      Text(message.target_address).size();
-  taken += SizeOf(message.buckets) + SizeOf(message.state_buckets) + (message.slice ? kSliceBytes : 0);
-  if (const auto& lease = message.lease) taken += kLeaseBytes + lease->duty.size() + lease->holder.size();
+std::size_t RemainingBytes(std::string_view fleet, const Message& message) {
+  std::size_t used = kMessageBytes + fleet.size() + EncodedSize(message.sender);
+  used += message.target.size() + FormatEndpoint(message.target_address).size();
+  used += EncodedSize(message.member_buckets) + EncodedSize(message.state_buckets);
+  if (message.range) used += kRangeBytes;
+  if (message.lease) used += EncodedSize(*message.lease);
   if (message.kind == Message::Kind::kPayload)
-    taken += message.channel.size() + nlohmann::json::to_msgpack(message.payload).size();
-  return taken < kMostDatagram ? kMostDatagram - taken : 0;
+    used += message.channel.size() + nlohmann::json::to_msgpack(message.payload).size();
+  return used < kMaxDatagramBytes ? kMaxDatagramBytes - used : 0;
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/wire/message.cpp
+++ b/src/fleet/wire/message.cpp
@@ -6,16 +6,16 @@
 namespace load_balancer::fleet {
 namespace {
 
-constexpr std::array<std::string_view, kStates> kStateNames{"alive", "suspect", "dead", "left"};
-constexpr std::array<std::string_view, kDrops> kDropNames{"malformed", "oversized", "foreign", "version",
-                                                          "channel"};
+constexpr std::array<std::string_view, kMemberStates> kMemberStateNames{"alive", "suspect", "dead", "left"};
+constexpr std::array<std::string_view, kDropReasons> kDropReasonNames{"malformed", "oversized", "foreign",
+                                                                      "version", "channel"};
 
 }  // namespace
 
-std::string_view Name(MemberState state) { return kStateNames.at(static_cast<std::size_t>(state)); }
-std::string_view Name(Drop drop) { return kDropNames.at(static_cast<std::size_t>(drop)); }
+std::string_view Name(MemberState state) { return kMemberStateNames.at(static_cast<std::size_t>(state)); }
+std::string_view Name(DropReason reason) { return kDropReasonNames.at(static_cast<std::size_t>(reason)); }
 
-std::string Text(const Udp::endpoint& address) {
+std::string FormatEndpoint(const Udp::endpoint& address) {
   return address.address().to_string() + ":" + std::to_string(address.port());
 }
 
--- a/src/proxy/core/actions.cpp
+++ b/src/proxy/core/actions.cpp
@@ -36,12 +36,12 @@
   const double until = module_.clock().ToUnix(action.until);
   verdicts_.Note(id, until, action.multiplier);
   if (!fleet_.node()) return;
-  fleet::Verdict verdict;
-  verdict.server = id;
-  verdict.until = static_cast<fleet::UnixMs>(until);
-  verdict.failures = action.failures;
-  verdict.attempts = action.attempts;
-  fleet_.node()->Tell(std::move(verdict));
+  fleet::Ejection ejection;
+  ejection.server = id;
+  ejection.until = static_cast<fleet::UnixMs>(until);
+  ejection.failures = action.failures;
+  ejection.attempts = action.attempts;
+  fleet_.node()->Announce(std::move(ejection));
 }
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/core/requests.cpp
+++ b/src/proxy/core/requests.cpp
@@ -98,7 +98,7 @@
     OnAttemptDone(id, attempt, server, std::move(result));
   };
   if (pending->key != 0 && fleet_.node())
-    fleet_.node()->Tell(fleet::KeySite{pending->key, servers_.numbers().IdOf(action.server)});
+    fleet_.node()->Announce(fleet::KeyAffinity{pending->key, servers_.numbers().IdOf(action.server)});
   pending->attempt = backends_.Send(action.server, std::move(out), timeout, std::move(events));
 }
 
--- a/src/proxy/federation/federation.h
+++ b/src/proxy/federation/federation.h
@@ -53,7 +53,7 @@
   std::string Leases() const { return pool_.node().DescribeLeases(); }
 
  private:
-  void OnPoolFact(const fleet::DutyFact& fact) override {
+  void OnPoolFact(const fleet::FencedValue& fact) override {
     if (spill_) spill_->OnPoolFact(fact);
   }
   void LeaveWhenDone(void (fleet::Node::*leave)());
--- a/src/proxy/federation/pool.h
+++ b/src/proxy/federation/pool.h
@@ -20,14 +20,14 @@
 
 namespace load_balancer::proxy {
 
-class Pool : private fleet::Facts {
+class Pool : private fleet::FleetListener {
  public:
   // What the pool tells of duties; called from the event loop.
   class Host {
    public:
     virtual ~Host() = default;
     // Another gateway's, under its lease.
-    virtual void OnPoolFact(const fleet::DutyFact& fact) = 0;
+    virtual void OnPoolFact(const fleet::FencedValue& fact) = 0;
   };
   using Take = std::function<void(const std::string& gateway, const nlohmann::json& payload)>;
 
@@ -56,13 +56,13 @@
   const fleet::Node& node() const { return node_; }
 
  private:
-  bool Listed(const std::string&) const override { return false; }
-  void OnVerdict(const fleet::Verdict&) override {}
-  void OnKey(const fleet::KeySite&, fleet::UnixMs) override {}
-  void OnShare(int) override {}
+  bool IsListed(const std::string&) const override { return false; }
+  void OnEjection(const fleet::Ejection&) override {}
+  void OnKeyAffinity(const fleet::KeyAffinity&, fleet::UnixMs) override {}
+  void OnLimitShare(int) override {}
   void OnJoined() override {}
   void OnRole(const std::string&, fleet::Role) override {}
-  void OnDutyFact(const fleet::DutyFact& fact) override { host_.OnPoolFact(fact); }
+  void OnFencedValue(const fleet::FencedValue& fact) override { host_.OnPoolFact(fact); }
 
   const std::string self_;
   std::map<std::string, fleet::Udp::endpoint> addresses_;  // by gateway
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -192,7 +192,7 @@
     log::Warn("spill", estimate.error());
 }
 
-void SpillService::OnPoolFact(const fleet::DutyFact& fact) {
+void SpillService::OnPoolFact(const fleet::FencedValue& fact) {
   const auto estimate = spill::FromJson(fact.value);
   if (!estimate) return log::Warn("spill", estimate.error());
   if (fact.key == "estimate/" + estimate->site && fact.duty == DutyOf(estimate->site))
--- a/src/proxy/federation/spill_service.h
+++ b/src/proxy/federation/spill_service.h
@@ -59,7 +59,7 @@
   // The site's newest estimate, for answers to such; empty: none.
   std::string EstimateText() const;
 
-  void OnPoolFact(const fleet::DutyFact& fact);
+  void OnPoolFact(const fleet::FencedValue& fact);
   std::size_t connections() const { return neighbours_.connections(); }
   std::string Describe() const { return spill_.Describe(Steady::now()); }
 
--- a/src/proxy/fleet_link/discovery_duty.cpp
+++ b/src/proxy/fleet_link/discovery_duty.cpp
@@ -60,7 +60,7 @@
   Watch();
 }
 
-void DiscoveryDuty::OnFact(const fleet::DutyFact& fact) {
+void DiscoveryDuty::OnFact(const fleet::FencedValue& fact) {
   std::string why;
   const auto list = ParseMembers(fact.value, &why);
   if (!list || list->complete)
--- a/src/proxy/fleet_link/discovery_duty.h
+++ b/src/proxy/fleet_link/discovery_duty.h
@@ -40,7 +40,7 @@
   // This process has become the duty's holder, or is it no more.
   void OnRole();
   // A list's entry from the holder, which has it from discovery.
-  void OnFact(const fleet::DutyFact& fact);
+  void OnFact(const fleet::FencedValue& fact);
 
  private:
   void OnNews(const MemberList& list);
--- a/src/proxy/fleet_link/fleet_link.cpp
+++ b/src/proxy/fleet_link/fleet_link.cpp
@@ -33,24 +33,24 @@
   options.duties = DutiesOf(config);
   options.votes = votes;
   node_ = std::make_unique<fleet::Node>(io, config.fleet, config.name, seed,
-                                        static_cast<fleet::Facts&>(*this), std::move(options));
+                                        static_cast<fleet::FleetListener&>(*this), std::move(options));
 }
 
-bool FleetLink::Listed(const std::string& server) const { return servers_.Listed(server); }
+bool FleetLink::IsListed(const std::string& server) const { return servers_.Listed(server); }
 
 // Advice: the module weighs it like any event.
-void FleetLink::OnVerdict(const fleet::Verdict& verdict) {
-  module_.Feed(PeerVerdict{servers_.numbers().Of(verdict.server),
-                           module_.clock().FromUnix(static_cast<double>(verdict.until)), verdict.failures,
-                           verdict.attempts});
+void FleetLink::OnEjection(const fleet::Ejection& ejection) {
+  module_.Feed(PeerVerdict{servers_.numbers().Of(ejection.server),
+                           module_.clock().FromUnix(static_cast<double>(ejection.until)), ejection.failures,
+                           ejection.attempts});
 }
 
-void FleetLink::OnKey(const fleet::KeySite& site, fleet::UnixMs met) {
-  module_.Feed(PeerKey{servers_.numbers().Of(site.server), site.key,
-                       module_.clock().FromUnix(static_cast<double>(met))});
+void FleetLink::OnKeyAffinity(const fleet::KeyAffinity& affinity, fleet::UnixMs written) {
+  module_.Feed(PeerKey{servers_.numbers().Of(affinity.server), affinity.key,
+                       module_.clock().FromUnix(static_cast<double>(written))});
 }
 
-void FleetLink::OnShare(int most_in_flight) { module_.Feed(ServerShare{most_in_flight}); }
+void FleetLink::OnLimitShare(int most_in_flight) { module_.Feed(ServerShare{most_in_flight}); }
 
 void FleetLink::OnJoined() { recovery_.OnJoined(); }
 
@@ -63,9 +63,9 @@
   duty == fleet::kMaintenanceDuty ? maintenance_.OnRole() : discovery_.OnRole();
 }
 
-void FleetLink::OnDutyFact(const fleet::DutyFact& fact) {
-  if (fact.duty == fleet::kDiscoveryDuty) return discovery_.OnFact(fact);
-  if (fact.duty == fleet::kMaintenanceDuty) maintenance_.OnFact(fact);
+void FleetLink::OnFencedValue(const fleet::FencedValue& fenced) {
+  if (fenced.duty == fleet::kDiscoveryDuty) return discovery_.OnFact(fenced);
+  if (fenced.duty == fleet::kMaintenanceDuty) maintenance_.OnFact(fenced);
 }
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/fleet_link/fleet_link.h
+++ b/src/proxy/fleet_link/fleet_link.h
@@ -21,7 +21,7 @@
 class Recovery;
 class ServerDirectory;
 
-class FleetLink : private fleet::Facts {
+class FleetLink : private fleet::FleetListener {
  public:
   // All that is given outlives the last call; it need not be made yet.
   FleetLink(ModuleDriver& module, const ServerDirectory& servers, DiscoveryDuty& discovery,
@@ -45,13 +45,13 @@
   bool Does(const char* duty) const { return !node_ || node_->Does(duty); }
 
  private:
-  bool Listed(const std::string& server) const override;
-  void OnVerdict(const fleet::Verdict& verdict) override;
-  void OnKey(const fleet::KeySite& site, fleet::UnixMs met) override;
-  void OnShare(int most_in_flight) override;
+  bool IsListed(const std::string& server) const override;
+  void OnEjection(const fleet::Ejection& ejection) override;
+  void OnKeyAffinity(const fleet::KeyAffinity& affinity, fleet::UnixMs written) override;
+  void OnLimitShare(int most_in_flight) override;
   void OnJoined() override;
   void OnRole(const std::string& duty, fleet::Role role) override;
-  void OnDutyFact(const fleet::DutyFact& fact) override;
+  void OnFencedValue(const fleet::FencedValue& fenced) override;
 
   ModuleDriver& module_;
   const ServerDirectory& servers_;
--- a/src/proxy/fleet_link/maintenance_duty.cpp
+++ b/src/proxy/fleet_link/maintenance_duty.cpp
@@ -30,7 +30,7 @@
     if (const auto published = Publish(*guard); !published) log::Warn("fleet", published.error());
 }
 
-void MaintenanceDuty::OnFact(const fleet::DutyFact& fact) {
+void MaintenanceDuty::OnFact(const fleet::FencedValue& fact) {
   if (!fact.value.is_array()) return;
   std::set<std::string> out;
   for (const nlohmann::json& id : fact.value)
@@ -44,7 +44,7 @@
 
 Failure MaintenanceDuty::NotTheHolder() const {
   const fleet::Node& node = *std::as_const(fleet_).node();
-  if (node.FollowerOf(fleet::kMaintenanceDuty))
+  if (node.IsFollowerOf(fleet::kMaintenanceDuty))
     return Failure(fleet::kHeldElsewhere, node.HolderOf(fleet::kMaintenanceDuty));
   return Failure(fleet::kNoHolder, fleet::kMaintenanceDuty);
 }
--- a/src/proxy/fleet_link/maintenance_duty.h
+++ b/src/proxy/fleet_link/maintenance_duty.h
@@ -28,7 +28,7 @@
 
   // This process has become the duty's holder, or is it no more.
   void OnRole();
-  void OnFact(const fleet::DutyFact& fact);
+  void OnFact(const fleet::FencedValue& fact);
 
  private:
   Result<void> Publish(const fleet::LeaseGuard& guard);
--- a/src/proxy/recovery/recovery.cpp
+++ b/src/proxy/recovery/recovery.cpp
@@ -32,7 +32,7 @@
   options.name = config.name;
   options.interval = config.state.snapshot_interval;
   options.most_age = config.state.max_age;
-  options.most_skew = config.fleet.most_skew;
+  options.most_skew = config.fleet.max_clock_skew;
   keeper_ = std::make_unique<state::Keeper>(io_, options);
   if (const auto body = keeper_->Recover()) {
     try {
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -14,14 +14,14 @@
 namespace load_balancer::testing::federation {
 namespace {
 
-class Quiet : public load_balancer::fleet::Facts {
-  bool Listed(const std::string&) const override { return false; }
-  void OnVerdict(const load_balancer::fleet::Verdict&) override {}
-  void OnKey(const load_balancer::fleet::KeySite&, load_balancer::fleet::UnixMs) override {}
-  void OnShare(int) override {}
+class Quiet : public load_balancer::fleet::FleetListener {
+  bool IsListed(const std::string&) const override { return false; }
+  void OnEjection(const load_balancer::fleet::Ejection&) override {}
+  void OnKeyAffinity(const load_balancer::fleet::KeyAffinity&, load_balancer::fleet::UnixMs) override {}
+  void OnLimitShare(int) override {}
   void OnJoined() override {}
   void OnRole(const std::string&, load_balancer::fleet::Role) override {}
-  void OnDutyFact(const load_balancer::fleet::DutyFact&) override {}
+  void OnFencedValue(const load_balancer::fleet::FencedValue&) override {}
 };
 
 class Origin : public proxy::SpillHost, public proxy::Pool::Host {
@@ -33,7 +33,7 @@
   }
   void OnSpillRefused(RequestId, Duration) override { ends.push_back("refused"); }
   void OnSpillFailed(RequestId) override { ends.push_back("failed"); }
-  void OnPoolFact(const load_balancer::fleet::DutyFact&) override {}
+  void OnPoolFact(const load_balancer::fleet::FencedValue&) override {}
   std::vector<std::string> ends;
 };
 
--- a/tests/fleet/lease_actor.cpp
+++ b/tests/fleet/lease_actor.cpp
@@ -27,15 +27,15 @@
 using Tcp = asio::ip::tcp;
 using std::chrono::milliseconds;
 
-class NoFacts : public fl::Facts {
+class NoFacts : public fl::FleetListener {
  public:
-  bool Listed(const std::string&) const override { return false; }
-  void OnVerdict(const fl::Verdict&) override {}
-  void OnKey(const fl::KeySite&, fl::UnixMs) override {}
-  void OnShare(int) override {}
+  bool IsListed(const std::string&) const override { return false; }
+  void OnEjection(const fl::Ejection&) override {}
+  void OnKeyAffinity(const fl::KeyAffinity&, fl::UnixMs) override {}
+  void OnLimitShare(int) override {}
   void OnJoined() override {}
   void OnRole(const std::string&, fl::Role) override {}
-  void OnDutyFact(const fl::DutyFact&) override {}
+  void OnFencedValue(const fl::FencedValue&) override {}
 };
 
 long long Count(Steady::time_point moment) { return moment.time_since_epoch().count(); }
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -140,7 +140,7 @@
   later["v"] = fl::kProtocolVersion + 1;
   return {std::vector<std::uint8_t>(200, 0xc1),   truncated,
           std::vector<std::uint8_t>(60000, 0x91), fl::Encode("another", ping),
-          nlohmann::json::to_msgpack(later),      std::vector<std::uint8_t>(fl::kMostDatagram, 0x91)};
+          nlohmann::json::to_msgpack(later),      std::vector<std::uint8_t>(fl::kMaxDatagramBytes, 0x91)};
 }
 
 TEST(Membership, RubbishAtFullRateIsCountedAndClientsAreServed) {
@@ -177,19 +177,20 @@
                     fl::MemberState::kAlive, 5, ""};
   message.updates.assign(9, {"n2", message.sender.address, fl::MemberState::kSuspect, 1ull << 60, "n3"});
   message.kind = Message::Kind::kSync;
-  message.buckets = message.state_buckets = fl::Buckets(16);
-  message.slice = fl::Slice{16, 0x5, 7, 99, true};
+  message.member_buckets = message.state_buckets = fl::BucketDigests(16);
+  message.range = fl::DigestRange{{16, 0x5}, 7, 99, true};
   const auto whole = fl::Encode("f", message);
   ASSERT_TRUE(std::holds_alternative<Message>(fl::Decode("f", whole)));
   for (std::size_t size = 0; size < whole.size(); ++size)
-    EXPECT_EQ(std::get<fl::Drop>(fl::Decode("f", std::span(whole).first(size))), fl::Drop::kMalformed)
+    EXPECT_EQ(std::get<fl::DropReason>(fl::Decode("f", std::span(whole).first(size))),
+              fl::DropReason::kMalformed)
         << size;
   std::mt19937 random(3);
   std::size_t dropped = 0;
   for (int i = 0; i < 20000; ++i) {
     auto bent = whole;
     for (int j = 0; j < 3; ++j) bent[random() % bent.size()] = static_cast<std::uint8_t>(random());
-    dropped += std::holds_alternative<fl::Drop>(fl::Decode("f", bent));
+    dropped += std::holds_alternative<fl::DropReason>(fl::Decode("f", bent));
   }
   EXPECT_GT(dropped, 5000u);
 }
@@ -207,7 +208,7 @@
   }
   static Udp::endpoint At(unsigned short port) { return {boost::asio::ip::make_address("127.0.0.1"), port}; }
   void Send(const Udp::endpoint&, const Message& message) override {
-    EXPECT_LE(fl::Encode("f", message).size(), fl::kMostDatagram);
+    EXPECT_LE(fl::Encode("f", message).size(), fl::kMaxDatagramBytes);
     sent.push_back(message);
   }
   void Changed(const fl::Member&, std::optional<fl::MemberState>, std::string_view) override {}
--- a/tests/fleet/payload_test.cpp
+++ b/tests/fleet/payload_test.cpp
@@ -19,8 +19,8 @@
                                     65535);
 
 fl::Update Longest(char letter) {
-  return {std::string(fl::kMostName, letter), kLongestAddress, fl::MemberState::kSuspect, ~0ull,
-          std::string(fl::kMostName, letter)};
+  return {std::string(fl::kMaxNameBytes, letter), kLongestAddress, fl::MemberState::kSuspect, ~0ull,
+          std::string(fl::kMaxNameBytes, letter)};
 }
 
 Message Payload(std::string channel, nlohmann::json payload) {
@@ -33,40 +33,40 @@
 }
 
 TEST(Payload, ComesAsItWentAndFitsWithTheLongestNames) {
-  const std::string fleet(fl::kMostName, 'f');
-  const nlohmann::json most = std::string(fl::kMostPayload - 3, 'p');
-  ASSERT_EQ(nlohmann::json::to_msgpack(most).size(), fl::kMostPayload);
+  const std::string fleet(fl::kMaxNameBytes, 'f');
+  const nlohmann::json most = std::string(fl::kMaxPayloadBytes - 3, 'p');
+  ASSERT_EQ(nlohmann::json::to_msgpack(most).size(), fl::kMaxPayloadBytes);
   const auto decoded =
-      fl::Decode(fleet, fl::Encode(fleet, Payload(std::string(fl::kMostChannel, 'c'), most)));
+      fl::Decode(fleet, fl::Encode(fleet, Payload(std::string(fl::kMaxChannelBytes, 'c'), most)));
   ASSERT_TRUE(std::holds_alternative<Message>(decoded));
   EXPECT_EQ(std::get<Message>(decoded).payload, most);
-  EXPECT_EQ(std::get<Message>(decoded).channel, std::string(fl::kMostChannel, 'c'));
+  EXPECT_EQ(std::get<Message>(decoded).channel, std::string(fl::kMaxChannelBytes, 'c'));
 }
 
 TEST(Payload, WhatIsOutOfFormAndAKindThatIsNotKnownAreDroppedAsMalformed) {
   const auto whole = nlohmann::json::from_msgpack(fl::Encode("f", Payload("quota", 1)));
   const std::vector<std::pair<const char*, nlohmann::json>> changes{
-      {"c", ""}, {"c", std::string(fl::kMostChannel + 1, 'c')}, {"c", 1}, {"k", Message::kKinds}};
+      {"c", ""}, {"c", std::string(fl::kMaxChannelBytes + 1, 'c')}, {"c", 1}, {"k", Message::kKinds}};
   for (const auto& [key, value] : changes) {
     auto bent = whole;
     bent[key] = value;
     const auto decoded = fl::Decode("f", nlohmann::json::to_msgpack(bent));
-    ASSERT_TRUE(std::holds_alternative<fl::Drop>(decoded)) << bent;
-    EXPECT_EQ(std::get<fl::Drop>(decoded), fl::Drop::kMalformed) << bent;
+    ASSERT_TRUE(std::holds_alternative<fl::DropReason>(decoded)) << bent;
+    EXPECT_EQ(std::get<fl::DropReason>(decoded), fl::DropReason::kMalformed) << bent;
   }
 }
 
-TEST(Wire, WhatRoomForLeavesFitsBesideEveryKind) {
+TEST(Wire, WhatRemainingBytesLeavesFitsBesideEveryKind) {
   for (int kind = 0; kind < Message::kKinds; ++kind) {
     Message message = Payload("quota", std::string(500, 'p'));
     message.kind = static_cast<Message::Kind>(kind);
-    message.target = std::string(fl::kMostName, 't');
+    message.target = std::string(fl::kMaxNameBytes, 't');
     message.target_address = kLongestAddress;
-    message.table = message.digest = message.sequence = ~0ull;
+    message.member_digest = message.state_digest = message.sequence = ~0ull;
     if (message.kind == Message::Kind::kLease)
-      message.lease = fl::LeaseMessage{.duty = std::string(fl::kMostName, 'd'),
+      message.lease = fl::LeaseMessage{.duty = std::string(fl::kMaxNameBytes, 'd'),
                                        .token = ~0ull,
-                                       .holder = std::string(2 * fl::kMostName, 'h'),
+                                       .holder = std::string(2 * fl::kMaxNameBytes, 'h'),
                                        .left_ms = ~0ull,
                                        .asked = ~0ull,
                                        .request = ~0ull,
@@ -74,25 +74,25 @@
                                        .drift_ms = ~0ull,
                                        .voters = ~0ull};
     if (message.kind == Message::Kind::kSync) {
-      message.buckets = fl::Buckets(fl::kMostBuckets);
-      message.slice = fl::Slice{fl::kMostBuckets, ~0u, ~0ull, ~0ull, true};
+      message.member_buckets = fl::BucketDigests(fl::kMaxBuckets);
+      message.range = fl::DigestRange{{fl::kMaxBuckets, ~0u}, ~0ull, ~0ull, true};
     }
-    const std::size_t room = fl::RoomFor("f", message), size = fl::SizeOf(Longest('u'));
+    const std::size_t room = fl::RemainingBytes("f", message), size = fl::EncodedSize(Longest('u'));
     message.updates.assign(room / size, Longest('u'));
     // The rest goes to shared state, whose entries are packed to the byte.
     if (const std::size_t rest = room % size; rest > 3) message.state = std::string(rest - 3, 's');
-    EXPECT_LE(fl::Encode("f", message).size(), fl::kMostDatagram) << kind;
+    EXPECT_LE(fl::Encode("f", message).size(), fl::kMaxDatagramBytes) << kind;
   }
 }
 
-struct NoFacts : fl::Facts {
-  bool Listed(const std::string&) const override { return true; }
-  void OnVerdict(const fl::Verdict&) override {}
-  void OnKey(const fl::KeySite&, fl::UnixMs) override {}
-  void OnShare(int) override {}
+struct NoFacts : fl::FleetListener {
+  bool IsListed(const std::string&) const override { return true; }
+  void OnEjection(const fl::Ejection&) override {}
+  void OnKeyAffinity(const fl::KeyAffinity&, fl::UnixMs) override {}
+  void OnLimitShare(int) override {}
   void OnJoined() override {}
   void OnRole(const std::string&, fl::Role) override {}
-  void OnDutyFact(const fl::DutyFact&) override {}
+  void OnFencedValue(const fl::FencedValue&) override {}
 };
 
 TEST(Payload, GoesBetweenNodesOfTheSamePoolAlone) {
@@ -120,7 +120,7 @@
   two.Subscribe("quota", hear);
   wide.Subscribe("quota", hear);
   EXPECT_FALSE(one.Send(address(1), "", 1));
-  EXPECT_FALSE(one.Send(address(1), "quota", std::string(fl::kMostPayload, 'x')));
+  EXPECT_FALSE(one.Send(address(1), "quota", std::string(fl::kMaxPayloadBytes, 'x')));
   EXPECT_TRUE(one.Send(address(1), "spill", 1));  // nobody has subscribed
   EXPECT_TRUE(one.Send(address(2), "quota", 2));  // of another pool
   EXPECT_TRUE(one.Send(address(1), "quota", 3));
@@ -128,11 +128,11 @@
   while ((heard.empty() || wide.counts().received == 0) && std::chrono::steady_clock::now() < until)
     io.run_one_for(milliseconds(10));
   EXPECT_EQ(heard, std::vector<std::string>{"n1 3"});
-  const auto dropped = [](const fl::Node& node, fl::Drop why) {
+  const auto dropped = [](const fl::Node& node, fl::DropReason why) {
     return node.counts().dropped[static_cast<std::size_t>(why)];
   };
-  EXPECT_EQ(dropped(two, fl::Drop::kOtherChannel), 1u);
-  EXPECT_EQ(dropped(wide, fl::Drop::kForeignFleet), 1u);
+  EXPECT_EQ(dropped(two, fl::DropReason::kOtherChannel), 1u);
+  EXPECT_EQ(dropped(wide, fl::DropReason::kForeignFleet), 1u);
   for (fl::Node* node : {&one, &two, &wide}) node->Stop();
   io.run_for(milliseconds(10));
 }
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -160,7 +160,7 @@
   fl::Message message;
   message.kind = fl::Message::Kind::kState;
   message.sender = {"liar", Udp::endpoint(kNobody.address(), 9), fl::MemberState::kAlive, 1, ""};
-  const auto stamp = static_cast<fl::Stamp>(wall) << fl::kCounterBits;
+  const auto stamp = static_cast<fl::HybridTimestamp>(wall) << fl::kCounterBits;
   message.state = {{"v", server, stamp, "liar", static_cast<fl::UnixMs>(wall + 5000), 9, attempts}};
   boost::asio::io_context io;
   Udp::socket socket(io, Udp::endpoint(kNobody.address(), 0));
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -58,7 +58,7 @@
   faults.from = seconds(10);
   faults.to = seconds(40);
   faults.most = seconds(15);
-  faults.most_jump_ms = 100;  // a few of them are within most_skew
+  faults.most_jump_ms = 100;  // a few of them are within max_clock_skew
   faults.kinds = std::move(kinds);
   return {seed, DrawFaults(seed, faults)};
 }
@@ -85,13 +85,13 @@
   for (std::size_t i = 0; i < 24; ++i)
     world.At(seconds(38) + milliseconds(80 * i), [&federation, i] {
       PoolMember* teller = federation.member(i % federation.size(), i % 2);
-      if (teller) teller->Tell(fleet::Verdict{std::to_string(i), teller->host().Wall() + 19900, 9, 9});
+      if (teller) teller->Announce(fleet::Ejection{std::to_string(i), teller->host().Wall() + 19900, 9, 9});
     });
   world.RunUntil(seconds(40) + 3 * options.fleet.sync_interval);
   std::size_t held = 0;
   for (const std::size_t pool : {kSitePool, kWidePool}) {
     EXPECT_EQ(Joined(WrongStates(federation, pool)), "") << Write(trace);
-    held += federation.member(0, pool)->state().Verdicts(world.host(0).Wall()).size();
+    held += federation.member(0, pool)->state().Ejections(world.host(0).Wall()).size();
   }
   EXPECT_GT(held, 5u);
 }
@@ -153,7 +153,7 @@
     world.RunUntil(seconds(5));
     options.link.loss = 0.3;
     world.network().SetDefault(options.link);
-    federation.member(0, kSitePool)->Tell(fleet::Verdict{"s-1", world.host(0).Wall() + 2000, 9, 9});
+    federation.member(0, kSitePool)->Announce(fleet::Ejection{"s-1", world.host(0).Wall() + 2000, 9, 9});
     world.RunUntil(seconds(7));
   }
   const std::size_t missed = kVerdicts * (kMembers - 1) - takers.taken;
@@ -173,7 +173,7 @@
   world.Restart(1);
   world.RunUntil(seconds(5));
   const auto cut = world.network().Cut({0}, {1});
-  federation.member(0, kSitePool)->Tell(fleet::Verdict{"s-1", world.host(0).Wall() + 19000, 9, 9});
+  federation.member(0, kSitePool)->Announce(fleet::Ejection{"s-1", world.host(0).Wall() + 19000, 9, 9});
   world.RunUntil(seconds(7));
   world.network().End(cut);
   world.RunUntil(milliseconds(9900));
--- a/tests/model/registers.h
+++ b/tests/model/registers.h
@@ -21,23 +21,25 @@
     fl::StateOptions options;
     options.name = name;
     options.affinity_entries = 3;
-    options.longest_ejection = 20000;
-    options.way = 400;
+    options.max_ejection = 20000;
+    options.propagation_time = 400;
     return options;
   }
-  bool Listed(const std::string&) const override { return true; }
-  void Taken(const fl::Entry& entry) override { taken.push_back(entry); }
-  void Refused(const std::string&, const std::string&, fl::Refusal why) override { refused.push_back(why); }
-  void HearAll(Registers& from, fl::UnixMs now) {
-    for (const auto& piece : from.state.All(now, 1000)) state.Receive(now, piece);
+  bool IsListed(const std::string&) const override { return true; }
+  void OnAccepted(const fl::Entry& entry) override { accepted.push_back(entry); }
+  void OnRejected(const std::string&, const std::string&, fl::EntryRejection rejection) override {
+    rejected.push_back(rejection);
   }
-  std::vector<fl::Entry> taken;
-  std::vector<fl::Refusal> refused;
+  void ReceiveAll(Registers& from, fl::UnixMs now) {
+    for (const auto& entries : from.state.PackAll(now, 1000)) state.Receive(now, entries);
+  }
+  std::vector<fl::Entry> accepted;
+  std::vector<fl::EntryRejection> rejected;
   fl::SharedState state;
 };
 
 // Of the site of that number.
-inline fl::DutyFact FactOf(std::size_t number, fl::UnixMs until = kNow + 10000) {
+inline fl::FencedValue ValueOf(std::size_t number, fl::UnixMs until = kNow + 10000) {
   const std::string site = std::to_string(number);
   return {"ambassador/" + site, "estimate/" + site, 1, until, {{"mean", number}}};
 }
--- a/tests/model/sync_test.cpp
+++ b/tests/model/sync_test.cpp
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The exchange of what differs (docs/fleet.md): its pieces, two tables, two states, and fleets with members
+// The exchange of what differs (docs/fleet.md): its chunks, two tables, two states, and fleets with members
 // of the version before it.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
+#include "fleet/state/entry_codec.h"
 #include "fleet/sync/chunks.h"
 #include "fleet/wire/codec.h"
 #include "model/fleet/federation.h"
@@ -17,32 +18,32 @@
 using std::chrono::seconds;
 namespace fl = fleet;
 
-// Whatever the entries, all in the buckets are listed once, each in the slice of its piece and no other's, in
-// pieces that fit; and what no slice holds is what is said to be more.
-RC_GTEST_PROP(PiecesProperty, SlicesListAllThatTheyHold, ()) {
+// Whatever the entries, all in the buckets are listed once, each in the slice of its chunk and no other's, in
+// chunks that fit; and what no slice holds is what is said to be more.
+RC_GTEST_PROP(ChunksProperty, RangesListAllThatTheyContain, ()) {
   const auto count = std::size_t{8} << *rc::gen::inRange(0, 5);
-  std::bitset<fl::kMostBuckets> buckets;
-  for (std::size_t i = 0; i < count; ++i) buckets.set(i, *rc::gen::arbitrary<bool>());
-  std::vector<fl::Placed<std::uint64_t>> all;
-  for (const std::uint64_t place :
+  fl::BucketSet buckets{count, {}};
+  for (std::size_t i = 0; i < count; ++i) buckets.indices.set(i, *rc::gen::arbitrary<bool>());
+  std::vector<fl::HashedEntry<std::uint64_t>> all;
+  for (const std::uint64_t hash :
        *rc::gen::unique<std::vector<std::uint64_t>>(rc::gen::arbitrary<std::uint64_t>()))
-    all.push_back({place * 0x9e3779b97f4a7c15u, *rc::gen::inRange<std::size_t>(1, 100), place});
+    all.push_back({hash * 0x9e3779b97f4a7c15u, *rc::gen::inRange<std::size_t>(1, 100), hash});
   const auto start = *rc::gen::arbitrary<std::uint64_t>();
   const auto most = *rc::gen::inRange<std::size_t>(1, 20);
-  const auto pieces = fl::CutToPieces(all, count, buckets, start, 200, most);
-  RC_ASSERT(!pieces.empty() && pieces.size() <= most);
+  const auto chunks = fl::SplitIntoChunks(all, buckets, start, 200, most);
+  RC_ASSERT(!chunks.empty() && chunks.size() <= most);
   bool more = false;
   for (const auto& each : all) {
     int listed = 0;
-    for (const auto& [slice, entries] : pieces) {
+    for (const auto& [range, entries] : chunks) {
       const bool here = std::find(entries.begin(), entries.end(), each.entry) != entries.end();
-      RC_ASSERT(here == slice.Holds(each.place));
+      RC_ASSERT(here == range.Contains(each.hash));
       listed += here;
     }
     RC_ASSERT(listed <= 1);
-    more |= listed == 0 && buckets.test(fl::BucketAt(each.place, count));
+    more |= listed == 0 && buckets.indices.test(fl::BucketOf(each.hash, count));
   }
-  RC_ASSERT(more == pieces.back().slice.more);
+  RC_ASSERT(more == chunks.back().range.is_truncated);
 }
 
 // Two states that have some entries in common and some apart are the same after an answer and its return,
@@ -54,29 +55,30 @@
   const auto both = {&a, &b};
   for (std::size_t i = 0; i < common + apart; ++i) {
     const auto entries = nlohmann::json::array(
-        {fl::Pack({testing::FactOf(i), {(testing::kNow << fl::kCounterBits) + i, "writer"}})});
+        {fl::Pack({testing::ValueOf(i), {(testing::kNow << fl::kCounterBits) + i, "writer"}})});
     const auto who = i < common ? 2 : *rc::gen::inRange(0, 2);
     if (who != 1) a.state.Receive(testing::kNow, entries);
     if (who != 0) b.state.Receive(testing::kNow, entries);
   }
-  const std::size_t before = a.taken.size() + b.taken.size();
-  const auto theirs = a.state.Digests(testing::kNow, fl::Buckets::CountFor(a.state.size()));
+  const std::size_t before = a.accepted.size() + b.accepted.size();
+  const auto theirs =
+      a.state.ComputeBucketDigests(testing::kNow, fl::BucketDigests::CountFor(a.state.size()));
   std::size_t sent = 0;
-  for (const auto& piece :
-       b.state.Unlike(testing::kNow, theirs, *rc::gen::arbitrary<std::uint64_t>(), 1000, 1000)) {
+  for (const auto& chunk :
+       b.state.PackDiffering(testing::kNow, theirs, *rc::gen::arbitrary<std::uint64_t>(), 1000, 1000)) {
     auto listed = nlohmann::json::array();
-    for (const nlohmann::json& entry : piece.entries) listed.push_back(entry);
+    for (const nlohmann::json& entry : chunk.entries) listed.push_back(entry);
     sent += listed.size();
     a.state.Receive(testing::kNow, listed);
-    for (const auto& back : a.state.Lacking(testing::kNow, listed, piece.slice, 1000)) {
+    for (const auto& back : a.state.PackMissing(testing::kNow, listed, chunk.range, 1000)) {
       b.state.Receive(testing::kNow, back);
       sent += back.size();
     }
   }
-  RC_ASSERT(a.state.Digest(testing::kNow) == b.state.Digest(testing::kNow));
-  RC_ASSERT(a.taken.size() + b.taken.size() == before + apart);
+  RC_ASSERT(a.state.ComputeDigest(testing::kNow) == b.state.ComputeDigest(testing::kNow));
+  RC_ASSERT(a.accepted.size() + b.accepted.size() == before + apart);
   RC_ASSERT(sent <= apart * (4 + 3 * std::max<std::size_t>(8, (common + apart) / 64)));
-  for (auto* each : both) RC_ASSERT(each->refused.empty());
+  for (auto* each : both) RC_ASSERT(each->rejected.empty());
 }
 
 // One of the version before: it knows no buckets and no slices, and sends none.
@@ -104,9 +106,9 @@
     Host& host;
   };
   static Datagram Older(Datagram datagram) {
-    datagram.message.buckets.reset();
+    datagram.message.member_buckets.reset();
     datagram.message.state_buckets.reset();
-    datagram.message.slice.reset();
+    datagram.message.range.reset();
     return datagram;
   }
   OlderProgram(std::unique_ptr<Sender> sender, const FleetSetup& setup)
@@ -138,12 +140,12 @@
     world.RunUntil(seconds(40));
     for (const std::size_t teller : {0, 1, 6, 7})
       federation.member(teller, kSitePool)
-          ->Tell(fl::Verdict{std::to_string(teller), world.host(teller).Wall() + 19000, 9, 9});
+          ->Announce(fl::Ejection{std::to_string(teller), world.host(teller).Wall() + 19000, 9, 9});
     world.RunUntil(seconds(41));
     world.network().End(cut);
     world.RunUntil(seconds(58));
     EXPECT_EQ(WrongStates(federation, kSitePool).size(), 0u) << seed;
-    EXPECT_EQ(federation.member(0, kSitePool)->state().Verdicts(world.host(0).Wall()).size(), 4u) << seed;
+    EXPECT_EQ(federation.member(0, kSitePool)->state().Ejections(world.host(0).Wall()).size(), 4u) << seed;
     world.RunUntil(seconds(100));
     EXPECT_EQ(WrongViews(federation, kSitePool).size(), 0u) << seed;
   }
@@ -155,9 +157,9 @@
 struct SyncBytes : Observer {
   void OnSent(const PoolMember& by, const Endpoint&, const fl::Message& message) override {
     if (message.kind != fl::Message::Kind::kSync) return;
-    for (const fl::Update& update : message.updates) bytes += fl::SizeOf(update);
+    for (const fl::Update& update : message.updates) bytes += fl::EncodedSize(update);
     EXPECT_LE(message.updates.size() + fl::Encode(by.options().section.name, message).size(),
-              fl::kMostDatagram);
+              fl::kMaxDatagramBytes);
   }
   std::size_t bytes = 0;
 };
