--- a/src/fleet/node/channels.h
+++ b/src/fleet/node/payload_subscriptions.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Who takes the payloads that layers above the fleet send to each other.
-#ifndef LOAD_BALANCER_FLEET_NODE_CHANNELS_H_
-#define LOAD_BALANCER_FLEET_NODE_CHANNELS_H_
+#ifndef LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
+#define LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
 
 #include <functional>
 #include <map>
@@ -14,12 +14,12 @@
 namespace load_balancer::fleet {
 
 // Takes a payload as it came: whoever sent it may have sent anything. `sender` is as it sees itself.
-using TakePayload = std::function<void(const Update& sender, const nlohmann::json& payload)>;
+using PayloadHandler = std::function<void(const Update& sender, const nlohmann::json& payload)>;
 
-class Channels {
+class PayloadSubscriptions {
  public:
   // Replaces who took the channel before.
-  void Subscribe(std::string channel, TakePayload take) { takers_[std::move(channel)] = std::move(take); }
+  void Subscribe(std::string channel, PayloadHandler take) { takers_[std::move(channel)] = std::move(take); }
 
   // False if nobody takes this message's channel.
   bool Deliver(const Message& message) const {
@@ -30,9 +30,9 @@
   }
 
  private:
-  std::map<std::string, TakePayload> takers_;
+  std::map<std::string, PayloadHandler> takers_;
 };
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_NODE_CHANNELS_H_
+#endif  // LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
