--- a/bench/recovery_time.cpp
+++ b/bench/recovery_time.cpp
@@ -10,7 +10,7 @@
 
 #include "fleet_bench.h"
 #include "program_paths.h"
-#include "state/snapshot.h"
+#include "state/snapshot_file.h"
 
 namespace {
 
@@ -86,8 +86,8 @@
   for (const std::size_t n : entries) {
     times.clear();
     for (int i = 0; i < starts; ++i)
-      times.push_back(TimeToReady(member, restart,
-                                  [&] { st::WriteWhole(SnapshotOf(member), "", st::Encode(Sample(n))); }));
+      times.push_back(TimeToReady(
+          member, restart, [&] { st::WriteAtomically(SnapshotOf(member), "", st::Encode(Sample(n))); }));
     PrintStarts((std::to_string(n) + " entries").c_str(), times);
   }
   Cluster cluster(3, {{"probe_interval_ms", 200}}, config);
@@ -109,7 +109,7 @@
     for (int i = 0; i < times; ++i) {
       const auto began = Clock::now();
       const auto bytes = st::Encode(snapshot);
-      st::WriteWhole(folder.path / "w", folder.path / "w.previous", bytes);
+      st::WriteAtomically(folder.path / "w", folder.path / "w.previous", bytes);
       took.push_back(1000 * Seconds(Clock::now() - began));
       size = bytes.size();
     }
--- a/src/fleet/lease/vote_file.cpp
+++ b/src/fleet/lease/vote_file.cpp
@@ -9,7 +9,7 @@
 #include "base/log.h"
 #include "fleet/lease/failures.h"
 #include "fleet/lease/kept_votes.h"
-#include "state/snapshot.h"
+#include "state/snapshot_file.h"
 
 namespace load_balancer::fleet {
 VoteFile::VoteFile(std::string path, std::string name, std::vector<std::string> voters)
@@ -21,9 +21,9 @@
   // Of whatever age, and whatever the wall clock says: a vote is bound by the monotonic clock alone.
   constexpr auto kAny = std::numeric_limits<state::UnixMs>::max();
   auto read = state::ReadFile(path_, {name_, kAny / 2, kAny / 2, kAny / 2});
-  if (const auto* why = std::get_if<state::Refusal>(&read)) {
-    if (*why == state::Refusal::kAbsent) return std::nullopt;
-    return tl::unexpected(Failure(kVotesRefused, path_, std::string(state::Name(*why))));
+  if (const auto* rejection = std::get_if<state::SnapshotRejection>(&read)) {
+    if (*rejection == state::SnapshotRejection::kAbsent) return std::nullopt;
+    return tl::unexpected(Failure(kVotesRefused, path_, std::string(state::Name(*rejection))));
   }
   const state::Snapshot& snapshot = std::get<state::Snapshot>(read);
   KeptVotes kept;
@@ -42,7 +42,7 @@
 
 bool VoteFile::Save(const StoredVotes& votes) {
   try {
-    state::WriteWhole(path_, "", state::Encode({name_, sequence_ + 1, 0, ToJson({voters_, votes})}));
+    state::WriteAtomically(path_, "", state::Encode({name_, sequence_ + 1, 0, ToJson({voters_, votes})}));
     ++sequence_;
     return true;
   } catch (const std::system_error& error) {
--- a/src/proxy/maintenance.cpp
+++ b/src/proxy/maintenance.cpp
@@ -9,7 +9,7 @@
 
 #include "base/log.h"
 #include "proxy/failures.h"
-#include "state/snapshot.h"
+#include "state/snapshot_file.h"
 
 namespace load_balancer::proxy {
 
@@ -35,7 +35,8 @@
 void Maintenance::Write(const std::set<std::string>& out) const {
   std::string lines;
   for (const std::string& id : out) lines += id + '\n';
-  state::WriteWhole(path_, "", std::span(reinterpret_cast<const std::uint8_t*>(lines.data()), lines.size()));
+  state::WriteAtomically(path_, "",
+                         std::span(reinterpret_cast<const std::uint8_t*>(lines.data()), lines.size()));
 }
 
 bool Maintenance::Change(const std::string& id, bool out) {
--- a/src/proxy/recovery/recovery.cpp
+++ b/src/proxy/recovery/recovery.cpp
@@ -27,14 +27,14 @@
 
 void Recovery::Begin(const Config& config, const std::string& path) {
   if (!config.state.on) return;
-  state::KeeperOptions options;
+  state::SnapshotWriterOptions options;
   options.path = path;
   options.name = config.name;
   options.interval = config.state.snapshot_interval;
-  options.most_age = config.state.max_age;
-  options.most_skew = config.fleet.max_clock_skew;
-  keeper_ = std::make_unique<state::Keeper>(io_, options);
-  if (const auto body = keeper_->Recover()) {
+  options.max_age = config.state.max_age;
+  options.max_clock_skew = config.fleet.max_clock_skew;
+  snapshot_writer_ = std::make_unique<state::SnapshotWriter>(io_, options);
+  if (const auto body = snapshot_writer_->Recover()) {
     try {
       Take(*body);
     } catch (const nlohmann::json::exception& error) {
@@ -48,7 +48,7 @@
       log::Info("state", "no peer's state in time");
     });
   }
-  keeper_->Begin([this] { return Collect(); });
+  snapshot_writer_->Start([this] { return Collect(); });
 }
 
 void Recovery::OnJoined() {
--- a/src/proxy/recovery/recovery.h
+++ b/src/proxy/recovery/recovery.h
@@ -32,7 +32,7 @@
   // then on.
   void Begin(const Config& config, const std::string& path);
   // Waits for a write under way; no snapshot is kept from then on.
-  void End() { keeper_.reset(); }
+  void End() { snapshot_writer_.reset(); }
 
   // A peer's state is waited for.
   bool Waits() const { return waits_; }
@@ -51,7 +51,7 @@
   FederationLink& federation_;
   bool waits_ = false;
   boost::asio::steady_timer timer_;
-  std::unique_ptr<state::Keeper> keeper_;  // where the configuration has a state section
+  std::unique_ptr<state::SnapshotWriter> snapshot_writer_;  // where the configuration has a state section
 };
 
 }  // namespace load_balancer::proxy
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -1,20 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "snapshot.h"
+#include "state/snapshot.h"
 
-#include <fcntl.h>
-#include <unistd.h>
 #include <xxhash.h>
 
 #include <algorithm>
 #include <array>
-#include <cerrno>
-#include <cstdio>
 #include <cstring>
-#include <filesystem>
-#include <fstream>
-#include <system_error>
-
-#include "base/descriptor.h"
+#include <optional>
+#include <utility>
 
 namespace load_balancer::state {
 namespace {
@@ -22,129 +15,66 @@
 using nlohmann::json;
 
 constexpr std::array<std::uint8_t, 8> kMagic{'K', 'E', 'S', 'T', 'S', 'N', 'A', 'P'};
-constexpr std::size_t kPrefix = kMagic.size() + sizeof(XXH64_canonical_t);
-constexpr std::array<std::string_view, 10> kRefusals{
+constexpr std::size_t kHeaderBytes = kMagic.size() + sizeof(XXH64_canonical_t);
+constexpr std::array<std::string_view, 10> kRejectionNames{
     "absent",    "unreadable", "torn",         "no snapshot",     "checksum",
     "malformed", "version",    "another name", "from the future", "too old"};
 
-[[noreturn]] void Fail(const std::string& what) {
-  throw std::system_error(errno, std::generic_category(), what);
-}
-
-std::string FolderOf(const std::string& path) {
-  const std::string folder = std::filesystem::path(path).parent_path();
-  return folder.empty() ? "." : folder;
+// The seed ties the checksum to the format.
+std::uint64_t ChecksumOf(std::span<const std::uint8_t> content) {
+  return XXH64(content.data(), content.size(), kFormatVersion);
 }
 
-void Sync(int fd, const std::string& path) {
-  if (::fsync(fd) != 0) Fail(path);
+std::optional<SnapshotRejection> Check(const Snapshot& snapshot, const AcceptanceCriteria& criteria) {
+  if (!snapshot.body.is_object()) return SnapshotRejection::kMalformed;
+  if (snapshot.name != criteria.name) return SnapshotRejection::kOtherName;
+  if (snapshot.written_at > criteria.now + criteria.max_clock_skew) return SnapshotRejection::kFromFuture;
+  if (snapshot.written_at + criteria.max_age < criteria.now) return SnapshotRejection::kTooOld;
+  return std::nullopt;
 }
 
-void WriteAll(int fd, std::span<const std::uint8_t> bytes, const std::string& path) {
-  while (!bytes.empty()) {
-    const ssize_t n = ::write(fd, bytes.data(), bytes.size());
-    if (n < 0 && errno == EINTR) continue;
-    if (n < 0) Fail(path);
-    bytes = bytes.subspan(static_cast<std::size_t>(n));
-  }
-}
-
-void Rename(const std::string& from, const std::string& to) {
-  if (std::rename(from.c_str(), to.c_str()) != 0) Fail(to);
+// Throws json::exception if the content is malformed.
+std::variant<Snapshot, SnapshotRejection> DecodeContent(std::span<const std::uint8_t> content,
+                                                        const AcceptanceCriteria& criteria) {
+  json root = json::from_cbor(content.begin(), content.end());
+  if (root.at(0).get<std::uint64_t>() != kFormatVersion) return SnapshotRejection::kOtherVersion;
+  Snapshot snapshot{root.at(1).get<std::string>(), root.at(2).get<std::uint64_t>(), root.at(3).get<UnixMs>(),
+                    std::move(root.at(4))};
+  if (const auto rejection = Check(snapshot, criteria)) return *rejection;
+  return snapshot;
 }
 
 }  // namespace
 
-std::string_view Name(Refusal refusal) { return kRefusals.at(static_cast<std::size_t>(refusal)); }
-
-std::string PreviousOf(const std::string& path) { return path + ".previous"; }
-
-std::variant<Snapshot, Refusal> ReadFile(const std::string& path, const Expected& expected) {
-  std::error_code failed;
-  const auto size = std::filesystem::file_size(path, failed);
-  if (failed) return failed == std::errc::no_such_file_or_directory ? Refusal::kAbsent : Refusal::kUnreadable;
-  if (size > kMostFile) return Refusal::kNoSnapshot;
-  std::ifstream in(path, std::ios::binary);
-  std::vector<std::uint8_t> bytes(size);
-  in.read(reinterpret_cast<char*>(bytes.data()), static_cast<std::streamsize>(size));
-  if (!in) return Refusal::kUnreadable;
-  return Decode(bytes, expected);
+std::string_view Name(SnapshotRejection rejection) {
+  return kRejectionNames.at(static_cast<std::size_t>(rejection));
 }
 
 std::vector<std::uint8_t> Encode(const Snapshot& snapshot) {
-  const auto rest = json::to_cbor(
-      json::array({kFormatVersion, snapshot.name, snapshot.sequence, snapshot.wall, snapshot.body}));
+  const auto content = json::to_cbor(
+      json::array({kFormatVersion, snapshot.name, snapshot.sequence, snapshot.written_at, snapshot.body}));
   XXH64_canonical_t checksum;
-  XXH64_canonicalFromHash(&checksum, XXH64(rest.data(), rest.size(), kFormatVersion));
-  std::vector<std::uint8_t> file(kPrefix + rest.size());
+  XXH64_canonicalFromHash(&checksum, ChecksumOf(content));
+  std::vector<std::uint8_t> file(kHeaderBytes + content.size());
   auto end = std::copy(kMagic.begin(), kMagic.end(), file.begin());
   end = std::copy(std::begin(checksum.digest), std::end(checksum.digest), end);
-  std::copy(rest.begin(), rest.end(), end);
+  std::copy(content.begin(), content.end(), end);
   return file;
 }
 
-std::variant<Snapshot, Refusal> Decode(std::span<const std::uint8_t> file, const Expected& expected) {
-  if (file.size() <= kPrefix) return Refusal::kTorn;
-  if (!std::equal(kMagic.begin(), kMagic.end(), file.begin())) return Refusal::kNoSnapshot;
+std::variant<Snapshot, SnapshotRejection> Decode(std::span<const std::uint8_t> file,
+                                                 const AcceptanceCriteria& criteria) {
+  if (file.size() <= kHeaderBytes) return SnapshotRejection::kTruncated;
+  if (!std::equal(kMagic.begin(), kMagic.end(), file.begin())) return SnapshotRejection::kNotASnapshot;
   XXH64_canonical_t checksum;
   std::memcpy(checksum.digest, file.data() + kMagic.size(), sizeof checksum.digest);
-  const auto rest = file.subspan(kPrefix);
-  if (XXH64(rest.data(), rest.size(), kFormatVersion) != XXH64_hashFromCanonical(&checksum))
-    return Refusal::kChecksum;
+  const auto content = file.subspan(kHeaderBytes);
+  if (ChecksumOf(content) != XXH64_hashFromCanonical(&checksum)) return SnapshotRejection::kChecksum;
   try {
-    json root = json::from_cbor(rest.begin(), rest.end());
-    if (root.at(0).get<std::uint64_t>() != kFormatVersion) return Refusal::kVersion;
-    Snapshot snapshot{root.at(1).get<std::string>(), root.at(2).get<std::uint64_t>(),
-                      root.at(3).get<UnixMs>(), std::move(root.at(4))};
-    if (!snapshot.body.is_object()) return Refusal::kMalformed;
-    if (snapshot.name != expected.name) return Refusal::kName;
-    if (snapshot.wall > expected.now + expected.most_skew) return Refusal::kFuture;
-    if (snapshot.wall + expected.most_age < expected.now) return Refusal::kOld;
-    return snapshot;
+    return DecodeContent(content, criteria);
   } catch (const json::exception&) {
-    return Refusal::kMalformed;
-  }
-}
-
-void WriteWhole(const std::string& path, const std::string& previous, std::span<const std::uint8_t> bytes,
-                const std::function<void(Step)>& at) {
-  const auto reached = [&at](Step step) {
-    if (at) at(step);
-  };
-  // Two processes of one proxy may write at a time.
-  const std::string fresh = path + ".new." + std::to_string(::getpid());
-  const Descriptor file(::open(fresh.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-  if (!file) Fail(fresh);
-  reached(Step::kBegun);
-  WriteAll(file.get(), bytes, fresh);
-  reached(Step::kWritten);
-  Sync(file.get(), fresh);
-  reached(Step::kSynced);
-  std::error_code ignored;
-  if (!previous.empty() && std::filesystem::exists(path, ignored)) Rename(path, previous);
-  reached(Step::kSetAside);
-  Rename(fresh, path);
-  reached(Step::kRenamed);
-  const Descriptor folder(::open(FolderOf(path).c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  if (!folder) Fail(FolderOf(path));
-  Sync(folder.get(), FolderOf(path));
-  reached(Step::kDone);
-}
-
-std::variant<Snapshot, Refusal> Recover(const std::string& path, const Expected& expected,
-                                        const std::function<void(const std::string&, Refusal)>& refused) {
-  std::variant<Snapshot, Refusal> best = Refusal::kAbsent;
-  for (const std::string& each : {path, PreviousOf(path)}) {
-    auto read = ReadFile(each, expected);
-    if (const Refusal* why = std::get_if<Refusal>(&read)) {
-      if (*why != Refusal::kAbsent) refused(each, *why);
-      if (!std::holds_alternative<Snapshot>(best) && *why != Refusal::kAbsent) best = *why;
-      continue;
-    }
-    const auto* held = std::get_if<Snapshot>(&best);
-    if (!held || std::get<Snapshot>(read).sequence > held->sequence) best = std::move(read);
+    return SnapshotRejection::kMalformed;
   }
-  return best;
 }
 
 }  // namespace load_balancer::state
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -1,12 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A process's snapshot on disk: written whole or not at all, and verified before a byte of it is believed.
-// The format and the order of the writes are in docs/recovery.md.
+/// \file
+/// A process's snapshot: its form in a file, with a checksum that is verified before anything else is read.
+/// The format is in docs/recovery.md.
 #ifndef LOAD_BALANCER_STATE_SNAPSHOT_H_
 #define LOAD_BALANCER_STATE_SNAPSHOT_H_
 
+#include <cstddef>
 #include <cstdint>
-#include <functional>
 #include <nlohmann/json.hpp>
 #include <span>
 #include <string>
@@ -16,59 +17,48 @@
 
 namespace load_balancer::state {
 
+/// Milliseconds since the Unix epoch, or a span of that many milliseconds.
 using UnixMs = std::uint64_t;
 
 inline constexpr std::uint64_t kFormatVersion = 1;
-inline constexpr std::size_t kMostFile = 64 * 1024 * 1024;  // bytes; a larger file is no snapshot
+/// Largest file that is read as a snapshot.
+inline constexpr std::size_t kMaxFileBytes = 64 * 1024 * 1024;
 
 struct Snapshot {
-  std::string name;            // of the process that wrote it
-  std::uint64_t sequence = 0;  // grows with each one written under the name
-  UnixMs wall = 0;             // when it was written
-  nlohmann::json body;
+  std::string name;            ///< of the process that wrote it
+  std::uint64_t sequence = 0;  ///< grows with each snapshot written under the name
+  UnixMs written_at = 0;
+  nlohmann::json body;  ///< an object
 };
 
-enum class Refusal {
+/// Why a file is not used.
+enum class SnapshotRejection {
   kAbsent,
   kUnreadable,
-  kTorn,
-  kNoSnapshot,
+  kTruncated,
+  kNotASnapshot,  ///< wrong magic number, or larger than kMaxFileBytes
   kChecksum,
   kMalformed,
-  kVersion,
-  kName,
-  kFuture,
-  kOld
+  kOtherVersion,
+  kOtherName,
+  kFromFuture,
+  kTooOld
 };
-std::string_view Name(Refusal refusal);
 
-std::vector<std::uint8_t> Encode(const Snapshot& snapshot);
+/// The words for it in logs.
+std::string_view Name(SnapshotRejection rejection);
 
-// What a reader takes.
-struct Expected {
-  std::string name;
+/// The snapshots that a reader accepts.
+struct AcceptanceCriteria {
+  std::string name;  ///< of the process
   UnixMs now = 0;
-  UnixMs most_age = 0;   // ms
-  UnixMs most_skew = 0;  // ms that the wall clock may have stepped back
+  UnixMs max_age = 0;
+  UnixMs max_clock_skew = 0;  ///< that the wall clock may have stepped back
 };
-std::variant<Snapshot, Refusal> Decode(std::span<const std::uint8_t> file, const Expected& expected);
-
-// One file, of at most kMostFile bytes.
-std::variant<Snapshot, Refusal> ReadFile(const std::string& path, const Expected& expected);
-
-// The points between two steps of a write, at which a crash may come.
-enum class Step { kBegun, kWritten, kSynced, kSetAside, kRenamed, kDone };
 
-// Puts `bytes` in the place of `path`, and what was there at `previous` if that is not empty. Throws
-// std::system_error if it cannot; then the file in force is whole all the same. `at` is called at each step.
-void WriteWhole(const std::string& path, const std::string& previous, std::span<const std::uint8_t> bytes,
-                const std::function<void(Step)>& at = {});
-
-// The newest of the two files of `path` that passes. `refused` is called for each that does not, but for one
-// that is absent.
-std::variant<Snapshot, Refusal> Recover(const std::string& path, const Expected& expected,
-                                        const std::function<void(const std::string&, Refusal)>& refused);
-std::string PreviousOf(const std::string& path);
+std::vector<std::uint8_t> Encode(const Snapshot& snapshot);
+std::variant<Snapshot, SnapshotRejection> Decode(std::span<const std::uint8_t> file,
+                                                 const AcceptanceCriteria& criteria);
 
 }  // namespace load_balancer::state
 
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "snapshot_writer.h"
+#include "state/snapshot_writer.h"
 
 #include <spdlog/fmt/fmt.h>
 
@@ -9,67 +9,70 @@
 #include <utility>
 
 #include "base/log.h"
+#include "base/wall_clock.h"
 #include "state/failures.h"
+#include "state/snapshot_file.h"
 
 namespace load_balancer::state {
 namespace {
 
-UnixMs Now() {
-  const auto now = std::chrono::system_clock::now().time_since_epoch();
-  return static_cast<UnixMs>(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
+constexpr char kComponent[] = "state";
+
+void LogRejectedFile(const std::string& path, SnapshotRejection rejection) {
+  log::Warn(kComponent,
+            Failure(kSnapshotRefused, fmt::format("snapshot file={} refused={}", path, Name(rejection))));
 }
 
 }  // namespace
 
-Keeper::Keeper(boost::asio::io_context& io, KeeperOptions options)
+SnapshotWriter::SnapshotWriter(boost::asio::io_context& io, SnapshotWriterOptions options)
     : options_(std::move(options)), timer_(io) {}
 
-Keeper::~Keeper() { writer_.join(); }
+SnapshotWriter::~SnapshotWriter() { writer_.join(); }
 
-std::optional<nlohmann::json> Keeper::Recover() {
-  const Expected expected{options_.name, Now(), static_cast<UnixMs>(options_.most_age.count()),
-                          static_cast<UnixMs>(options_.most_skew.count())};
-  auto recovered = state::Recover(options_.path, expected, [](const std::string& file, Refusal why) {
-    log::Warn("state",
-              Failure(kSnapshotRefused, fmt::format("snapshot file={} refused={}", file, Name(why))));
-  });
+std::optional<nlohmann::json> SnapshotWriter::Recover() {
+  const AcceptanceCriteria criteria{options_.name, UnixMilliseconds(),
+                                    static_cast<UnixMs>(options_.max_age.count()),
+                                    static_cast<UnixMs>(options_.max_clock_skew.count())};
+  auto recovered = state::Recover(options_.path, criteria, LogRejectedFile);
   auto* snapshot = std::get_if<Snapshot>(&recovered);
   if (!snapshot) {
-    log::Info("state", "no snapshot to begin with");
+    log::Info(kComponent, "no snapshot to begin with");
     return std::nullopt;
   }
   sequence_ = snapshot->sequence;
-  log::Info("state", fmt::format("recovered sequence={} age_ms={}", snapshot->sequence,
-                                 expected.now - std::min(expected.now, snapshot->wall)));
+  const UnixMs age = criteria.now - std::min(criteria.now, snapshot->written_at);
+  log::Info(kComponent, fmt::format("recovered sequence={} age_ms={}", snapshot->sequence, age));
   return std::move(snapshot->body);
 }
 
-void Keeper::Begin(std::function<nlohmann::json()> collect) {
+void SnapshotWriter::Start(Collect collect) {
   collect_ = std::move(collect);
-  Arm();
+  ScheduleWrite();
 }
 
-void Keeper::Arm() {
+void SnapshotWriter::ScheduleWrite() {
   timer_.expires_after(options_.interval);
   timer_.async_wait([this](const boost::system::error_code& cancelled) {
     if (cancelled) return;
     Write();
-    Arm();
+    ScheduleWrite();
   });
 }
 
-// One at a time: while the disk is slower than the interval, snapshots are left out.
-void Keeper::Write() {
-  if (writing_.exchange(true)) return;
-  sequence_ = std::max(sequence_ + 1, Now());  // larger than one that was refused, too
-  Snapshot snapshot{options_.name, sequence_, Now(), collect_()};
+// While a write takes longer than the interval, further snapshots are skipped.
+void SnapshotWriter::Write() {
+  if (is_writing_.exchange(true)) return;
+  // The wall time makes the sequence larger than that of a file that was rejected, too.
+  sequence_ = std::max(sequence_ + 1, UnixMilliseconds());
+  Snapshot snapshot{options_.name, sequence_, UnixMilliseconds(), collect_()};
   boost::asio::post(writer_, [this, snapshot = std::move(snapshot)] {
     try {
-      WriteWhole(options_.path, PreviousOf(options_.path), Encode(snapshot));
+      WriteAtomically(options_.path, PreviousPath(options_.path), Encode(snapshot));
     } catch (const std::system_error& error) {
-      log::Error("state", Failure(kSnapshotNotWritten, options_.path, error.what()));
+      log::Error(kComponent, Failure(kSnapshotNotWritten, options_.path, error.what()));
     }
-    writing_ = false;
+    is_writing_ = false;
   });
 }
 
--- a/src/state/snapshot_writer.h
+++ b/src/state/snapshot_writer.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Keeps a process's snapshot: reads the last one at the start and writes a new one at each interval, by a
-// thread of its own, since the disk may be slow and requests must not wait for it.
+/// \file
+/// Recovers a process's last snapshot at the start and writes new ones at an interval. Files are written by a
+/// thread of their own, since the disk may be slow and requests must not wait for it.
 #ifndef LOAD_BALANCER_STATE_SNAPSHOT_WRITER_H_
 #define LOAD_BALANCER_STATE_SNAPSHOT_WRITER_H_
 
@@ -10,45 +11,48 @@
 #include <boost/asio/steady_timer.hpp>
 #include <boost/asio/thread_pool.hpp>
 #include <chrono>
+#include <cstdint>
 #include <functional>
+#include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
 
-#include "snapshot.h"
-
 namespace load_balancer::state {
 
-struct KeeperOptions {
-  std::string path;  // of the snapshot
-  std::string name;  // of the process
+struct SnapshotWriterOptions {
+  std::string path;  ///< of the snapshot
+  std::string name;  ///< of the process
   std::chrono::milliseconds interval{5000};
-  std::chrono::milliseconds most_age{60000};
-  std::chrono::milliseconds most_skew{500};
+  std::chrono::milliseconds max_age{60000};       ///< of a snapshot that is recovered
+  std::chrono::milliseconds max_clock_skew{500};  ///< that the wall clock may have stepped back
 };
 
-class Keeper {
+class SnapshotWriter {
  public:
-  Keeper(boost::asio::io_context& io, KeeperOptions options);
-  // Waits for a write under way.
-  ~Keeper();
-  Keeper(const Keeper&) = delete;
-  Keeper& operator=(const Keeper&) = delete;
+  /// Returns the body of a snapshot.
+  using Collect = std::function<nlohmann::json()>;
+
+  SnapshotWriter(boost::asio::io_context& io, SnapshotWriterOptions options);
+  /// Waits for a write in progress.
+  ~SnapshotWriter();
+  SnapshotWriter(const SnapshotWriter&) = delete;
+  SnapshotWriter& operator=(const SnapshotWriter&) = delete;
 
-  // The body of the last snapshot that passes, with one log line for it and for each file that does not.
+  /// The body of the newest acceptable snapshot. Logs it and each file that is rejected.
   std::optional<nlohmann::json> Recover();
-  // From now on `collect` is asked for a body at each interval, on the event loop.
-  void Begin(std::function<nlohmann::json()> collect);
+  /// Writes what `collect` returns at each interval from now on; it is called from the event loop.
+  void Start(Collect collect);
 
  private:
-  void Arm();
+  void ScheduleWrite();
   void Write();
 
-  const KeeperOptions options_;
+  const SnapshotWriterOptions options_;
   boost::asio::steady_timer timer_;
   boost::asio::thread_pool writer_{1};
-  std::atomic<bool> writing_ = false;
-  std::uint64_t sequence_ = 0;  // of the last one
-  std::function<nlohmann::json()> collect_;
+  std::atomic<bool> is_writing_ = false;
+  std::uint64_t sequence_ = 0;  // of the last snapshot
+  Collect collect_;
 };
 
 }  // namespace load_balancer::state
--- a/tests/compatibility/stored_files.cpp
+++ b/tests/compatibility/stored_files.cpp
@@ -35,15 +35,15 @@
 json FieldsOf(const state::Snapshot& snapshot) {
   return {{"name", snapshot.name},
           {"sequence", snapshot.sequence},
-          {"wall", snapshot.wall},
+          {"wall", snapshot.written_at},
           {"body", snapshot.body}};
 }
 
 json DecodedSnapshot(const Bytes& bytes) {
   constexpr std::uint64_t kMaxAgeMs = 60'000, kMaxSkewMs = 500;
   const auto snapshot = state::Decode(bytes, {kProcess, kWrittenAt + 1'000, kMaxAgeMs, kMaxSkewMs});
-  if (const auto* refusal = std::get_if<state::Refusal>(&snapshot))
-    throw std::runtime_error("refused: " + std::string(state::Name(*refusal)));
+  if (const auto* rejection = std::get_if<state::SnapshotRejection>(&snapshot))
+    throw std::runtime_error("refused: " + std::string(state::Name(*rejection)));
   return FieldsOf(std::get<state::Snapshot>(snapshot));
 }
 
@@ -51,7 +51,7 @@
   state::Snapshot snapshot;
   snapshot.name = kProcess;
   snapshot.sequence = 12;
-  snapshot.wall = kWrittenAt;
+  snapshot.written_at = kWrittenAt;
   snapshot.body = {{"verdicts", {{{"server", "server-1"}, {"until", 1764600005000.5}, {"multiplier", 3}}}},
                    {"pace", {0.125, 2.5, 1.75, 1.0625}},
                    {"incarnation", 1764600000001},
--- a/tests/state/recovery_test.cpp
+++ b/tests/state/recovery_test.cpp
@@ -7,7 +7,7 @@
 
 #include "fleet/cluster.h"
 #include "program_paths.h"
-#include "state/snapshot.h"
+#include "state/snapshot_file.h"
 
 namespace load_balancer::testing::fleet {
 namespace {
@@ -15,17 +15,17 @@
 namespace st = load_balancer::state;
 
 constexpr st::UnixMs kNow = 1700000000000;
-const st::Expected kExpected{"n1", kNow, 60000, 500};
+const st::AcceptanceCriteria kCriteria{"n1", kNow, 60000, 500};
 
 st::Snapshot Sample(std::uint64_t sequence, st::UnixMs wall = kNow) {
   return {"n1", sequence, wall, {{"verdicts", {{{"server", "s-1"}, {"until", kNow + 5}}}}, {"n", sequence}}};
 }
 
-std::optional<st::Refusal> RefusalOf(std::span<const std::uint8_t> file,
-                                     const st::Expected& expected = kExpected) {
-  const auto read = st::Decode(file, expected);
-  const auto* why = std::get_if<st::Refusal>(&read);
-  return why ? std::optional(*why) : std::nullopt;
+std::optional<st::SnapshotRejection> RejectionOf(std::span<const std::uint8_t> file,
+                                                 const st::AcceptanceCriteria& criteria = kCriteria) {
+  const auto read = st::Decode(file, criteria);
+  const auto* rejection = std::get_if<st::SnapshotRejection>(&read);
+  return rejection ? std::optional(*rejection) : std::nullopt;
 }
 
 void Put(const std::string& path, std::span<const std::uint8_t> bytes) {
@@ -35,13 +35,13 @@
 
 TEST(SnapshotFile, CutAtEveryByteAndWithEachBitFlippedItIsRefused) {
   const auto whole = st::Encode(Sample(7));
-  ASSERT_EQ(RefusalOf(whole), std::nullopt);
+  ASSERT_EQ(RejectionOf(whole), std::nullopt);
   for (std::size_t size = 0; size < whole.size(); ++size)
-    EXPECT_TRUE(RefusalOf(std::span(whole).first(size))) << size;
+    EXPECT_TRUE(RejectionOf(std::span(whole).first(size))) << size;
   for (std::size_t bit = 0; bit < whole.size() * 8; ++bit) {
     auto flipped = whole;
     flipped[bit / 8] ^= static_cast<std::uint8_t>(1u << bit % 8);
-    EXPECT_TRUE(RefusalOf(flipped)) << bit;
+    EXPECT_TRUE(RejectionOf(flipped)) << bit;
   }
 }
 
@@ -52,40 +52,41 @@
     std::vector<std::uint8_t> bytes(random() % 300);
     for (auto& byte : bytes) byte = static_cast<std::uint8_t>(random());
     if (i % 2 == 0) std::copy_n(whole.begin(), std::min<std::size_t>(bytes.size(), 16), bytes.begin());
-    EXPECT_TRUE(RefusalOf(bytes));
+    EXPECT_TRUE(RejectionOf(bytes));
   }
 }
 
 TEST(SnapshotFile, OfAnotherNameFromTheFutureOrTooOldItIsRefusedWithItsReason) {
-  auto other = kExpected;
+  auto other = kCriteria;
   other.name = "n2";
-  EXPECT_EQ(RefusalOf(st::Encode(Sample(1)), other), st::Refusal::kName);
-  EXPECT_EQ(RefusalOf(st::Encode(Sample(1, kNow + 501))), st::Refusal::kFuture);
-  EXPECT_EQ(RefusalOf(st::Encode(Sample(1, kNow - 60001))), st::Refusal::kOld);
-  EXPECT_EQ(RefusalOf(st::Encode({"n1", 1, kNow, "text"})), st::Refusal::kMalformed);
-  EXPECT_EQ(RefusalOf(std::vector<std::uint8_t>(100, 'x')), st::Refusal::kNoSnapshot);
+  EXPECT_EQ(RejectionOf(st::Encode(Sample(1)), other), st::SnapshotRejection::kOtherName);
+  EXPECT_EQ(RejectionOf(st::Encode(Sample(1, kNow + 501))), st::SnapshotRejection::kFromFuture);
+  EXPECT_EQ(RejectionOf(st::Encode(Sample(1, kNow - 60001))), st::SnapshotRejection::kTooOld);
+  EXPECT_EQ(RejectionOf(st::Encode({"n1", 1, kNow, "text"})), st::SnapshotRejection::kMalformed);
+  EXPECT_EQ(RejectionOf(std::vector<std::uint8_t>(100, 'x')), st::SnapshotRejection::kNotASnapshot);
 }
 
 struct Crash {};
 
 TEST(SnapshotFile, ACrashAtAnyStepLeavesTheOldOneOrTheNewOneWhole) {
-  for (const auto crash_at : {st::Step::kBegun, st::Step::kWritten, st::Step::kSynced, st::Step::kSetAside,
-                              st::Step::kRenamed, st::Step::kDone}) {
+  for (const auto crash_at : {st::WriteStep::kOpened, st::WriteStep::kWritten, st::WriteStep::kSynced,
+                              st::WriteStep::kPreviousKept, st::WriteStep::kRenamed, st::WriteStep::kDone}) {
     const Folder folder;
     const std::string path = folder.path / "p.snapshot";
-    st::WriteWhole(path, st::PreviousOf(path), st::Encode(Sample(1)));
-    st::WriteWhole(path, st::PreviousOf(path), st::Encode(Sample(2)));
-    EXPECT_THROW(st::WriteWhole(path, st::PreviousOf(path), st::Encode(Sample(3)),
-                                [&](st::Step step) {
-                                  if (step == crash_at) throw Crash();
-                                }),
+    st::WriteAtomically(path, st::PreviousPath(path), st::Encode(Sample(1)));
+    st::WriteAtomically(path, st::PreviousPath(path), st::Encode(Sample(2)));
+    EXPECT_THROW(st::WriteAtomically(path, st::PreviousPath(path), st::Encode(Sample(3)),
+                                     [&](st::WriteStep step) {
+                                       if (step == crash_at) throw Crash();
+                                     }),
                  Crash);
-    const auto recovered = st::Recover(path, kExpected, [](const std::string& file, st::Refusal why) {
-      ADD_FAILURE() << file << " " << st::Name(why);
-    });
+    const auto recovered =
+        st::Recover(path, kCriteria, [](const std::string& file, st::SnapshotRejection rejection) {
+          ADD_FAILURE() << file << " " << st::Name(rejection);
+        });
     ASSERT_TRUE(std::holds_alternative<st::Snapshot>(recovered));
     const auto& snapshot = std::get<st::Snapshot>(recovered);
-    EXPECT_EQ(snapshot.sequence, crash_at >= st::Step::kRenamed ? 3u : 2u);
+    EXPECT_EQ(snapshot.sequence, crash_at >= st::WriteStep::kRenamed ? 3u : 2u);
     EXPECT_EQ(snapshot.body, Sample(snapshot.sequence).body) << "a mix";
   }
 }
@@ -93,17 +94,19 @@
 TEST(SnapshotFile, ABadOneGivesWayToTheOneBefore) {
   const Folder folder;
   const std::string path = folder.path / "p.snapshot";
-  std::vector<st::Refusal> refused;
+  std::vector<st::SnapshotRejection> rejected;
   const auto recover = [&] {
-    return st::Recover(path, kExpected, [&](const std::string&, st::Refusal why) { refused.push_back(why); });
+    return st::Recover(path, kCriteria, [&](const std::string&, st::SnapshotRejection rejection) {
+      rejected.push_back(rejection);
+    });
   };
-  EXPECT_EQ(std::get<st::Refusal>(recover()), st::Refusal::kAbsent);
-  st::WriteWhole(path, st::PreviousOf(path), st::Encode(Sample(1)));
+  EXPECT_EQ(std::get<st::SnapshotRejection>(recover()), st::SnapshotRejection::kAbsent);
+  st::WriteAtomically(path, st::PreviousPath(path), st::Encode(Sample(1)));
   auto bytes = st::Encode(Sample(2));
   bytes.back() ^= 1;
-  st::WriteWhole(path, st::PreviousOf(path), bytes);
+  st::WriteAtomically(path, st::PreviousPath(path), bytes);
   EXPECT_EQ(std::get<st::Snapshot>(recover()).sequence, 1u);
-  EXPECT_EQ(refused, std::vector{st::Refusal::kChecksum});
+  EXPECT_EQ(rejected, std::vector{st::SnapshotRejection::kChecksum});
 }
 
 const nlohmann::json kOften{{"snapshot_interval_ms", 100}};
@@ -197,7 +200,7 @@
   member.process->Kill();
   for (const std::size_t size : {0u, 5u, 20u, 4000u}) {
     Put(SnapshotOf(member), std::vector<std::uint8_t>(size, 'K'));
-    std::filesystem::remove(st::PreviousOf(SnapshotOf(member)));
+    std::filesystem::remove(st::PreviousPath(SnapshotOf(member)));
     fleet.Restart(0);
     EXPECT_TRUE(member.process->WaitFor(".snapshot refused=")) << size;
     EXPECT_NE(Client(member.clients).Ask(Look()).result_int(), 0u) << "it serves";
