--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -4,6 +4,8 @@
 #include <algorithm>
 #include <utility>
 
+#include "fleet/node/lease_announcement.h"
+#include "fleet/node/section_options.h"
 #include "fleet/wire/codec.h"
 
 namespace load_balancer::model {
@@ -11,26 +13,14 @@
 
 using fleet::Message;
 
-fleet::MembershipOptions MembershipOf(const PoolOptions& options, const Host& host) {
-  const fleet::FleetSection& section = options.section;
-  fleet::MembershipOptions of;
-  of.fleet = section.name;
-  of.name = host.Name();
+fleet::MembershipOptions OptionsOf(const PoolOptions& options, const Host& host) {
+  auto of = fleet::MembershipOptionsOf(options.section, host.Name(), host.Wall(), options.seed);
   of.address = host.Address();
-  of.seeds = section.seeds;
-  of.probe_interval = section.probe_interval;
-  of.suspicion_multiplier = section.suspicion_multiplier;
-  of.indirect_probes = section.indirect_probes;
-  of.retransmit_multiplier = section.retransmit_multiplier;
-  of.sync_interval = section.sync_interval;
-  of.forget_after = section.forget_after;
-  of.incarnation = host.Wall();
-  of.seed = options.seed;
   return of;
 }
 
-std::int64_t Milliseconds(Span span) {
-  return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
+std::chrono::milliseconds Milliseconds(Span span) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(span);
 }
 
 }  // namespace
@@ -40,23 +30,17 @@
       options_(std::move(options)),
       gossip_(options_.section, host.Name(), static_cast<fleet::SharedState::Host&>(*this),
               static_cast<fleet::StateGossip::MessageSender&>(*this)),
-      allowance_(options_.section.max_bytes_per_second),
-      allowed_at_(host.Now()),
-      membership_(MembershipOf(options_, host), host.Now(), static_cast<fleet::Membership::Outlet&>(*this)),
+      budget_(options_.section.max_bytes_per_second, host.Now()),
+      membership_(OptionsOf(options_, host), host.Now(), static_cast<fleet::Membership::Outlet&>(*this)),
       votes_(host.Disk(), options_.pool, options_.section.seeds) {
   gossip_.Join(&membership_);
   if (options_.section.lease_term.count() > 0) StartLeases();
 }
 
 void PoolMember::StartLeases() {
-  fleet::LeaseOptions of;
+  fleet::LeaseOptions of = fleet::LeaseOptionsOf(options_.section, options_.duties, options_.seed);
   of.holder = Holder();
   of.address = host_.Address();
-  of.voters = options_.section.seeds;
-  of.term = options_.section.lease_term;
-  of.drift = options_.section.lease_drift;
-  of.duties = options_.duties;
-  of.seed = options_.seed;
   of.votes = votes_.Load().value();
   of.store = &votes_;
   leases_.emplace(std::move(of), host_.Now(), static_cast<fleet::Leases::Outlet&>(*this));
@@ -96,7 +80,7 @@
                          Span lasts) {
   if (!guard.Holds(host_.Now())) return false;
   const fleet::UnixMs now = host_.Wall();
-  const fleet::UnixMs until = now + static_cast<fleet::UnixMs>(Milliseconds(lasts));
+  const fleet::UnixMs until = now + static_cast<fleet::UnixMs>(Milliseconds(lasts).count());
   gossip_.Announce(now, fleet::FencedValue{guard.duty(), key, guard.token(), until, std::move(value)});
   return true;
 }
@@ -138,7 +122,10 @@
   Message whole = message;
   gossip_.AttachState(host_.Wall(), &whole);
   const std::size_t size = EncodedSize(whole);
-  if (!MaySend(size)) return void(++throttled_);
+  if (!budget_.TrySpend(host_.Now(), size)) {
+    ++throttled_;
+    return;
+  }
   if (options_.observer) options_.observer->OnSent(*this, to, whole);
   host_.Send(to, Datagram{options_.pool, std::move(whole)}, size);
 }
@@ -151,16 +138,6 @@
   return size;
 }
 
-bool PoolMember::MaySend(std::size_t size) {
-  const Time now = host_.Now();
-  const double most = options_.section.max_bytes_per_second;
-  const double since = std::chrono::duration<double>(now - std::exchange(allowed_at_, now)).count();
-  allowance_ = std::min(most, allowance_ + most * since);
-  if (allowance_ < static_cast<double>(size)) return false;
-  allowance_ -= static_cast<double>(size);
-  return true;
-}
-
 void PoolMember::Changed(const fleet::Member& member, std::optional<fleet::MemberState> before,
                          std::string_view) {
   if (options_.observer) options_.observer->OnChanged(*this, member, before);
@@ -176,11 +153,10 @@
 }
 
 void PoolMember::HearOfLease(const fleet::FencedValue& fenced) {
-  if (!leases_ || fenced.key != "lease/" + fenced.duty) return;
-  const auto left = std::clamp<std::int64_t>(fenced.value.at("left_ms").get<std::int64_t>(), 0,
-                                             options_.section.lease_term.count());
-  leases_->Hear(host_.Now(), fenced.duty, fenced.value.at("holder").get<std::string>(), fenced.token,
-                std::chrono::milliseconds(left));
+  if (!leases_) return;
+  const auto announcement = fleet::ReadLeaseAnnouncement(fenced, options_.section.lease_term);
+  if (!announcement) return;
+  leases_->Hear(host_.Now(), fenced.duty, announcement->holder, fenced.token, announcement->left);
 }
 
 void PoolMember::Send(const Endpoint& to, const fleet::LeaseMessage& lease) {
@@ -195,7 +171,8 @@
                         std::string_view) {
   if (options_.observer) options_.observer->OnRole(*this, duty, role, token, left);
   if (role != fleet::Role::kHolder) return;
-  Publish(duty, "lease/" + duty, {{"holder", Holder()}, {"left_ms", Milliseconds(left)}}, left);
+  const fleet::LeaseAnnouncement announcement{Holder(), Milliseconds(left)};
+  Publish(duty, fleet::AnnouncementKey(duty), ToJson(announcement), left);
 }
 
 }  // namespace load_balancer::model
--- a/model/fleet/member.h
+++ b/model/fleet/member.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member of one pool: membership, shared state and leases put together as src/fleet/node.cpp does it, with
-// a machine of the model in place of socket, timer and clocks.
+// A member of one pool: membership, shared state and leases put together as src/fleet/node/node.cpp does it,
+// with a machine of the model in place of socket, timer and clocks.
 #ifndef LOAD_BALANCER_MODEL_FLEET_MEMBER_H_
 #define LOAD_BALANCER_MODEL_FLEET_MEMBER_H_
 
@@ -13,6 +13,7 @@
 
 #include "fleet/lease/leases.h"
 #include "fleet/membership/membership.h"
+#include "fleet/node/send_budget.h"
 #include "fleet/section.h"
 #include "fleet/state/gossip.h"
 #include "fleet/wire/message.h"
@@ -108,13 +109,11 @@
   std::string Holder() const;
   void HearOfLease(const fleet::FencedValue& fact);
   std::size_t EncodedSize(const fleet::Message& message) const;
-  bool MaySend(std::size_t size);
 
   model::Host& host_;
   const PoolOptions options_;
   fleet::StateGossip gossip_;
-  double allowance_;  // bytes that may be sent now
-  Time allowed_at_;
+  fleet::SendBudget budget_;
   std::uint64_t throttled_ = 0, failures_ = 0;
   fleet::Membership membership_;
   DiskVotes votes_;
--- a/src/fleet/failures.h
+++ b/src/fleet/failures.h
@@ -10,7 +10,7 @@
 
 namespace load_balancer::fleet {
 
-inline constexpr FailureKind kAddressTaken{
+inline constexpr FailureKind kAddressInUse{
     "FLEET-1", "the address among members is not to be had",
     "end the process that has it, unless an upgrade is under way; it is tried again every probe interval"};
 inline constexpr FailureKind kDatagramsDropped{
@@ -22,15 +22,15 @@
     "see what else the machine runs; the member blames nobody for that time"};
 inline constexpr FailureKind kDisplaced{"FLEET-4", "another process has this name at a newer incarnation",
                                         "give each process a name of its own and start this one again"};
-inline constexpr FailureKind kEntryRefused{"FLEET-5", "an entry of the shared state was refused",
-                                           "see in docs/fleet.md what the reason means, and look at the "
-                                           "version and the clock of the member that it is from"};
+inline constexpr FailureKind kEntryRejected{"FLEET-5", "an entry of the shared state was refused",
+                                            "see in docs/fleet.md what the reason means, and look at the "
+                                            "version and the clock of the member that it is from"};
 inline constexpr FailureKind kBadListEntry{
     "FLEET-6", "an entry of the list of servers, made known by another member, is out of form",
     "bring all members to one version; the list that this process has stays in force"};
 
-inline constexpr std::array kFleetFailures{&kAddressTaken, &kDatagramsDropped, &kStalled,
-                                           &kDisplaced,    &kEntryRefused,     &kBadListEntry};
+inline constexpr std::array kFleetFailures{&kAddressInUse, &kDatagramsDropped, &kStalled,
+                                           &kDisplaced,    &kEntryRejected,    &kBadListEntry};
 
 }  // namespace load_balancer::fleet
 
--- a/src/fleet/node/describe.cpp
+++ b/src/fleet/node/describe.cpp
@@ -9,7 +9,7 @@
 namespace load_balancer::fleet {
 namespace {
 
-std::string LineOf(const Member& member, Time now) {
+std::string DescribeMember(const Member& member, Time now) {
   const std::chrono::duration<double> age = now - member.since;
   return fmt::format("{} {} {} {:.1f}s", member.last.name, Name(member.last.state), member.last.incarnation,
                      age.count());
@@ -17,22 +17,23 @@
 
 }  // namespace
 
-std::string DescribeMembers(const Membership& membership, const TrafficCounters& counts, Time now) {
-  std::string line = LineOf(membership.self(), now);
-  for (const auto& [name, member] : membership.others()) line += ", " + LineOf(member, now);
+std::string DescribeMembers(const Membership& membership, const TrafficCounters& counters, Time now) {
+  std::string line = DescribeMember(membership.self(), now);
+  for (const auto& [name, member] : membership.others()) line += ", " + DescribeMember(member, now);
   return line + fmt::format("; health={} sent={} bytes_sent={} received={} {}", membership.health(),
-                            counts.sent, counts.bytes_sent, counts.received, FormatDropCounters(counts));
+                            counters.sent, counters.bytes_sent, counters.received,
+                            FormatDropCounters(counters));
 }
 
-std::string DescribeState(const SharedState::Summary& all, int limit, int share) {
-  std::string line = fmt::format(
-      "verdicts={} newest_ms={} oldest_ms={}, affinity={} newest_ms={} oldest_ms={}, facts={}, limit={} "
-      "share={}; refused",
-      all.ejections.count, all.ejections.newest_age, all.ejections.oldest_age, all.affinities.count,
-      all.affinities.newest_age, all.affinities.oldest_age, all.fenced_values, limit, std::max(0, share));
-  for (int i = 0; i < kEntryRejections; ++i)
-    line += fmt::format(" {}={}", Name(static_cast<EntryRejection>(i)),
-                        all.rejected[static_cast<std::size_t>(i)]);
+std::string DescribeState(const SharedState::Summary& summary, int limit, int share) {
+  const auto& [ejections, affinities, fenced_values, rejected] = summary;
+  std::string line = fmt::format("verdicts={} newest_ms={} oldest_ms={}, ", ejections.count,
+                                 ejections.newest_age, ejections.oldest_age);
+  line += fmt::format("affinity={} newest_ms={} oldest_ms={}, ", affinities.count, affinities.newest_age,
+                      affinities.oldest_age);
+  line += fmt::format("facts={}, limit={} share={}; refused", fenced_values, limit, std::max(0, share));
+  for (std::size_t i = 0; i < rejected.size(); ++i)
+    line += fmt::format(" {}={}", Name(static_cast<EntryRejection>(i)), rejected[i]);
   return line;
 }
 
--- a/src/fleet/node/describe.h
+++ b/src/fleet/node/describe.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member and what it shares, in one line for operators.
+/// \file
+/// The answers to the operators' calls MEMBERS and STATE, each in one line.
 #ifndef LOAD_BALANCER_FLEET_NODE_DESCRIBE_H_
 #define LOAD_BALANCER_FLEET_NODE_DESCRIBE_H_
 
@@ -12,12 +13,12 @@
 
 namespace load_balancer::fleet {
 
-// Every member as "name state incarnation age", this one first, and the counts.
-std::string DescribeMembers(const Membership& membership, const TrafficCounters& counts, Time now);
+/// Every member as "name state incarnation age", this one first, and the traffic counters.
+std::string DescribeMembers(const Membership& membership, const TrafficCounters& counters, Time now);
 
-// Of each kind of shared state how much is held, its newest and oldest age, the share of the limit, and what
-// was refused.
-std::string DescribeState(const SharedState::Summary& all, int limit, int share);
+/// The count and the newest and oldest age of each kind of entry, the fleet's limit and this member's share
+/// of it, and how many entries were rejected for which reason.
+std::string DescribeState(const SharedState::Summary& summary, int limit, int share);
 
 }  // namespace load_balancer::fleet
 
--- a/src/fleet/node/fleet_listener.h
+++ b/src/fleet/node/fleet_listener.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a fleet tells the process that is a member of it.
+/// \file
+/// The interface by which a fleet informs the process that is a member of it.
 #ifndef LOAD_BALANCER_FLEET_NODE_FLEET_LISTENER_H_
 #define LOAD_BALANCER_FLEET_NODE_FLEET_LISTENER_H_
 
@@ -14,17 +15,19 @@
 class FleetListener {
  public:
   virtual ~FleetListener() = default;
-  // Whether discovery's list has the server now.
+  /// Whether discovery lists the server now.
   virtual bool IsListed(const std::string& server) const = 0;
+  /// Another member has ejected a server.
   virtual void OnEjection(const Ejection& ejection) = 0;
+  /// Another member sent a request with the key to the server at `written`.
   virtual void OnKeyAffinity(const KeyAffinity& affinity, UnixMs written) = 0;
-  // Of the fleet's limit of requests in flight at one server, what is this process's.
-  virtual void OnLimitShare(int most_in_flight) = 0;
-  // A peer's whole table and state have come for the first time.
+  /// This process may have so many requests in flight at one server.
+  virtual void OnLimitShare(int max_in_flight) = 0;
+  /// The whole table and state of a peer have been received for the first time.
   virtual void OnJoined() = 0;
-  // What this process is to a duty from now on.
+  /// The role of this process in a duty has changed or was renewed.
   virtual void OnRole(const std::string& duty, Role role) = 0;
-  // The holder of a duty has made this known.
+  /// The lease holder of a duty has published a value.
   virtual void OnFencedValue(const FencedValue& fenced) = 0;
 };
 
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "fleet/node/limit_share.h"
 
+#include <spdlog/fmt/fmt.h>
+
 #include <algorithm>
 #include <chrono>
 #include <utility>
@@ -8,57 +10,68 @@
 #include "base/log.h"
 
 namespace load_balancer::fleet {
+namespace {
 
 using Steady = std::chrono::steady_clock;
 
+// Until this member has received a table, its wait is that of a fleet of this size.
+constexpr std::size_t kAssumedMembers = 9;
+
+}  // namespace
+
 LimitShare::LimitShare(boost::asio::io_context& io, const FleetSection& section, std::string component,
-                       FleetListener& facts)
-    : section_(section), component_(std::move(component)), facts_(facts), settle_(io) {}
+                       FleetListener& listener)
+    : section_(section), component_(std::move(component)), listener_(listener), settle_timer_(io) {}
 
-// Until news of this process have gone round, the others hold on to its share.
 void LimitShare::Settle() {
-  settled_ = false;
+  is_settled_ = false;
   Update();
   const auto began = Steady::now();
-  settle_.expires_after(section_.probe_interval * MostTransmits(membership_->options(), 9));
-  settle_.async_wait([this, began](const boost::system::error_code& cancelled) {
+  settle_timer_.expires_after(section_.probe_interval *
+                              MostTransmits(membership_->options(), kAssumedMembers));
+  settle_timer_.async_wait([this, began](const boost::system::error_code& cancelled) {
     if (cancelled || !membership_) return;
-    const auto needed =
+    const auto dissemination_time =
         section_.probe_interval * MostTransmits(membership_->options(), membership_->present());
-    if (Steady::now() - began < needed) return Settle();
-    settled_ = true;
+    if (Steady::now() - began < dissemination_time) return Settle();
+    is_settled_ = true;
     Update();
   });
 }
 
 void LimitShare::Unsettle() {
-  settle_.cancel();
-  settled_ = false;
+  settle_timer_.cancel();
+  is_settled_ = false;
   Update();
 }
 
-// The members that hold a share: those that are present and, unless the present ones are most of all known,
-// those that are dead, too, since they may be the other side of a partition that goes on.
-int LimitShare::Share() const {
+// The members that hold a share: those that are present and, unless these are a majority of all known ones,
+// the dead ones, since they may be the other side of a partition that goes on serving.
+std::size_t LimitShare::CountHolders() const {
   std::size_t dead = 0;
-  for (const auto& [name, member] : membership_->others()) dead += member.last.state == MemberState::kDead;
+  for (const auto& [name, member] : membership_->others())
+    if (member.last.state == MemberState::kDead) ++dead;
   const std::size_t present = std::max<std::size_t>(1, membership_->present());
-  std::size_t holders = 2 * present > present + dead ? present : present + dead;
-  if (present == 1) holders = std::max(holders, section_.seeds.size());
-  return settled_ ? std::max(1, section_.server_limit / static_cast<int>(holders)) : 1;
+  const std::size_t holders = 2 * present > present + dead ? present : present + dead;
+  return present == 1 ? std::max(holders, section_.seeds.size()) : holders;
+}
+
+int LimitShare::ComputeShare() const {
+  if (!is_settled_) return 1;
+  return std::max(1, section_.server_limit / static_cast<int>(CountHolders()));
 }
 
 void LimitShare::Update() {
   if (section_.server_limit == 0 || !membership_) return;
-  const int share = Share();
+  const int share = ComputeShare();
   if (share == std::exchange(share_, share)) return;
-  log::Info(component_, "limit=" + std::to_string(section_.server_limit) + " share=" + std::to_string(share) +
-                            " present=" + std::to_string(membership_->present()));
-  facts_.OnLimitShare(share);
+  log::Info(component_, fmt::format("limit={} share={} present={}", section_.server_limit, share,
+                                    membership_->present()));
+  listener_.OnLimitShare(share);
 }
 
 void LimitShare::Stop() {
-  settle_.cancel();
+  settle_timer_.cancel();
   membership_ = nullptr;
 }
 
--- a/src/fleet/node/limit_share.h
+++ b/src/fleet/node/limit_share.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// This member's share of the fleet's limit of requests in flight at one server.
+/// \file
+/// This member's share of the fleet's limit of requests in flight at one server.
 #ifndef LOAD_BALANCER_FLEET_NODE_LIMIT_SHARE_H_
 #define LOAD_BALANCER_FLEET_NODE_LIMIT_SHARE_H_
 
@@ -16,32 +17,34 @@
 
 class LimitShare {
  public:
-  // `component` speaks in the log; `facts`, which outlives this, is told of each new share.
+  /// `component` is the name in log lines. `listener`, which outlives this, is informed of each new share.
   LimitShare(boost::asio::io_context& io, const FleetSection& section, std::string component,
-             FleetListener& facts);
+             FleetListener& listener);
 
-  // `membership` outlives this or the call of Stop.
+  /// `membership` outlives this or the call of Stop.
   void Join(const Membership* membership) { membership_ = membership; }
-  // The others may not know of this process: its share is 1 until news of it have gone round.
+  /// The other members may not know of this one: the share is 1 until they must have heard of it.
   void Settle();
-  // Its share is 1 until Settle is called.
+  /// The share is 1 until Settle is called.
   void Unsettle();
-  // Members have come or gone.
+  /// The set of members has changed.
   void Update();
   void Stop();
 
   int limit() const { return section_.server_limit; }
-  int share() const { return share_; }  // as last told; below 0: never
+  /// As the listener was last informed; below 0: never.
+  int share() const { return share_; }
 
  private:
-  int Share() const;
+  int ComputeShare() const;
+  std::size_t CountHolders() const;
 
   const FleetSection section_;
   const std::string component_;
-  FleetListener& facts_;
-  boost::asio::steady_timer settle_;
+  FleetListener& listener_;
+  boost::asio::steady_timer settle_timer_;
   const Membership* membership_ = nullptr;
-  bool settled_ = false;  // every member may be taken to know of this one
+  bool is_settled_ = false;
   int share_ = -1;
 };
 
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "fleet/node/node.h"
 
+#include <spdlog/fmt/fmt.h>
+
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -8,192 +10,204 @@
 #include "base/log.h"
 #include "base/wall_clock.h"
 #include "fleet/failures.h"
+#include "fleet/lease/failures.h"
 #include "fleet/node/describe.h"
+#include "fleet/node/section_options.h"
 
 namespace load_balancer::fleet {
 namespace {
 
 namespace asio = boost::asio;
-using Error = boost::system::error_code;
 using Steady = std::chrono::steady_clock;
-
-MembershipOptions OptionsOf(const FleetSection& section, const std::string& name, std::uint64_t seed) {
-  MembershipOptions options;
-  options.fleet = section.name;
-  options.name = name;
-  options.address = section.advertise;
-  options.seeds = section.seeds;
-  options.probe_interval = section.probe_interval;
-  options.suspicion_multiplier = section.suspicion_multiplier;
-  options.indirect_probes = section.indirect_probes;
-  options.retransmit_multiplier = section.retransmit_multiplier;
-  options.sync_interval = section.sync_interval;
-  options.forget_after = section.forget_after;
-  options.incarnation = UnixMilliseconds();
-  options.seed = seed;
-  return options;
-}
-
-double Seconds(Span span) { return std::chrono::duration<double>(span).count(); }
+using Seconds = std::chrono::duration<double>;
 
 TransportOptions TransportOptionsOf(const FleetSection& section, const std::string& component) {
   TransportOptions options;
   options.component = component;
   options.fleet = section.name;
   options.bind = section.bind;
-  options.retry = section.probe_interval;
+  options.retry_interval = section.probe_interval;
   options.max_bytes_per_second = section.max_bytes_per_second;
   return options;
 }
 
+bool IsValidPayload(const std::string& channel, const nlohmann::json& payload) {
+  return !channel.empty() && channel.size() <= kMaxChannelBytes &&
+         nlohmann::json::to_msgpack(payload).size() <= kMaxPayloadBytes;
+}
+
 }  // namespace
 
 Node::Node(asio::io_context& io, const FleetSection& section, const std::string& name, std::uint64_t seed,
-           FleetListener& facts, NodeOptions options)
+           FleetListener& listener, NodeOptions options)
     : section_(section),
       name_(name),
       seed_(seed),
       options_(std::move(options)),
-      facts_(facts),
+      listener_(listener),
       timer_(io),
       transport_(io, TransportOptionsOf(section, options_.component), *this),
-      state_(section, name, options_.component, facts, *this),
-      share_(io, section, options_.component, facts) {
+      state_(section, name, options_.component, listener, *this),
+      limit_share_(io, section, options_.component, listener),
+      leases_(section_, name_, seed_, options_, listener_, *this) {
   transport_.Open();
 }
 
 void Node::OnOpen() {
-  log::Info(options_.component, "joining fleet=" + section_.name + " member=" + name_ +
-                                    " bind=" + FormatEndpoint(section_.bind) +
-                                    " advertise=" + FormatEndpoint(section_.advertise));
-  membership_.emplace(OptionsOf(section_, name_, seed_), Steady::now(),
+  log::Info(options_.component,
+            fmt::format("joining fleet={} member={} bind={} advertise={}", section_.name, name_,
+                        FormatEndpoint(section_.bind), FormatEndpoint(section_.advertise)));
+  membership_.emplace(MembershipOptionsOf(section_, name_, UnixMilliseconds(), seed_), Steady::now(),
                       static_cast<Membership::Outlet&>(*this));
   state_.Join(&*membership_);
-  share_.Join(&*membership_);
-  if (away_) membership_->Leave(Steady::now());
-  StartLeases();
-  share_.Settle();
-  Arm();
+  limit_share_.Join(&*membership_);
+  if (has_left_) membership_->Leave(Steady::now());
+  leases_.Start(membership_->self().last.incarnation);
+  if (has_left_) leases_.Release();
+  Restore(saved_);
+  limit_share_.Settle();
+  ScheduleTick();
 }
 
 void Node::OnMessage(const Message& message) {
   membership_->Receive(Steady::now(), message);
   state_.Receive(message);
-  if (leases_ && message.lease) leases_->Receive(Steady::now(), message.sender.address, *message.lease);
-  const bool payload = message.kind == Message::Kind::kPayload && message.sender.name != name_;
-  if (payload && !channels_.Deliver(message)) transport_.Count(DropReason::kOtherChannel);
-  if (!stopped_) Arm();
+  if (message.lease) leases_.Receive(message.sender.address, *message.lease);
+  const bool is_payload = message.kind == Message::Kind::kPayload && message.sender.name != name_;
+  if (is_payload && !subscriptions_.Deliver(message)) transport_.CountDrop(DropReason::kOtherChannel);
+  if (!is_stopped_) ScheduleTick();
 }
 
-Node::Kept Node::Keep() const {
-  Kept kept = kept_;
-  if (membership_) kept.incarnation = membership_->self().last.incarnation;
-  for (const auto& [duty, kind] : options_.duties)
-    if (leases_) kept.tokens[duty] = leases_->largest(duty);
-  return kept;
+void Node::OnFencedValue(const FencedValue& fenced) {
+  if (!leases_.ReceiveAnnouncement(fenced)) listener_.OnFencedValue(fenced);
 }
 
-void Node::Restore(const Kept& kept) {
-  kept_ = kept;
-  if (membership_) membership_->Outlive(Steady::now(), kept.incarnation);
-  if (!leases_) return;
-  for (const auto& [duty, token] : kept.tokens) leases_->Outgrow(duty, token);
+Node::SavedState Node::Save() const {
+  SavedState saved = saved_;
+  if (membership_) saved.incarnation = membership_->self().last.incarnation;
+  for (const auto& [duty, token] : leases_.HighestTokens()) saved.tokens[duty] = token;
+  return saved;
 }
 
-void Node::Announce(Ejection ejection) { state_.Announce(std::move(ejection)); }
-void Node::Announce(KeyAffinity affinity) { state_.Announce(std::move(affinity)); }
+void Node::Restore(const SavedState& saved) {
+  saved_ = saved;
+  if (membership_) membership_->Outlive(Steady::now(), saved.incarnation);
+  leases_.RaiseTokens(saved.tokens);
+}
+
+Result<void> Node::Publish(const LeaseGuard& guard, const std::string& key, nlohmann::json value,
+                           Span lifetime) {
+  if (!guard.Holds(Steady::now())) return tl::unexpected(Failure(kPastDeadline, key));
+  const auto lifetime_ms = std::chrono::duration_cast<std::chrono::milliseconds>(lifetime).count();
+  const UnixMs until = UnixMilliseconds() + static_cast<UnixMs>(lifetime_ms);
+  state_.Announce(FencedValue{guard.duty(), key, guard.token(), until, std::move(value)});
+  return {};
+}
 
-void Node::Arm() {
-  const Time next = leases_ ? std::min(membership_->Next(), leases_->Next()) : membership_->Next();
-  if (next == armed_) return;
-  armed_ = next;
-  if (next == Time::max()) return void(timer_.cancel());
+void Node::ScheduleTick() {
+  const Time next = std::min(membership_->Next(), leases_.Next());
+  if (next == scheduled_tick_) return;
+  scheduled_tick_ = next;
+  if (next == Time::max()) {
+    timer_.cancel();
+    return;
+  }
   timer_.expires_at(next);
-  timer_.async_wait([this](const Error& cancelled) {
-    if (cancelled || stopped_) return;
-    membership_->Tick(Steady::now());
-    if (leases_) leases_->Tick(Steady::now(), UnixMilliseconds());
-    armed_ = {};
-    Arm();
+  timer_.async_wait([this](const boost::system::error_code& cancelled) {
+    if (!cancelled && !is_stopped_) Tick();
   });
 }
 
-bool Node::Send(const Udp::endpoint& to, std::string channel, nlohmann::json payload) {
-  if (channel.empty() || channel.size() > kMaxChannelBytes ||
-      nlohmann::json::to_msgpack(payload).size() > kMaxPayloadBytes)
-    return false;
-  if (!membership_) return true;
+void Node::Tick() {
+  membership_->Tick(Steady::now());
+  leases_.Tick();
+  scheduled_tick_ = {};
+  ScheduleTick();
+}
+
+Message Node::MakeMessage(Message::Kind kind) const {
   Message message;
-  message.kind = Message::Kind::kPayload;
+  message.kind = kind;
   message.sender = membership_->self().last;
+  return message;
+}
+
+bool Node::Send(const Udp::endpoint& to, std::string channel, nlohmann::json payload) {
+  if (!IsValidPayload(channel, payload)) return false;
+  if (!membership_) return true;
+  Message message = MakeMessage(Message::Kind::kPayload);
   message.channel = std::move(channel);
   message.payload = std::move(payload);
   Send(to, message);
   return true;
 }
 
+void Node::SendLease(const Udp::endpoint& to, const LeaseMessage& lease) {
+  Message message = MakeMessage(Message::Kind::kLease);
+  message.lease = lease;
+  Send(to, message);
+}
+
 void Node::Send(const Udp::endpoint& to, const Message& message) {
-  if (!transport_.open()) return;
-  Message whole = message;
-  state_.AttachState(&whole);
-  transport_.Send(to, whole);
+  if (!transport_.is_open()) return;
+  Message complete = message;
+  state_.AttachState(&complete);
+  transport_.Send(to, complete);
 }
 
 void Node::Changed(const Member& member, std::optional<MemberState> before, std::string_view why) {
   const Update& last = member.last;
-  std::string line = "member=" + last.name + " state=" + std::string(Name(last.state)) +
-                     " was=" + std::string(before ? Name(*before) : "unknown") +
-                     " incarnation=" + std::to_string(last.incarnation) +
-                     " address=" + FormatEndpoint(last.address) + " by=" + std::string(why);
-  log::Info(options_.component, line);
-  share_.Update();
+  log::Info(options_.component, fmt::format("member={} state={} was={} incarnation={} address={} by={}",
+                                            last.name, Name(last.state), before ? Name(*before) : "unknown",
+                                            last.incarnation, FormatEndpoint(last.address), why));
+  limit_share_.Update();
 }
 
 void Node::Stalled(Span late) {
-  log::Warn(options_.component,
-            Failure(kStalled, "stalled for " + std::to_string(std::lround(Seconds(late) * 1000)) + " ms"));
-  share_.Settle();  // the others may have taken this one's share meanwhile
+  const long late_ms = std::lround(Seconds(late).count() * 1000);
+  log::Warn(options_.component, Failure(kStalled, fmt::format("stalled for {} ms", late_ms)));
+  limit_share_.Settle();  // the other members may have taken this one's share meanwhile
 }
 
 void Node::Displaced(const Udp::endpoint& by) {
   log::Error(options_.component, Failure(kDisplaced, "displaced by=" + FormatEndpoint(by)));
-  share_.Unsettle();
-  if (leases_) leases_->Release(Steady::now());
+  limit_share_.Unsettle();
+  leases_.Release();
 }
 
 void Node::Leave() {
-  away_ = true;
+  has_left_ = true;
   if (!membership_) return;
-  if (leases_) leases_->Release(Steady::now());
+  leases_.Release();
   membership_->Leave(Steady::now());
-  Arm();
+  ScheduleTick();
 }
 
 void Node::Rejoin() {
-  away_ = false;
+  has_left_ = false;
   if (!membership_) return;
   membership_->Rejoin(Steady::now());
-  if (leases_) leases_->Resume(Steady::now());
-  Arm();
+  leases_.Resume();
+  ScheduleTick();
 }
 
 void Node::Stop() {
-  if (stopped_) return;
+  if (is_stopped_) return;
   Leave();
-  stopped_ = true;
+  is_stopped_ = true;
   timer_.cancel();
-  share_.Stop();
+  limit_share_.Stop();
   state_.Stop();
   transport_.Close();
 }
 
 std::string Node::DescribeState() {
-  return fleet::DescribeState(state_.Summarize(), share_.limit(), share_.share());
+  return fleet::DescribeState(state_.Summarize(), limit_share_.limit(), limit_share_.share());
 }
 
-std::string Node::Describe() const {
+std::string Node::DescribeMembers() const {
   if (!membership_) return name_ + " waits for its address";
-  return DescribeMembers(*membership_, counts(), Steady::now());
+  return fleet::DescribeMembers(*membership_, counters(), Steady::now());
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// This process as a member of a fleet: membership, shared state, leases and what else goes between members,
-// on one socket and one timer, with a log line of every change. A process may be a member of several fleets,
-// with a Node for each. Nothing here bears on where a request goes.
+/// \file
+/// This process as a member of a fleet: membership, replicated state, leases and payloads on one socket and
+/// one timer, with a log line for each change. A process may be a member of several fleets, with a Node for
+/// each. Where requests go is decided elsewhere.
 #ifndef LOAD_BALANCER_FLEET_NODE_NODE_H_
 #define LOAD_BALANCER_FLEET_NODE_NODE_H_
 
@@ -11,16 +12,14 @@
 #include <boost/asio/steady_timer.hpp>
 #include <cstdint>
 #include <map>
-#include <memory>
 #include <optional>
 #include <string>
-#include <vector>
 
-#include "fleet/lease/leases.h"
-#include "fleet/lease/vote_file.h"
 #include "fleet/membership/membership.h"
 #include "fleet/node/fleet_listener.h"
+#include "fleet/node/lease_participant.h"
 #include "fleet/node/limit_share.h"
+#include "fleet/node/node_options.h"
 #include "fleet/node/payload_subscriptions.h"
 #include "fleet/node/state_exchange.h"
 #include "fleet/node/transport.h"
@@ -28,81 +27,68 @@
 
 namespace load_balancer::fleet {
 
-// The duties that are done by one member at a time: discovery is available, maintenance exclusive.
-inline constexpr char kDiscoveryDuty[] = "discovery", kMaintenanceDuty[] = "maintenance";
-
-// Those of a site's fleet.
-inline std::vector<DutySpec> SiteDuties() {
-  return {{kDiscoveryDuty, DutyKind::kAvailable}, {kMaintenanceDuty, DutyKind::kExclusive}};
-}
-
-struct NodeOptions {
-  std::string component = "fleet";              // that speaks in the log
-  std::vector<DutySpec> duties = SiteDuties();  // with leases, where the section has a term
-  std::string votes;  // the file that keeps this voter's votes; empty: they are in memory alone
-};
-
 class Node : private Transport::Host,
              private Membership::Outlet,
              private StateExchange::Host,
-             private Leases::Outlet {
+             private LeaseParticipant::Host {
  public:
-  // Joins at once, or, while another process holds the address (one that this one replaces), as soon as that
-  // one leaves it. `name` is the member's, `seed` for random numbers. `facts` outlives this and is called
-  // from the event loop only, never from within the constructor.
+  /// Joins at once or, while another process has the address (one that this process replaces), as soon as
+  /// that one leaves it. `name` is the member's, `seed` that of random numbers. `listener` outlives this and
+  /// is called from the event loop only, never from within the constructor.
   Node(boost::asio::io_context& io, const FleetSection& section, const std::string& name, std::uint64_t seed,
-       FleetListener& facts, NodeOptions options = {});
+       FleetListener& listener, NodeOptions options = {});
 
   void Leave();
   void Rejoin();
-  // Leaves, and leaves the address to another process.
+  /// Leaves, and releases the address for another process.
   void Stop();
 
-  // For the process's next life; and what a life before had. To be called before the event loop runs.
-  struct Kept {
+  /// What a process hands on to its next incarnation, so that its claims and tokens are newer.
+  struct SavedState {
     std::uint64_t incarnation = 0;
-    std::map<std::string, Token> tokens;
+    std::map<std::string, Token> tokens;  ///< by duty
   };
-  Kept Keep() const;
-  void Restore(const Kept& kept);
-
-  // What this process has found, for its peers.
-  void Announce(Ejection ejection);
-  void Announce(KeyAffinity affinity);
-
-  // Whether this process is to do the duty: it holds the lease, or there are no leases, or, of an available
-  // duty, no quorum for one.
-  bool Does(const std::string& duty) const;
-  // The right to act for the duty; nothing unless this process holds its lease.
-  std::optional<LeaseGuard> Guard(const std::string& duty) const;
-  // Whether duties have leases here; without them each process does each duty.
-  bool leased() const { return section_.lease_term.count() > 0; }
-  // Another member is known to hold it.
-  bool IsFollowerOf(const std::string& duty) const;
-  // Of the lease that this process holds; 0 if it holds none.
-  Token HeldToken(const std::string& duty) const;
-  std::string HolderOf(const std::string& duty) const;
-  // Makes a fact of the guard's duty known for so long, under its token. Refuses with kPastDeadline.
-  Result<void> Publish(const LeaseGuard& guard, const std::string& key, nlohmann::json value, Span lasts);
-
-  // To a member's address, for who has subscribed to the channel there; a member that has none drops it. It
-  // may be lost, as any datagram may. False, and nothing is sent, if the channel's name is empty or over
-  // kMaxChannelBytes bytes or the payload over kMaxPayloadBytes bytes (MessagePack).
+  SavedState Save() const;
+  /// To be called before the event loop runs.
+  void Restore(const SavedState& saved);
+
+  /// Informs the peers of what this process has observed.
+  void Announce(Ejection ejection) { state_.Announce(std::move(ejection)); }
+  void Announce(KeyAffinity affinity) { state_.Announce(std::move(affinity)); }
+
+  /// Whether this process is to perform the duty: it holds the lease, or there are no leases, or no quorum
+  /// for the lease of an available duty.
+  bool IsResponsibleFor(const std::string& duty) const { return leases_.IsResponsibleFor(duty); }
+  /// The right to act for the duty; nothing unless this process holds its lease.
+  std::optional<LeaseGuard> Guard(const std::string& duty) const { return leases_.Guard(duty); }
+  /// Whether duties have leases; without leases each process performs each duty.
+  bool has_leases() const { return leases_.has_leases(); }
+  /// Whether another member is known to hold the duty's lease.
+  bool IsFollowerOf(const std::string& duty) const { return leases_.IsFollowerOf(duty); }
+  /// The token of the duty's lease if this process holds it; 0 otherwise.
+  Token HeldToken(const std::string& duty) const { return leases_.HeldToken(duty); }
+  std::string HolderOf(const std::string& duty) const { return leases_.HolderOf(duty); }
+  /// Publishes a value of the guard's duty for `lifetime`, under its token. Fails with kPastDeadline.
+  Result<void> Publish(const LeaseGuard& guard, const std::string& key, nlohmann::json value,
+                       Span lifetime) override;
+
+  /// Sends a payload to the subscriber of the channel at a member; one without subscriber drops it, and it
+  /// may be lost as any datagram. False, and nothing is sent, if the channel's name is empty or exceeds
+  /// kMaxChannelBytes, or the payload exceeds kMaxPayloadBytes.
   bool Send(const Udp::endpoint& to, std::string channel, nlohmann::json payload);
-  void Subscribe(std::string channel, PayloadHandler take) {
-    channels_.Subscribe(std::move(channel), std::move(take));
+  void Subscribe(std::string channel, PayloadHandler handler) {
+    subscriptions_.Subscribe(std::move(channel), std::move(handler));
   }
-  // Who is present; nothing until the address is had.
+  /// Null until the process has its address.
   const Membership* membership() const { return membership_ ? &*membership_ : nullptr; }
 
-  // One line: every duty as "duty role holder token left".
-  std::string DescribeLeases() const;
-  // One line: of each kind of shared state how much is held, its newest and oldest age, the share of the
-  // limit, and what was refused.
+  /// One line: every duty as "duty role holder token left".
+  std::string DescribeLeases() const { return leases_.Describe(); }
+  /// One line; see describe.h.
   std::string DescribeState();
-  // One line: every member as "name state incarnation age", this one first, and the counts.
-  std::string Describe() const;
-  const TrafficCounters& counts() const { return transport_.counts(); }
+  /// One line; see describe.h.
+  std::string DescribeMembers() const;
+  const TrafficCounters& counters() const { return transport_.counters(); }
 
  private:
   void OnOpen() override;
@@ -113,34 +99,30 @@
   void Stalled(Span late) override;
   void Displaced(const Udp::endpoint& by) override;
 
-  void OnFact(const FencedValue& fact) override;
+  void OnFencedValue(const FencedValue& fenced) override;
 
-  void Send(const Udp::endpoint& to, const LeaseMessage& message) override;
-  void OnRole(const std::string& duty, Role role, Token token, Span left, std::string_view why) override;
-  void OnFailure(const Failure& failure) override;
+  void SendLease(const Udp::endpoint& to, const LeaseMessage& lease) override;
 
-  void StartLeases();
-  void LoadVotes(LeaseOptions* options);
-  void Arm();
+  Message MakeMessage(Message::Kind kind) const;
+  void ScheduleTick();
+  void Tick();
 
   const FleetSection section_;
   const std::string name_;
   const std::uint64_t seed_;
   const NodeOptions options_;
-  FleetListener& facts_;
+  FleetListener& listener_;
   boost::asio::steady_timer timer_;
   Transport transport_;
   StateExchange state_;
-  LimitShare share_;
-  PayloadSubscriptions channels_;
-  bool stopped_ = false;
-  bool away_ = false;                     // told to leave while the address was not to be had
-  std::optional<Membership> membership_;  // once the address is had
-  std::string holder_;  // the name, the incarnation, and a mark that differs even if the wall clock went back
-  std::unique_ptr<VoteFile> votes_;
-  std::optional<Leases> leases_;  // where they are wanted
-  Time armed_{};
-  Kept kept_;  // of a life before
+  LimitShare limit_share_;
+  LeaseParticipant leases_;
+  PayloadSubscriptions subscriptions_;
+  std::optional<Membership> membership_;  // once the process has its address
+  SavedState saved_;                      // of a former incarnation
+  Time scheduled_tick_{};
+  bool is_stopped_ = false;
+  bool has_left_ = false;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/payload_subscriptions.h
+++ b/src/fleet/node/payload_subscriptions.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Who takes the payloads that layers above the fleet send to each other.
+/// \file
+/// Handlers of the payloads that layers above the fleet exchange, by channel.
 #ifndef LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
 #define LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
 
@@ -13,24 +14,26 @@
 
 namespace load_balancer::fleet {
 
-// Takes a payload as it came: whoever sent it may have sent anything. `sender` is as it sees itself.
+/// Takes a payload as it was received: it has not been validated. `sender` is the member as it sees itself.
 using PayloadHandler = std::function<void(const Update& sender, const nlohmann::json& payload)>;
 
 class PayloadSubscriptions {
  public:
-  // Replaces who took the channel before.
-  void Subscribe(std::string channel, PayloadHandler take) { takers_[std::move(channel)] = std::move(take); }
+  /// Replaces the channel's former handler.
+  void Subscribe(std::string channel, PayloadHandler handler) {
+    handlers_[std::move(channel)] = std::move(handler);
+  }
 
-  // False if nobody takes this message's channel.
+  /// False if the message's channel has no handler.
   bool Deliver(const Message& message) const {
-    const auto found = takers_.find(message.channel);
-    if (found == takers_.end()) return false;
+    const auto found = handlers_.find(message.channel);
+    if (found == handlers_.end()) return false;
     found->second(message.sender, message.payload);
     return true;
   }
 
  private:
-  std::map<std::string, PayloadHandler> takers_;
+  std::map<std::string, PayloadHandler> handlers_;  // by channel
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/state_exchange.cpp
+++ b/src/fleet/node/state_exchange.cpp
@@ -13,57 +13,64 @@
 namespace load_balancer::fleet {
 namespace {
 
-constexpr std::chrono::seconds kBetweenReports{10};  // of refused entries
-constexpr int kMostRefusalLines = 20;                // in that time
+constexpr std::chrono::seconds kRejectionLogInterval{10};
+constexpr int kMaxRejectionLines = 20;  // in an interval
+
+std::string OrDash(const std::string& text) { return text.empty() ? "-" : text; }
 
 }  // namespace
 
 StateExchange::StateExchange(const FleetSection& section, const std::string& name, std::string component,
-                             FleetListener& facts, Host& host)
+                             FleetListener& listener, Host& host)
     : name_(name),
       component_(std::move(component)),
-      facts_(facts),
+      listener_(listener),
       host_(host),
       gossip_(section, name, *this, host) {}
 
 void StateExchange::Receive(const Message& message) {
-  if (gossip_.Receive(UnixMilliseconds(), message)) facts_.OnJoined();
+  if (gossip_.Receive(UnixMilliseconds(), message)) listener_.OnJoined();
 }
 
 SharedState::Summary StateExchange::Summarize() { return gossip_.state().Summarize(UnixMilliseconds()); }
 
-bool StateExchange::IsListed(const std::string& server) const { return facts_.IsListed(server); }
+bool StateExchange::IsListed(const std::string& server) const { return listener_.IsListed(server); }
 
 void StateExchange::OnAccepted(const Entry& entry) {
   if (const auto* affinity = std::get_if<KeyAffinity>(&entry.content))
-    return facts_.OnKeyAffinity(*affinity, MillisecondsOf(entry.version.stamp));
-  if (const auto* fenced = std::get_if<FencedValue>(&entry.content)) return host_.OnFact(*fenced);
+    return listener_.OnKeyAffinity(*affinity, MillisecondsOf(entry.version.stamp));
+  if (const auto* fenced = std::get_if<FencedValue>(&entry.content)) return host_.OnFencedValue(*fenced);
   const Ejection& ejection = std::get<Ejection>(entry.content);
+  LogAcceptedEjection(ejection, entry.version);
+  listener_.OnEjection(ejection);
+}
+
+void StateExchange::LogAcceptedEjection(const Ejection& ejection, const Version& version) const {
   const UnixMs now = UnixMilliseconds();
+  const UnixMs age = now - std::min(now, MillisecondsOf(version.stamp));
   log::Info(component_,
             fmt::format("verdict server={} from={} failures={} attempts={} left_ms={} age_ms={} taken",
-                        ejection.server, entry.version.origin, ejection.failures, ejection.attempts,
-                        ejection.until - now, now - std::min(now, MillisecondsOf(entry.version.stamp))));
-  facts_.OnEjection(ejection);
+                        ejection.server, version.origin, ejection.failures, ejection.attempts,
+                        ejection.until - now, age));
 }
 
-// At most so many lines in a time: a member that lies must not fill the log.
-bool StateExchange::MayLogRefusal() {
+// A faulty member must not fill the log.
+bool StateExchange::MayLogRejection() {
   const Time now = std::chrono::steady_clock::now();
-  if (now - refusals_from_ >= kBetweenReports) {
-    refusals_from_ = now;
-    refusals_ = 0;
+  if (now - rejections_counted_from_ >= kRejectionLogInterval) {
+    rejections_counted_from_ = now;
+    rejections_ = 0;
   }
-  return ++refusals_ <= kMostRefusalLines;
+  ++rejections_;
+  return rejections_ <= kMaxRejectionLines;
 }
 
 void StateExchange::OnRejected(const std::string& subject, const std::string& origin,
                                EntryRejection rejection) {
-  if (MayLogRefusal())
-    log::Warn(component_,
-              Failure(kEntryRefused,
-                      fmt::format("state server={} from={} refused={}", subject.empty() ? "-" : subject,
-                                  origin.empty() ? "-" : origin, Name(rejection))));
+  if (!MayLogRejection()) return;
+  log::Warn(component_,
+            Failure(kEntryRejected, fmt::format("state server={} from={} refused={}", OrDash(subject),
+                                                OrDash(origin), Name(rejection))));
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/state_exchange.h
+++ b/src/fleet/node/state_exchange.h
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Shared state on a process's own clock, with a log line of what is taken and what is refused.
+/// \file
+/// The replicated state of this process: gossip on the wall clock, with a log line for each accepted ejection
+/// and each rejected entry.
 #ifndef LOAD_BALANCER_FLEET_NODE_STATE_EXCHANGE_H_
 #define LOAD_BALANCER_FLEET_NODE_STATE_EXCHANGE_H_
 
@@ -17,26 +19,26 @@
 
 class StateExchange : private SharedState::Host {
  public:
-  // Called from within the calls below.
+  /// Called from within the calls below.
   class Host : public StateGossip::MessageSender {
    public:
-    // Another member's fact of a duty, taken for the first time.
-    virtual void OnFact(const FencedValue& fact) = 0;
+    /// Another member's value of a duty has been accepted.
+    virtual void OnFencedValue(const FencedValue& fenced) = 0;
   };
 
-  // `component` speaks in the log. `facts` and `host` outlive this.
+  /// `component` is the name in log lines. `listener` and `host` outlive this.
   StateExchange(const FleetSection& section, const std::string& name, std::string component,
-                FleetListener& facts, Host& host);
+                FleetListener& listener, Host& host);
 
-  // From now on there are others to tell. `membership` outlives this or the call of Stop.
+  /// Entries are exchanged from now on. `membership` outlives this or the call of Stop.
   void Join(Membership* membership) { gossip_.Join(membership); }
   void Stop() { gossip_.Stop(); }
 
   void Receive(const Message& message);
-  // Adds entries as far as there is room, or, to a table, the digests of them all.
+  /// Adds entries as far as there is room, or, to a sync, the digests of all entries.
   void AttachState(Message* message) { gossip_.AttachState(UnixMilliseconds(), message); }
 
-  // This process's own. A key's site waits for the next message that has room.
+  /// Disseminates an entry of this process. An affinity waits for a message that has room.
   void Announce(Ejection ejection) { gossip_.Announce(UnixMilliseconds(), std::move(ejection)); }
   void Announce(KeyAffinity affinity) { gossip_.Announce(UnixMilliseconds(), std::move(affinity)); }
   void Announce(FencedValue fenced) { gossip_.Announce(UnixMilliseconds(), std::move(fenced)); }
@@ -48,14 +50,16 @@
   void OnAccepted(const Entry& entry) override;
   void OnRejected(const std::string& subject, const std::string& origin, EntryRejection rejection) override;
 
-  bool MayLogRefusal();
+  void LogAcceptedEjection(const Ejection& ejection, const Version& version) const;
+  bool MayLogRejection();
 
-  const std::string name_, component_;
-  FleetListener& facts_;
+  const std::string name_;
+  const std::string component_;
+  FleetListener& listener_;
   Host& host_;
   StateGossip gossip_;
-  Time refusals_from_{};  // of the count that follows
-  int refusals_ = 0;
+  Time rejections_counted_from_{};
+  int rejections_ = 0;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/traffic_counters.h
+++ b/src/fleet/node/traffic_counters.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a member has sent, received and dropped.
+/// \file
+/// Counters of the datagrams that a member has sent, received and dropped.
 #ifndef LOAD_BALANCER_FLEET_NODE_TRAFFIC_COUNTERS_H_
 #define LOAD_BALANCER_FLEET_NODE_TRAFFIC_COUNTERS_H_
 
@@ -13,14 +14,16 @@
 namespace load_balancer::fleet {
 
 struct TrafficCounters {
-  std::uint64_t received = 0, sent = 0;               // datagrams
-  std::uint64_t bytes_received = 0, bytes_sent = 0;   // of datagrams
-  std::array<std::uint64_t, kDropReasons> dropped{};  // received, by DropReason
-  std::uint64_t throttled = 0;                        // not sent, for the sake of max_bytes_per_second
+  std::uint64_t received = 0;  ///< datagrams
+  std::uint64_t sent = 0;
+  std::uint64_t bytes_received = 0;
+  std::uint64_t bytes_sent = 0;
+  std::array<std::uint64_t, kDropReasons> dropped{};  ///< received datagrams, by DropReason
+  std::uint64_t throttled = 0;                        ///< not sent because of max_bytes_per_second
 };
 
-// "malformed=.. oversized=.. foreign=.. version=.. channel=.. throttled=.."
-std::string FormatDropCounters(const TrafficCounters& counts);
+/// "malformed=N oversized=N foreign=N version=N channel=N throttled=N".
+std::string FormatDropCounters(const TrafficCounters& counters);
 
 }  // namespace load_balancer::fleet
 
--- a/src/fleet/node/transport.cpp
+++ b/src/fleet/node/transport.cpp
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "fleet/node/transport.h"
 
-#include <algorithm>
 #include <boost/asio/buffer.hpp>
 #include <utility>
 
@@ -15,7 +14,7 @@
 using Error = boost::system::error_code;
 using Steady = std::chrono::steady_clock;
 
-constexpr std::chrono::seconds kBetweenReports{10};  // of what was dropped
+constexpr std::chrono::seconds kDropLogInterval{10};
 
 }  // namespace
 
@@ -23,87 +22,84 @@
     : options_(std::move(options)),
       host_(host),
       socket_(io),
-      again_(io),
-      allowance_(options_.max_bytes_per_second),
-      allowed_at_(Steady::now()) {}
+      retry_timer_(io),
+      budget_(options_.max_bytes_per_second, Steady::now()) {}
 
 void Transport::Open() {
-  Error failed;
-  socket_.open(options_.bind.protocol(), failed);
-  if (!failed) socket_.bind(options_.bind, failed);
-  if (!failed) socket_.non_blocking(true, failed);
-  if (!failed) {
-    host_.OnOpen();
-    return Receive();
+  if (const Error failure = Bind()) return RetryOpen(failure);
+  host_.OnOpen();
+  Receive();
+}
+
+Error Transport::Bind() {
+  Error failure;
+  socket_.open(options_.bind.protocol(), failure);
+  if (!failure) socket_.bind(options_.bind, failure);
+  if (!failure) socket_.non_blocking(true, failure);
+  return failure;
+}
+
+void Transport::RetryOpen(const Error& failure) {
+  if (!std::exchange(has_logged_failure_, true)) {
+    const std::string address = FormatEndpoint(options_.bind);
+    log::Warn(options_.component,
+              Failure(kAddressInUse, "cannot have " + address + " yet: " + failure.message()));
   }
-  if (!std::exchange(waits_, true))
-    log::Warn(options_.component, Failure(kAddressTaken, "cannot have " + FormatEndpoint(options_.bind) +
-                                                             " yet: " + failed.message()));
   Error ignored;
   socket_.close(ignored);
-  again_.expires_after(options_.retry);
-  again_.async_wait([this](const Error& cancelled) {
-    if (!cancelled && !closed_) Open();
+  retry_timer_.expires_after(options_.retry_interval);
+  retry_timer_.async_wait([this](const Error& cancelled) {
+    if (!cancelled && !is_closed_) Open();
   });
 }
 
 void Transport::Close() {
-  closed_ = true;
-  again_.cancel();
+  is_closed_ = true;
+  retry_timer_.cancel();
   Error ignored;
   socket_.close(ignored);
 }
 
 void Transport::Receive() {
-  socket_.async_receive_from(asio::buffer(in_), from_, [this](const Error& failed, std::size_t size) {
-    if (failed == asio::error::operation_aborted || closed_) return;
-    if (!failed) OnDatagram(size);
-    Receive();
-  });
+  socket_.async_receive_from(asio::buffer(receive_buffer_), sender_,
+                             [this](const Error& failure, std::size_t size) {
+                               if (failure == asio::error::operation_aborted || is_closed_) return;
+                               if (!failure) OnDatagram(size);
+                               Receive();
+                             });
 }
 
 void Transport::OnDatagram(std::size_t size) {
-  ++counts_.received;
-  counts_.bytes_received += size;
-  const auto decoded = Decode(options_.fleet, std::span(in_).first(size));
-  if (const DropReason* drop = std::get_if<DropReason>(&decoded)) return Count(*drop);
+  ++counters_.received;
+  counters_.bytes_received += size;
+  const auto decoded = Decode(options_.fleet, std::span(receive_buffer_).first(size));
+  if (const auto* reason = std::get_if<DropReason>(&decoded)) return CountDrop(*reason);
   host_.OnMessage(std::get<Message>(decoded));
 }
 
-void Transport::Count(DropReason drop) {
-  ++counts_.dropped[static_cast<std::size_t>(drop)];
-  ReportDrops();
-}
-
-// One line for the first, and then at most one in ten seconds: whoever floods must not fill the log.
-void Transport::ReportDrops() {
-  const Time now = Steady::now();
-  if (now < report_at_) return;
-  report_at_ = now + kBetweenReports;
-  log::Warn(options_.component, Failure(kDatagramsDropped, "dropped " + FormatDropCounters(counts_)));
+void Transport::CountDrop(DropReason reason) {
+  ++counters_.dropped[static_cast<std::size_t>(reason)];
+  LogDrops();
 }
 
-// A bucket of one second's worth.
-bool Transport::MaySend(std::size_t size) {
+// Logs the first drop and then at most one line in an interval, so that a flood does not fill the log.
+void Transport::LogDrops() {
   const Time now = Steady::now();
-  const double most = options_.max_bytes_per_second;
-  const std::chrono::duration<double> since = now - std::exchange(allowed_at_, now);
-  allowance_ = std::min(most, allowance_ + most * since.count());
-  if (allowance_ < static_cast<double>(size)) return false;
-  allowance_ -= static_cast<double>(size);
-  return true;
+  if (now < next_drop_log_) return;
+  next_drop_log_ = now + kDropLogInterval;
+  log::Warn(options_.component, Failure(kDatagramsDropped, "dropped " + FormatDropCounters(counters_)));
 }
 
 void Transport::Send(const Udp::endpoint& to, const Message& message) {
-  const auto bytes = Encode(options_.fleet, message);
-  if (!MaySend(bytes.size())) {
-    ++counts_.throttled;
-    return ReportDrops();
+  const auto datagram = Encode(options_.fleet, message);
+  if (!budget_.TrySpend(Steady::now(), datagram.size())) {
+    ++counters_.throttled;
+    return LogDrops();
   }
-  Error lost;  // as any datagram may be
-  socket_.send_to(asio::buffer(bytes), to, 0, lost);
-  ++counts_.sent;
-  counts_.bytes_sent += bytes.size();
+  Error ignored;  // a datagram may be lost anyway
+  socket_.send_to(asio::buffer(datagram), to, 0, ignored);
+  ++counters_.sent;
+  counters_.bytes_sent += datagram.size();
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/transport.h
+++ b/src/fleet/node/transport.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The UDP socket of a member: datagrams in and out, at most so many bytes a second out, and the counts of
-// what was dropped.
+/// \file
+/// The UDP socket of a member: sends and receives messages within a bandwidth limit and counts what it drops.
 #ifndef LOAD_BALANCER_FLEET_NODE_TRANSPORT_H_
 #define LOAD_BALANCER_FLEET_NODE_TRANSPORT_H_
 
@@ -10,63 +10,68 @@
 #include <boost/asio/ip/udp.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
+#include <cstddef>
+#include <cstdint>
 #include <string>
 
 #include "base/time.h"
+#include "fleet/node/send_budget.h"
 #include "fleet/node/traffic_counters.h"
 #include "fleet/wire/codec.h"
 
 namespace load_balancer::fleet {
 
 struct TransportOptions {
-  std::string component;  // that speaks in the log
-  std::string fleet;      // whose messages are taken
+  std::string component;  ///< the name in log lines
+  std::string fleet;      ///< messages of other fleets are dropped
   Udp::endpoint bind;
-  std::chrono::milliseconds retry{1000};  // while another process holds the address
-  double max_bytes_per_second = 65536;    // sent, in bursts of up to one second's worth
+  std::chrono::milliseconds retry_interval{1000};  ///< while another process has the address
+  double max_bytes_per_second = 65536;             ///< sent, in bursts of up to one second's worth
 };
 
 class Transport {
  public:
-  // Called from the event loop, OnOpen also from within Open.
+  /// Called from the event loop, OnOpen also from within Open.
   class Host {
    public:
     virtual ~Host() = default;
-    // The address is had; messages come from now on.
+    /// The socket is bound; messages are received from now on.
     virtual void OnOpen() = 0;
     virtual void OnMessage(const Message& message) = 0;
   };
 
+  /// `host` outlives this.
   Transport(boost::asio::io_context& io, TransportOptions options, Host& host);
 
-  // Takes the address, or waits until another process leaves it.
+  /// Binds the address, as soon as no other process has it.
   void Open();
   void Close();
-  bool open() const { return socket_.is_open(); }
+  bool is_open() const { return socket_.is_open(); }
 
-  // The message may be lost, as any datagram may.
+  /// Sends the message, which may be lost as any datagram, unless the bandwidth limit is reached.
   void Send(const Udp::endpoint& to, const Message& message);
-  // A message that came was of no use.
-  void Count(DropReason drop);
-  const TrafficCounters& counts() const { return counts_; }
+  /// Counts a received message that was dropped.
+  void CountDrop(DropReason reason);
+  const TrafficCounters& counters() const { return counters_; }
 
  private:
+  boost::system::error_code Bind();
+  void RetryOpen(const boost::system::error_code& failure);
   void Receive();
   void OnDatagram(std::size_t size);
-  void ReportDrops();
-  bool MaySend(std::size_t size);
+  void LogDrops();
 
   const TransportOptions options_;
   Host& host_;
   Udp::socket socket_;
-  boost::asio::steady_timer again_;
-  std::array<std::uint8_t, kMaxDatagramBytes + 1> in_{};
-  Udp::endpoint from_;
-  TrafficCounters counts_;
-  Time report_at_{};
-  double allowance_;  // bytes that may be sent now
-  Time allowed_at_;
-  bool closed_ = false, waits_ = false;
+  boost::asio::steady_timer retry_timer_;
+  std::array<std::uint8_t, kMaxDatagramBytes + 1> receive_buffer_{};
+  Udp::endpoint sender_;
+  TrafficCounters counters_;
+  SendBudget budget_;
+  Time next_drop_log_{};
+  bool is_closed_ = false;
+  bool has_logged_failure_ = false;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/proxy/admin/admin_handler.cpp
+++ b/src/proxy/admin/admin_handler.cpp
@@ -79,7 +79,7 @@
   Federation* const sites = federation_.federation();
   if (!node) return OperatorReply::No(Failure(kNoFleet, "no fleet"));
   if (verb == OperatorCall::Verb::kMembers)
-    return OperatorReply::Yes(JoinParts(node->Describe(), sites ? sites->Members() : ""));
+    return OperatorReply::Yes(JoinParts(node->DescribeMembers(), sites ? sites->Members() : ""));
   if (verb == OperatorCall::Verb::kState)
     return OperatorReply::Yes(JoinParts(node->DescribeState(), sites ? sites->State() : ""));
   const std::string leases = JoinParts(node->DescribeLeases(), sites ? sites->Leases() : "");
--- a/src/proxy/federation/federation.cpp
+++ b/src/proxy/federation/federation.cpp
@@ -75,8 +75,8 @@
 }
 
 nlohmann::json Federation::Keep() const {
-  const auto kept = pool_.node().Keep();
-  nlohmann::json body = {{"incarnation", kept.incarnation}, {"tokens", kept.tokens}};
+  const auto saved = pool_.node().Save();
+  nlohmann::json body = {{"incarnation", saved.incarnation}, {"tokens", saved.tokens}};
   if (quota_) body["ledger"] = quota_->Ledger();
   return body;
 }
@@ -96,7 +96,7 @@
       const bool here = found != present.end() && found->second;
       line += " " + site + "/" + name + (here ? " present," : " absent,");
     }
-  return line + " pool " + pool_.node().Describe();
+  return line + " pool " + pool_.node().DescribeMembers();
 }
 
 std::string Federation::State() {
--- a/src/proxy/fleet_link/fleet_link.cpp
+++ b/src/proxy/fleet_link/fleet_link.cpp
@@ -50,7 +50,7 @@
                        module_.clock().FromUnix(static_cast<double>(written))});
 }
 
-void FleetLink::OnLimitShare(int most_in_flight) { module_.Feed(ServerShare{most_in_flight}); }
+void FleetLink::OnLimitShare(int max_in_flight) { module_.Feed(ServerShare{max_in_flight}); }
 
 void FleetLink::OnJoined() { recovery_.OnJoined(); }
 
--- a/src/proxy/fleet_link/fleet_link.h
+++ b/src/proxy/fleet_link/fleet_link.h
@@ -42,13 +42,13 @@
   fleet::Node* node() { return node_.get(); }
   const fleet::Node* node() const { return node_.get(); }
   // Whether the duty is this process's to do.
-  bool Does(const char* duty) const { return !node_ || node_->Does(duty); }
+  bool Does(const char* duty) const { return !node_ || node_->IsResponsibleFor(duty); }
 
  private:
   bool IsListed(const std::string& server) const override;
   void OnEjection(const fleet::Ejection& ejection) override;
   void OnKeyAffinity(const fleet::KeyAffinity& affinity, fleet::UnixMs written) override;
-  void OnLimitShare(int most_in_flight) override;
+  void OnLimitShare(int max_in_flight) override;
   void OnJoined() override;
   void OnRole(const std::string& duty, fleet::Role role) override;
   void OnFencedValue(const fleet::FencedValue& fenced) override;
--- a/src/proxy/fleet_link/maintenance_duty.cpp
+++ b/src/proxy/fleet_link/maintenance_duty.cpp
@@ -16,7 +16,7 @@
 
 void MaintenanceDuty::Change(const OperatorCall& call, OnReply reply) {
   const bool out = call.verb == OperatorCall::Verb::kDetach;
-  if (!fleet_.node() || !fleet_.node()->leased())
+  if (!fleet_.node() || !fleet_.node()->has_leases())
     return controller_.Change(call.id, out, nullptr, std::move(reply));
   const auto guard = fleet_.node()->Guard(fleet::kMaintenanceDuty);
   if (!guard) return reply(OperatorReply::No(NotTheHolder()));
--- a/src/proxy/recovery/recovery.cpp
+++ b/src/proxy/recovery/recovery.cpp
@@ -38,7 +38,7 @@
     try {
       Take(*body);
     } catch (const nlohmann::json::exception& error) {
-      log::Warn("state", Failure(state::kSnapshotNotWhole, options.path, error.what()));
+      log::Warn("state", Failure(state::kSnapshotIncomplete, options.path, error.what()));
     }
   } else if (fleet_.node() && config.state.peer_wait.count() > 0) {
     waits_ = true;
@@ -63,9 +63,9 @@
   const Pace pace = module_.Learnt();
   body["pace"] = {pace.answers_per_ms, pace.work_per_ms, pace.warm_work_per_ms, pace.stretch};
   if (fleet_.node()) {
-    const auto kept = fleet_.node()->Keep();
-    body["incarnation"] = kept.incarnation;
-    body["tokens"] = kept.tokens;
+    const auto saved = fleet_.node()->Save();
+    body["incarnation"] = saved.incarnation;
+    body["tokens"] = saved.tokens;
   }
   if (const Federation* sites = federation_.federation()) body["sites"] = sites->Keep();
   return body;
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -20,7 +20,7 @@
 
 void LogRejectedFile(const std::string& path, SnapshotRejection rejection) {
   log::Warn(kComponent,
-            Failure(kSnapshotRefused, fmt::format("snapshot file={} refused={}", path, Name(rejection))));
+            Failure(kSnapshotRejected, fmt::format("snapshot file={} refused={}", path, Name(rejection))));
 }
 
 }  // namespace
--- a/tests/fleet/lease_actor.cpp
+++ b/tests/fleet/lease_actor.cpp
@@ -27,7 +27,7 @@
 using Tcp = asio::ip::tcp;
 using std::chrono::milliseconds;
 
-class NoFacts : public fl::FleetListener {
+class IgnoringListener : public fl::FleetListener {
  public:
   bool IsListed(const std::string&) const override { return false; }
   void OnEjection(const fl::Ejection&) override {}
@@ -88,7 +88,7 @@
 
   const std::string name_;
   std::mt19937_64 random_;
-  NoFacts facts_;
+  IgnoringListener facts_;
   fl::Node node_;
   asio::steady_timer timer_;
   Tcp::socket resource_;
--- a/tests/fleet/payload_test.cpp
+++ b/tests/fleet/payload_test.cpp
@@ -85,7 +85,7 @@
   }
 }
 
-struct NoFacts : fl::FleetListener {
+struct IgnoringListener : fl::FleetListener {
   bool IsListed(const std::string&) const override { return true; }
   void OnEjection(const fl::Ejection&) override {}
   void OnKeyAffinity(const fl::KeyAffinity&, fl::UnixMs) override {}
@@ -97,7 +97,7 @@
 
 TEST(Payload, GoesBetweenNodesOfTheSamePoolAlone) {
   boost::asio::io_context io;
-  NoFacts facts;
+  IgnoringListener listener;
   const std::array<LeasedPort, 3> ports;
   const auto address = [&](std::size_t i) {
     return Udp::endpoint(boost::asio::ip::make_address("127.0.0.1"), ports[i].port());
@@ -111,8 +111,8 @@
   };
   fl::NodeOptions other;
   other.component = "federation";
-  fl::Node one(io, section(0, "site"), "n1", 1, facts), two(io, section(1, "site"), "n2", 2, facts),
-      wide(io, section(2, "federation"), "n1", 3, facts, other);
+  fl::Node one(io, section(0, "site"), "n1", 1, listener), two(io, section(1, "site"), "n2", 2, listener),
+      wide(io, section(2, "federation"), "n1", 3, listener, other);
   std::vector<std::string> heard;
   const auto hear = [&](const fl::Update& sender, const nlohmann::json& payload) {
     heard.push_back(sender.name + " " + payload.dump());
@@ -125,11 +125,11 @@
   EXPECT_TRUE(one.Send(address(2), "quota", 2));  // of another pool
   EXPECT_TRUE(one.Send(address(1), "quota", 3));
   const auto until = std::chrono::steady_clock::now() + kBound;
-  while ((heard.empty() || wide.counts().received == 0) && std::chrono::steady_clock::now() < until)
+  while ((heard.empty() || wide.counters().received == 0) && std::chrono::steady_clock::now() < until)
     io.run_one_for(milliseconds(10));
   EXPECT_EQ(heard, std::vector<std::string>{"n1 3"});
   const auto dropped = [](const fl::Node& node, fl::DropReason why) {
-    return node.counts().dropped[static_cast<std::size_t>(why)];
+    return node.counters().dropped[static_cast<std::size_t>(why)];
   };
   EXPECT_EQ(dropped(two, fl::DropReason::kOtherChannel), 1u);
   EXPECT_EQ(dropped(wide, fl::DropReason::kForeignFleet), 1u);
