--- a/src/base/config/endpoint.h
+++ b/src/base/config/endpoint.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Addresses as the configuration and messages write them.
+/// \file
+/// Endpoints in the form in which the configuration and messages write them.
 #ifndef LOAD_BALANCER_BASE_CONFIG_ENDPOINT_H_
 #define LOAD_BALANCER_BASE_CONFIG_ENDPOINT_H_
 
@@ -10,8 +11,7 @@
 
 namespace load_balancer {
 
-// "a.b.c.d:port", or "v6:port", which is what boost::asio prints with a colon between; nothing if it is
-// neither.
+/// Parses "a.b.c.d:port", or "v6:port" without brackets around the address. Nothing if the text is neither.
 std::optional<boost::asio::ip::udp::endpoint> ParseUdpEndpoint(const std::string& text);
 
 }  // namespace load_balancer
--- a/src/base/config/section.cpp
+++ b/src/base/config/section.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 using Udp = boost::asio::ip::udp;
 
-std::optional<Udp::endpoint> Parse(const json& value) {
+std::optional<Udp::endpoint> ParseEndpoint(const json& value) {
   return value.is_string() ? ParseUdpEndpoint(value.get<std::string>()) : std::nullopt;
 }
 
@@ -50,7 +50,7 @@
   *into = value->get<bool>();
 }
 
-bool Section::Integer(const char* key, std::int64_t low, std::int64_t high, std::int64_t* into) {
+bool Section::Integer(const char* key, const IntegerRange& range, std::int64_t* into) {
   const json* value = Find(key);
   if (!value) return false;
   if (!value->is_number_integer()) {
@@ -58,8 +58,8 @@
     return false;
   }
   *into = value->get<std::int64_t>();
-  if (*into >= low && *into <= high) return true;
-  Fault(key, "is out of range " + std::to_string(low) + " to " + std::to_string(high));
+  if (*into >= range.low && *into <= range.high) return true;
+  Fault(key, "is out of range " + std::to_string(range.low) + " to " + std::to_string(range.high));
   return false;
 }
 
@@ -67,16 +67,24 @@
   const json* value = Find(key);
   if (!value) return;
   if (!value->is_number()) return Fault(key, "is no number");
-  const double got = value->get<double>();
-  if (!(got >= low && got <= high))
-    return Fault(key, "is out of range " + json(low).dump() + " to " + json(high).dump());
-  *into = got;
+  const double number = value->get<double>();
+  const bool is_in_range = number >= low && number <= high;  // false for NaN
+  if (!is_in_range) return Fault(key, "is out of range " + json(low).dump() + " to " + json(high).dump());
+  *into = number;
 }
 
 void Section::Time(const char* key, std::int64_t low, std::int64_t high, Milliseconds* into) {
-  std::int64_t ms = into->count();
-  Whole(key, low, high, &ms);
-  *into = Milliseconds(ms);
+  Time(key, IntegerRange{low, high}, into);
+}
+
+void Section::Time(const char* key, const IntegerRange& range, Milliseconds* into) {
+  std::int64_t ms = 0;
+  if (Integer(key, range, &ms)) *into = Milliseconds(ms);
+}
+
+void Section::Whole(const char* key, const IntegerRange& range, int* into) {
+  std::int64_t value = 0;
+  if (Integer(key, range, &value)) *into = static_cast<int>(value);
 }
 
 void Section::Address(const char* key, bool required, Udp::endpoint* into) {
@@ -85,7 +93,7 @@
     if (required) Fault(key, "is missing");
     return;
   }
-  if (const auto endpoint = Parse(*value))
+  if (const auto endpoint = ParseEndpoint(*value))
     *into = *endpoint;
   else
     Fault(key, "is no host:port");
@@ -96,13 +104,19 @@
   if (!value) return;
   if (!value->is_array()) return Fault(key, "is no list");
   for (std::size_t i = 0; i < value->size(); ++i) {
-    if (const auto endpoint = Parse((*value)[i]))
+    if (const auto endpoint = ParseEndpoint((*value)[i]))
       into->push_back(*endpoint);
     else
       Fault(std::string(key) + "." + std::to_string(i), "is no host:port");
   }
 }
 
+void Section::RequireMultiple(const char* key, Milliseconds value, int factor, const char* other_key,
+                              Milliseconds other) {
+  if (value >= other * factor) return;
+  Fault(key, "is under " + std::to_string(factor) + " times " + other_key);
+}
+
 const json* Section::Find(const char* key) const {
   if (!object_) return nullptr;
   const auto found = object_->find(key);
--- a/src/base/log.cpp
+++ b/src/base/log.cpp
@@ -13,8 +13,8 @@
 
 Format format_ = Format::kText;
 
-// A literal for spdlog's pattern, in which % begins a flag.
-std::string Literal(std::string_view text) {
+// Escapes text for spdlog's pattern, in which % begins a flag.
+std::string EscapePattern(std::string_view text) {
   std::string escaped;
   for (const char c : text) {
     if (c == '%') escaped += '%';
@@ -23,17 +23,18 @@
   return escaped;
 }
 
-std::string Quoted(std::string_view text) {
+std::string QuoteJson(std::string_view text) {
   return nlohmann::json(std::string(text)).dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
 }
 
 std::string Pattern(Format format, std::string_view name) {
   if (format == Format::kJson)
-    return R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l","name":)" + Literal(Quoted(name)) + ",%v}";
-  return "%Y-%m-%dT%H:%M:%S.%eZ %l " + Literal(name.empty() ? "-" : name) + " %v";
+    return R"({"time":"%Y-%m-%dT%H:%M:%S.%eZ","level":"%l","name":)" + EscapePattern(QuoteJson(name)) +
+           ",%v}";
+  return "%Y-%m-%dT%H:%M:%S.%eZ %l " + EscapePattern(name.empty() ? "-" : name) + " %v";
 }
 
-std::shared_ptr<spdlog::logger> Make(Format format, std::string_view name) {
+std::shared_ptr<spdlog::logger> MakeLogger(Format format, std::string_view name) {
   auto logger = std::make_shared<spdlog::logger>("load_balancer_proxy",
                                                  std::make_shared<spdlog::sinks::stderr_sink_mt>());
   logger->set_formatter(std::make_unique<spdlog::pattern_formatter>(Pattern(format, name),
@@ -41,19 +42,39 @@
   return logger;
 }
 
+// The first call installs the default logger.
 spdlog::logger& Logger() {
-  static const bool made = [] {
-    spdlog::set_default_logger(Make(Format::kText, ""));
+  [[maybe_unused]] static const bool is_installed = [] {
+    spdlog::set_default_logger(MakeLogger(Format::kText, ""));
     return true;
   }();
-  (void)made;
   return *spdlog::default_logger_raw();
 }
 
+std::string FormatJson(std::string_view component, std::string_view event,
+                       std::optional<std::uint64_t> request) {
+  std::string line = R"("component":)" + QuoteJson(component) + R"(,"event":)" + QuoteJson(event);
+  if (request) line += R"(,"request":)" + std::to_string(*request);
+  return line;
+}
+
+std::string FormatText(std::string_view component, std::string_view event,
+                       std::optional<std::uint64_t> request) {
+  std::string line(component);
+  line += ": ";
+  for (const char c : event) {
+    // A line break in an event would split the line.
+    const bool is_line_break = c == '\n' || c == '\r';
+    line += is_line_break ? ' ' : c;
+  }
+  if (request) line += " request=" + std::to_string(*request);
+  return line;
+}
+
 void Write(spdlog::level::level_enum level, std::string_view component, std::string_view event,
            std::optional<std::uint64_t> request) {
-  const std::string body = Body(format_, component, event, request);
-  Logger().log(level, spdlog::string_view_t(body.data(), body.size()));
+  const std::string line = FormatEvent(format_, component, event, request);
+  Logger().log(level, spdlog::string_view_t(line.data(), line.size()));
 }
 
 }  // namespace
@@ -61,22 +82,13 @@
 void Start(Format format, std::string_view name) {
   Logger();
   format_ = format;
-  spdlog::set_default_logger(Make(format, name));
+  spdlog::set_default_logger(MakeLogger(format, name));
 }
 
-std::string Body(Format format, std::string_view component, std::string_view event,
-                 std::optional<std::uint64_t> request) {
-  if (format == Format::kJson) {
-    std::string body = R"("component":)" + Quoted(component) + R"(,"event":)" + Quoted(event);
-    if (request) body += R"(,"request":)" + std::to_string(*request);
-    return body;
-  }
-  std::string body(component);
-  body += ": ";
-  // A line end inside an event would make two lines of one.
-  for (const char c : event) body += (c == '\n' || c == '\r') ? ' ' : c;
-  if (request) body += " request=" + std::to_string(*request);
-  return body;
+std::string FormatEvent(Format format, std::string_view component, std::string_view event,
+                        std::optional<std::uint64_t> request) {
+  return format == Format::kJson ? FormatJson(component, event, request)
+                                 : FormatText(component, event, request);
 }
 
 void Info(std::string_view component, std::string_view event, std::optional<std::uint64_t> request) {
--- a/src/base/time.h
+++ b/src/base/time.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Moments and spans as the parts without a clock are given them: of one process's monotonic clock, or of a
-// virtual one.
+/// \file
+/// Points in time and durations of a monotonic clock, as code without a clock of its own receives them: those
+/// of the process, or of a simulation.
 #ifndef LOAD_BALANCER_BASE_TIME_H_
 #define LOAD_BALANCER_BASE_TIME_H_
 
--- a/src/fleet/failures.h
+++ b/src/fleet/failures.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What can go wrong between the members of a fleet, leases apart (lease/failures.h).
+/// \file
+/// Kinds of failure between the members of a fleet, except those of leases (lease/failures.h).
 #ifndef LOAD_BALANCER_FLEET_FAILURES_H_
 #define LOAD_BALANCER_FLEET_FAILURES_H_
 
--- a/src/fleet/federation/section.cpp
+++ b/src/fleet/federation/section.cpp
@@ -8,6 +8,7 @@
 
 #include "base/config/endpoint.h"
 #include "base/config/section.h"
+#include "fleet/section_limits.h"
 
 namespace load_balancer::fleet {
 namespace {
@@ -17,16 +18,25 @@
 using Udp = boost::asio::ip::udp;
 
 constexpr const char* kPoolName = "federation";
-constexpr std::size_t kLeastVoters = 3;
+constexpr std::size_t kMinVoters = 3;
+constexpr std::size_t kMaxSiteNameBytes = 64;
+constexpr std::int64_t kMinLeaseTermMs = 100;
+constexpr char kNotAName[] = "is no name of 1 to 64 bytes without blanks and / , ;";
+
+// "gateways.SITE.GATEWAY".
+std::string GatewayPath(const std::string& site, const std::string& gateway) {
+  return "gateways." + site + "." + gateway;
+}
+
+// Names are part of messages, headers and answers to operators, which use these characters as separators.
+bool IsNameCharacter(unsigned char c) { return c > ' ' && c < 0x7f && c != '/' && c != ',' && c != ';'; }
 
-// Names go into messages, headers and calls' answers.
-bool FitAsName(const std::string& name) {
-  return !name.empty() && name.size() <= 64 && std::all_of(name.begin(), name.end(), [](unsigned char c) {
-    return c > ' ' && c < 0x7f && c != '/' && c != ',' && c != ';';
-  });
+bool IsValidName(const std::string& name) {
+  return !name.empty() && name.size() <= kMaxSiteNameBytes &&
+         std::all_of(name.begin(), name.end(), IsNameCharacter);
 }
 
-std::optional<Udp::endpoint> AddressIn(const json& gateway, const char* key) {
+std::optional<Udp::endpoint> ReadEndpoint(const json& gateway, const char* key) {
   const auto found = gateway.find(key);
   return found != gateway.end() && found->is_string() ? ParseUdpEndpoint(found->get<std::string>())
                                                       : std::nullopt;
@@ -40,7 +50,8 @@
   }
   for (const auto& [key, value] : gateway.items())
     if (key != "pool" && key != "clients") section->Fault(path + "." + key, "is no known key");
-  const auto pool = AddressIn(gateway, "pool"), clients = AddressIn(gateway, "clients");
+  const auto pool = ReadEndpoint(gateway, "pool");
+  const auto clients = ReadEndpoint(gateway, "clients");
   if (!pool) section->Fault(path + ".pool", "is no host:port");
   if (!clients) section->Fault(path + ".clients", "is no host:port");
   if (pool) addresses.pool = *pool;
@@ -55,9 +66,9 @@
     return gateways;
   }
   for (const auto& [name, gateway] : site.items()) {
-    const std::string at = path + "." + name;
-    if (!FitAsName(name)) section->Fault(at, "is no name of 1 to 64 bytes without blanks and / , ;");
-    gateways[name] = ReadGateway(gateway, at, section);
+    const std::string gateway_path = path + "." + name;
+    if (!IsValidName(name)) section->Fault(gateway_path, kNotAName);
+    gateways[name] = ReadGateway(gateway, gateway_path, section);
   }
   return gateways;
 }
@@ -68,41 +79,71 @@
   if (!all->is_object()) return section->Fault("gateways", "is no object");
   for (const auto& [site, gateways] : all->items()) {
     const std::string path = "gateways." + site;
-    if (!FitAsName(site)) section->Fault(path, "is no name of 1 to 64 bytes without blanks and / , ;");
+    if (!IsValidName(site)) section->Fault(path, kNotAName);
     sites->gateways[site] = ReadSite(gateways, path, section);
   }
 }
 
-// No two gateways are one, by name or by address.
+// No two gateways share a name or an address.
 void CheckDistinct(const SitesSection& sites, Section* section) {
   std::set<std::string> names;
-  std::set<Udp::endpoint> pools;
-  std::set<Tcp::endpoint> clients;
+  std::set<Udp::endpoint> pool_addresses;
+  std::set<Tcp::endpoint> client_addresses;
   for (const auto& [site, gateways] : sites.gateways) {
-    for (const auto& [name, at] : gateways) {
-      const std::string path = "gateways." + site + "." + name;
+    for (const auto& [name, addresses] : gateways) {
+      const std::string path = GatewayPath(site, name);
       if (!names.insert(name).second) section->Fault(path, "is a gateway of another site, too");
-      if (at.pool.port() != 0 && !pools.insert(at.pool).second)
+      // Port 0 stands for an address that is missing, which is a fault of its own.
+      if (addresses.pool.port() != 0 && !pool_addresses.insert(addresses.pool).second)
         section->Fault(path + ".pool", "is another gateway's, too");
-      if (at.clients.port() != 0 && !clients.insert(at.clients).second)
+      if (addresses.clients.port() != 0 && !client_addresses.insert(addresses.clients).second)
         section->Fault(path + ".clients", "is another gateway's, too");
     }
   }
 }
 
+std::set<Udp::endpoint> PoolAddresses(const SitesSection& sites) {
+  std::set<Udp::endpoint> addresses;
+  for (const auto& [site, gateways] : sites.gateways)
+    for (const auto& [name, gateway] : gateways) addresses.insert(gateway.pool);
+  return addresses;
+}
+
 void CheckVoters(const SitesSection& sites, Section* section) {
-  if (sites.voters.size() < kLeastVoters || sites.voters.size() % 2 == 0)
+  if (sites.voters.size() < kMinVoters || sites.voters.size() % 2 == 0)
     section->Fault("voters", "are not three or more, and odd in number");
-  std::set<Udp::endpoint> pools, seen;
-  for (const auto& [site, gateways] : sites.gateways)
-    for (const auto& [name, at] : gateways) pools.insert(at.pool);
+  const std::set<Udp::endpoint> pool_addresses = PoolAddresses(sites);
+  std::set<Udp::endpoint> seen;
   for (std::size_t i = 0; i < sites.voters.size(); ++i) {
     const std::string path = "voters." + std::to_string(i);
-    if (!pools.contains(sites.voters[i])) section->Fault(path, "is no gateway's pool address");
+    if (!pool_addresses.contains(sites.voters[i])) section->Fault(path, "is no gateway's pool address");
     if (!seen.insert(sites.voters[i]).second) section->Fault(path, "is listed twice");
   }
 }
 
+void ReadPool(Section* section, SitesSection* sites) {
+  section->Text("site", &sites->site);
+  section->Address("bind", true, &sites->bind);
+  sites->advertise = sites->bind;
+  section->Address("advertise", false, &sites->advertise);
+  section->Addresses("voters", &sites->voters);
+  section->Time("probe_interval_ms", kProbeIntervalMs, &sites->probe_interval);
+  section->Whole("suspicion_multiplier", kSuspicionMultiplier, &sites->suspicion_multiplier);
+  section->Time("sync_interval_ms", kSyncIntervalMs, &sites->sync_interval);
+  section->Time("lease_term_ms", kMinLeaseTermMs, kMaxLeaseTermMs, &sites->lease_term);
+  section->Time("lease_drift_ms", kLeaseDriftMs, &sites->lease_drift);
+  section->Whole("most_bytes_per_second", kMaxBytesPerSecond, &sites->max_bytes_per_second);
+  section->RequireMultiple("lease_term_ms", sites->lease_term, kLeaseTermsPerDrift, "lease_drift_ms",
+                           sites->lease_drift);
+}
+
+void CheckOwnSite(const SitesSection& sites, Section* section) {
+  if (sites.site.empty())
+    section->Fault("site", "is missing");
+  else if (!sites.gateways.contains(sites.site))
+    section->Fault("gateways", "has no site " + sites.site + ", which is this one");
+}
+
 }  // namespace
 
 SitesSection ReadSites(const json& root, std::vector<std::string>* faults) {
@@ -114,24 +155,9 @@
       faults);
   sites.on = section.present();
   if (!sites.on) return sites;
-  section.Text("site", &sites.site);
-  section.Address("bind", true, &sites.bind);
-  sites.advertise = sites.bind;
-  section.Address("advertise", false, &sites.advertise);
-  section.Addresses("voters", &sites.voters);
-  section.Time("probe_interval_ms", 10, 60000, &sites.probe_interval);
-  section.Whole("suspicion_multiplier", 1, 100, &sites.suspicion_multiplier);
-  section.Time("sync_interval_ms", 100, 600000, &sites.sync_interval);
-  section.Time("lease_term_ms", 100, 600000, &sites.lease_term);
-  section.Time("lease_drift_ms", 1, 60000, &sites.lease_drift);
-  section.Whole("most_bytes_per_second", 4096, 1 << 30, &sites.max_bytes_per_second);
-  if (sites.lease_term < sites.lease_drift * 6)
-    section.Fault("lease_term_ms", "is under 6 times lease_drift_ms");
+  ReadPool(&section, &sites);
   ReadGateways(&section, &sites);
-  if (sites.site.empty())
-    section.Fault("site", "is missing");
-  else if (!sites.gateways.contains(sites.site))
-    section.Fault("gateways", "has no site " + sites.site + ", which is this one");
+  CheckOwnSite(sites, &section);
   CheckDistinct(sites, &section);
   CheckVoters(sites, &section);
   return sites;
@@ -140,7 +166,7 @@
 void CheckSelf(const SitesSection& sites, const std::string& name, const Tcp::endpoint& listen,
                std::vector<std::string>* faults) {
   if (!sites.on) return;
-  const std::string path = "sites.gateways." + sites.site + "." + name;
+  const std::string path = "sites." + GatewayPath(sites.site, name);
   const auto site = sites.gateways.find(sites.site);
   if (site == sites.gateways.end()) return;  // a fault of its own
   const auto self = site->second.find(name);
--- /dev/null
+++ b/src/fleet/section_limits.h
@@ -0,0 +1,24 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// \file
+/// Limits of the keys that the configuration's sections `fleet` and `sites` have in common.
+#ifndef LOAD_BALANCER_FLEET_SECTION_LIMITS_H_
+#define LOAD_BALANCER_FLEET_SECTION_LIMITS_H_
+
+#include "base/config/section.h"
+
+namespace load_balancer::fleet {
+
+inline constexpr IntegerRange kProbeIntervalMs{10, 60000};
+inline constexpr IntegerRange kSuspicionMultiplier{1, 100};
+inline constexpr IntegerRange kSyncIntervalMs{100, 600000};
+inline constexpr IntegerRange kLeaseDriftMs{1, 60000};
+inline constexpr std::int64_t kMaxLeaseTermMs = 600000;
+inline constexpr IntegerRange kMaxBytesPerSecond{4096, 1 << 30};
+
+/// The least ratio of a lease's term to the drift of clocks that it allows for.
+inline constexpr int kLeaseTermsPerDrift = 6;
+
+}  // namespace load_balancer::fleet
+
+#endif  // LOAD_BALANCER_FLEET_SECTION_LIMITS_H_
--- a/src/state/failures.h
+++ b/src/state/failures.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What can go wrong with what a process keeps on disk.
+/// \file
+/// Kinds of failure of what a process stores on disk.
 #ifndef LOAD_BALANCER_STATE_FAILURES_H_
 #define LOAD_BALANCER_STATE_FAILURES_H_
 
--- a/src/state/section.h
+++ b/src/state/section.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The configuration's section `state`: where a process keeps what must outlive it.
+/// \file
+/// The configuration's section `state`: where a process stores what outlives it.
 #ifndef LOAD_BALANCER_STATE_SECTION_H_
 #define LOAD_BALANCER_STATE_SECTION_H_
 
@@ -13,16 +14,16 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-// `state`: absent, nothing is kept but the maintenance set, in $TMPDIR as before.
+/// The section; without it only the maintenance set is stored, in $TMPDIR.
 struct StateSection {
   bool on = false;
-  std::string dir;  // empty: $TMPDIR
+  std::string dir;  ///< empty: $TMPDIR
   Milliseconds snapshot_interval{5000};
-  Milliseconds max_age{60000};   // an older snapshot is not applied
-  Milliseconds peer_wait{2000};  // with a fleet and no usable snapshot: for a peer's state, before /ready
+  Milliseconds max_age{60000};   ///< an older snapshot is not applied
+  Milliseconds peer_wait{2000};  ///< for a peer's state, before /ready, with a fleet and no usable snapshot
 };
 
-// Reads `state` of the file's root object. Appends one line per fault to `faults`.
+/// Reads `state` of the file's root object. Appends one line per fault to `faults`.
 StateSection ReadState(const nlohmann::json& root, std::vector<std::string>* faults);
 
 }  // namespace load_balancer::state
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -20,13 +20,13 @@
 using nlohmann::json;
 
 TEST(LogLine, IsOneJsonObjectWithTheFixedFields) {
-  const std::string body = log::Body(log::Format::kJson, "discovery", "away: \"x\"\nnext", 7);
-  const json parsed = json::parse("{" + body + "}");
+  const std::string line = log::FormatEvent(log::Format::kJson, "discovery", "away: \"x\"\nnext", 7);
+  const json parsed = json::parse("{" + line + "}");
   EXPECT_EQ(parsed["component"], "discovery");
   EXPECT_EQ(parsed["event"], "away: \"x\"\nnext");
   EXPECT_EQ(parsed["request"], 7);
-  EXPECT_EQ(body.find('\n'), std::string::npos);
-  EXPECT_EQ(log::Body(log::Format::kText, "discovery", "a\nb", std::nullopt), "discovery: a b");
+  EXPECT_EQ(line.find('\n'), std::string::npos);
+  EXPECT_EQ(log::FormatEvent(log::Format::kText, "discovery", "a\nb", std::nullopt), "discovery: a b");
 }
 
 // Standard error is sent to a file while the threads log.
