--- a/model/fleet/votes.h
+++ b/model/fleet/votes.h
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/lease/kept_votes.h"
+#include "fleet/lease/persisted_votes.h"
 #include "model/program.h"
 
 namespace load_balancer::model {
--- a/model/lease/table.cpp
+++ b/model/lease/cluster.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "model/lease/table.h"
+#include "model/lease/cluster.h"
 
 #include <xxhash.h>
 
--- a/model/lease/table.h
+++ b/model/lease/cluster.h
@@ -4,8 +4,8 @@
 // virtual time that a search chooses. A message may be delivered at any later step, or never, and, as a
 // fault, once more: so it can be lost, late, doubled and overtaken. A member that is not ticked stands still.
 // Denials are lost, since they bear on when somebody asks again, which is any time here.
-#ifndef LOAD_BALANCER_MODEL_LEASE_TABLE_H_
-#define LOAD_BALANCER_MODEL_LEASE_TABLE_H_
+#ifndef LOAD_BALANCER_MODEL_LEASE_CLUSTER_H_
+#define LOAD_BALANCER_MODEL_LEASE_CLUSTER_H_
 
 #include <array>
 #include <cstdint>
@@ -110,4 +110,4 @@
 
 }  // namespace load_balancer::model
 
-#endif  // LOAD_BALANCER_MODEL_LEASE_TABLE_H_
+#endif  // LOAD_BALANCER_MODEL_LEASE_CLUSTER_H_
--- a/model/lease/search.h
+++ b/model/lease/search.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "model/lease/table.h"
+#include "model/lease/cluster.h"
 
 namespace load_balancer::model {
 
--- a/src/fleet/lease/bid.cpp
+++ b/src/fleet/lease/acquisition.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/lease/bid.h"
+#include "fleet/lease/acquisition.h"
 
 #include <algorithm>
 #include <functional>
--- a/src/fleet/lease/bid.h
+++ b/src/fleet/lease/acquisition.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // One token that is asked for, or held and renewed: its requests, and what each voter has answered.
-#ifndef LOAD_BALANCER_FLEET_LEASE_BID_H_
-#define LOAD_BALANCER_FLEET_LEASE_BID_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_ACQUISITION_H_
+#define LOAD_BALANCER_FLEET_LEASE_ACQUISITION_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <cstdint>
@@ -61,4 +61,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_LEASE_BID_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_ACQUISITION_H_
--- a/src/fleet/lease/complaints.cpp
+++ b/src/fleet/lease/denial_reporter.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/lease/complaints.h"
+#include "fleet/lease/denial_reporter.h"
 
 #include <string>
 
--- a/src/fleet/lease/complaints.h
+++ b/src/fleet/lease/denial_reporter.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Denials that an operator has to mend: each told once for each voter and reason, until the voter grants.
-#ifndef LOAD_BALANCER_FLEET_LEASE_COMPLAINTS_H_
-#define LOAD_BALANCER_FLEET_LEASE_COMPLAINTS_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_DENIAL_REPORTER_H_
+#define LOAD_BALANCER_FLEET_LEASE_DENIAL_REPORTER_H_
 
 #include <boost/asio/ip/udp.hpp>
 #include <optional>
@@ -29,4 +29,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_LEASE_COMPLAINTS_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_DENIAL_REPORTER_H_
--- a/src/fleet/lease/guard.cpp
+++ b/src/fleet/lease/fencing.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/lease/guard.h"
+#include "fleet/lease/fencing.h"
 
 #include <algorithm>
 
--- a/src/fleet/lease/guard.h
+++ b/src/fleet/lease/fencing.h
@@ -2,8 +2,8 @@
 //
 // The right to act for a duty, and what a resource checks of it when the act comes (Kleppmann: "How to do
 // distributed locking", 2016). An exclusive act takes a `const LeaseGuard&`.
-#ifndef LOAD_BALANCER_FLEET_LEASE_GUARD_H_
-#define LOAD_BALANCER_FLEET_LEASE_GUARD_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_FENCING_H_
+#define LOAD_BALANCER_FLEET_LEASE_FENCING_H_
 
 #include <map>
 #include <memory>
@@ -74,4 +74,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_LEASE_GUARD_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_FENCING_H_
--- a/src/fleet/lease/leases.h
+++ b/src/fleet/lease/leases.h
@@ -18,12 +18,12 @@
 #include <vector>
 
 #include "base/time.h"
-#include "fleet/lease/bid.h"
-#include "fleet/lease/complaints.h"
-#include "fleet/lease/guard.h"
+#include "fleet/lease/acquisition.h"
+#include "fleet/lease/denial_reporter.h"
+#include "fleet/lease/fencing.h"
 #include "fleet/lease/message.h"
 #include "fleet/lease/voter.h"
-#include "fleet/lease/voters.h"
+#include "fleet/lease/voter_set.h"
 
 namespace load_balancer::fleet {
 
--- a/src/fleet/lease/kept_votes.cpp
+++ b/src/fleet/lease/persisted_votes.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/lease/kept_votes.h"
+#include "fleet/lease/persisted_votes.h"
 
 #include <algorithm>
 #include <iterator>
--- a/src/fleet/lease/kept_votes.h
+++ b/src/fleet/lease/persisted_votes.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a voter keeps on its disk, and what of it its next life may go on from once the voters have changed.
-#ifndef LOAD_BALANCER_FLEET_LEASE_KEPT_VOTES_H_
-#define LOAD_BALANCER_FLEET_LEASE_KEPT_VOTES_H_
+#ifndef LOAD_BALANCER_FLEET_LEASE_PERSISTED_VOTES_H_
+#define LOAD_BALANCER_FLEET_LEASE_PERSISTED_VOTES_H_
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -28,4 +28,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_LEASE_KEPT_VOTES_H_
+#endif  // LOAD_BALANCER_FLEET_LEASE_PERSISTED_VOTES_H_
--- a/src/fleet/lease/vote_file.cpp
+++ b/src/fleet/lease/vote_file.cpp
@@ -8,7 +8,7 @@
 
 #include "base/log.h"
 #include "fleet/lease/failures.h"
-#include "fleet/lease/kept_votes.h"
+#include "fleet/lease/persisted_votes.h"
 #include "state/snapshot.h"
 
 namespace load_balancer::fleet {
--- a/src/fleet/lease/voters.cpp
+++ b/src/fleet/lease/voter_set.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/lease/voters.h"
+#include "fleet/lease/voter_set.h"
 
 #include <xxhash.h>
 
--- a/src/fleet/membership/outlet.h
+++ b/src/fleet/membership/callbacks.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A member as another one sees it, and what goes out of membership.
-#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_OUTLET_H_
-#define LOAD_BALANCER_FLEET_MEMBERSHIP_OUTLET_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_CALLBACKS_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_CALLBACKS_H_
 
 #include <optional>
 #include <string_view>
@@ -37,4 +37,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_OUTLET_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_CALLBACKS_H_
--- a/src/fleet/membership/news.cpp
+++ b/src/fleet/membership/gossip_queue.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/membership/news.h"
+#include "fleet/membership/gossip_queue.h"
 
 #include <algorithm>
 #include <vector>
--- a/src/fleet/membership/news.h
+++ b/src/fleet/membership/gossip_queue.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Claims that a member passes on with whatever it sends, each so many times.
-#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_NEWS_H_
-#define LOAD_BALANCER_FLEET_MEMBERSHIP_NEWS_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_GOSSIP_QUEUE_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_GOSSIP_QUEUE_H_
 
 #include <functional>
 #include <map>
@@ -31,4 +31,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_NEWS_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_GOSSIP_QUEUE_H_
--- a/src/fleet/membership/errands.cpp
+++ b/src/fleet/membership/indirect_probes.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/membership/errands.h"
+#include "fleet/membership/indirect_probes.h"
 
 #include <algorithm>
 
--- a/src/fleet/membership/errands.h
+++ b/src/fleet/membership/indirect_probes.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Pings on behalf of other members: SWIM's indirect probes, and Lifeguard's nack for what is overdue.
-#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_ERRANDS_H_
-#define LOAD_BALANCER_FLEET_MEMBERSHIP_ERRANDS_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_INDIRECT_PROBES_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_INDIRECT_PROBES_H_
 
 #include <cstdint>
 #include <map>
@@ -41,4 +41,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_ERRANDS_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_INDIRECT_PROBES_H_
--- a/src/fleet/membership/health.h
+++ b/src/fleet/membership/local_health.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Lifeguard's local health: a member that hears little itself gives others more time.
-#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_HEALTH_H_
-#define LOAD_BALANCER_FLEET_MEMBERSHIP_HEALTH_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_LOCAL_HEALTH_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_LOCAL_HEALTH_H_
 
 #include <algorithm>
 
@@ -23,4 +23,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_HEALTH_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_LOCAL_HEALTH_H_
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -12,11 +12,11 @@
 #include <string>
 #include <vector>
 
-#include "fleet/membership/claims.h"
-#include "fleet/membership/mailer.h"
+#include "fleet/membership/callbacks.h"
+#include "fleet/membership/message_sender.h"
 #include "fleet/membership/options.h"
-#include "fleet/membership/outlet.h"
 #include "fleet/membership/probes.h"
+#include "fleet/membership/view.h"
 
 namespace load_balancer::fleet {
 
--- a/src/fleet/membership/mailer.cpp
+++ b/src/fleet/membership/message_sender.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/membership/mailer.h"
+#include "fleet/membership/message_sender.h"
 
 #include <map>
 #include <utility>
--- a/src/fleet/membership/mailer.h
+++ b/src/fleet/membership/message_sender.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A member's messages about members, with the news that they take along.
-#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_MAILER_H_
-#define LOAD_BALANCER_FLEET_MEMBERSHIP_MAILER_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_MESSAGE_SENDER_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_MESSAGE_SENDER_H_
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "fleet/membership/claims.h"
+#include "fleet/membership/view.h"
 
 namespace load_balancer::fleet {
 
@@ -46,4 +46,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_MAILER_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_MESSAGE_SENDER_H_
--- a/src/fleet/membership/probes.h
+++ b/src/fleet/membership/probes.h
@@ -12,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "fleet/membership/errands.h"
-#include "fleet/membership/mailer.h"
+#include "fleet/membership/indirect_probes.h"
+#include "fleet/membership/message_sender.h"
 
 namespace load_balancer::fleet {
 
--- a/src/fleet/membership/table.h
+++ b/src/fleet/membership/table.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "fleet/membership/callbacks.h"
 #include "fleet/membership/options.h"
-#include "fleet/membership/outlet.h"
 
 namespace load_balancer::fleet {
 
--- a/src/fleet/membership/claims.cpp
+++ b/src/fleet/membership/view.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "fleet/membership/claims.h"
+#include "fleet/membership/view.h"
 
 #include <utility>
 
--- a/src/fleet/membership/claims.h
+++ b/src/fleet/membership/view.h
@@ -2,16 +2,16 @@
 //
 // Which claim about each member holds, this member included: SWIM's order of claims, suspicions and their
 // end, and the refutation of what is said of this member.
-#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_CLAIMS_H_
-#define LOAD_BALANCER_FLEET_MEMBERSHIP_CLAIMS_H_
+#ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_VIEW_H_
+#define LOAD_BALANCER_FLEET_MEMBERSHIP_VIEW_H_
 
 #include <string>
 #include <string_view>
 
-#include "fleet/membership/health.h"
-#include "fleet/membership/news.h"
+#include "fleet/membership/callbacks.h"
+#include "fleet/membership/gossip_queue.h"
+#include "fleet/membership/local_health.h"
 #include "fleet/membership/options.h"
-#include "fleet/membership/outlet.h"
 #include "fleet/membership/suspicions.h"
 #include "fleet/membership/table.h"
 
@@ -68,4 +68,4 @@
 
 }  // namespace load_balancer::fleet
 
-#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_CLAIMS_H_
+#endif  // LOAD_BALANCER_FLEET_MEMBERSHIP_VIEW_H_
--- a/src/proxy/federation/pool.h
+++ b/src/proxy/federation/pool.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "fleet/federation/section.h"
-#include "fleet/lease/guard.h"
+#include "fleet/lease/fencing.h"
 #include "fleet/node/node.h"
 
 namespace load_balancer::proxy {
--- a/src/proxy/fleet_link/maintenance_duty.h
+++ b/src/proxy/fleet_link/maintenance_duty.h
@@ -8,7 +8,7 @@
 #include <optional>
 
 #include "base/error/failure.h"
-#include "fleet/lease/guard.h"
+#include "fleet/lease/fencing.h"
 #include "fleet/state/state.h"
 #include "operators.h"
 
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -16,7 +16,7 @@
 #include <vector>
 
 #include "base/error/failure.h"
-#include "fleet/lease/guard.h"
+#include "fleet/lease/fencing.h"
 #include "quota/floors.h"
 #include "quota/messages.h"
 #include "quota/partner_allocator.h"
--- a/src/spill/ambassador.h
+++ b/src/spill/ambassador.h
@@ -25,7 +25,7 @@
   Milliseconds wait{0};
 };
 
-// A lease's guard at the act: fleet/lease/guard.h.
+// A lease's guard at the act: fleet/lease/fencing.h.
 template <typename T>
 concept Guard = requires(const T& guard, Time now) {
   { guard.Holds(now) } -> std::convertible_to<bool>;
--- a/tests/fleet/lease_voter_test.cpp
+++ b/tests/fleet/lease_voter_test.cpp
@@ -8,7 +8,7 @@
 #include <fstream>
 
 #include "fleet/lease/failures.h"
-#include "fleet/lease/guard.h"
+#include "fleet/lease/fencing.h"
 #include "fleet/lease/leases.h"
 #include "fleet/lease/vote_file.h"
 #include "fleet/wire/codec.h"
