--- a/bench/model_leases.cpp
+++ b/bench/model_leases.cpp
@@ -43,7 +43,7 @@
   options.fleet.probe_interval = interval;
   options.fleet.sync_interval = 10 * interval;
   options.fleet.lease_term = term;
-  options.duties = {{kDuty, fleet::DutyKind::kAvailable}};
+  options.duties = {{kDuty, fleet::LeasedRoleKind::kAvailable}};
   options.link.loss = loss / 100.0;
   model::Federation federation(1, options);
   model::World& world = federation.world();
--- a/model/fleet/federation.h
+++ b/model/fleet/federation.h
@@ -15,14 +15,14 @@
 namespace load_balancer::model {
 
 struct FederationOptions {
-  std::size_t sites = 1, members = 5;   // members of each site
-  fleet::FleetSection fleet;            // of each site's pool; its seeds are set here
-  std::size_t seeds = 3;                // the first members of each site; they vote
-  std::vector<fleet::DutySpec> duties;  // of each site
-  bool federated = false;               // whether there is a pool of all
-  fleet::FleetSection wide;             // of that pool; its seeds are set here
-  std::size_t wide_seeds = 3;           // the first members of the first sites, going round the sites
-  std::vector<fleet::DutySpec> wide_duties;
+  std::size_t sites = 1, members = 5;     // members of each site
+  fleet::FleetSection fleet;              // of each site's pool; its seeds are set here
+  std::size_t seeds = 3;                  // the first members of each site; they vote
+  std::vector<fleet::LeasedRole> duties;  // of each site
+  bool federated = false;                 // whether there is a pool of all
+  fleet::FleetSection wide;               // of that pool; its seeds are set here
+  std::size_t wide_seeds = 3;             // the first members of the first sites, going round the sites
+  std::vector<fleet::LeasedRole> wide_duties;
   Link link;  // within a site
   Link wide_link{0, 0, 0, std::chrono::milliseconds(5), std::chrono::milliseconds(8)};
   double most_rate_error = 0;  // each clock runs at a rate of 1 plus or minus up to this
--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -55,11 +55,11 @@
   of.voters = options_.section.seeds;
   of.term = options_.section.lease_term;
   of.drift = options_.section.lease_drift;
-  of.duties = options_.duties;
+  of.leased_roles = options_.duties;
   of.seed = options_.seed;
-  of.votes = votes_.Load().value();
-  of.store = &votes_;
-  leases_.emplace(std::move(of), host_.Now(), static_cast<fleet::Leases::Outlet&>(*this));
+  of.stored_votes = votes_.Load().value();
+  of.vote_store = &votes_;
+  leases_.emplace(std::move(of), host_.Now(), static_cast<fleet::Leases::Callbacks&>(*this));
 }
 
 // The name and a mark of this life.
@@ -87,15 +87,15 @@
 void PoolMember::Tell(fleet::KeySite site) { gossip_.Tell(host_.Wall(), std::move(site)); }
 
 void PoolMember::Publish(const std::string& duty, const std::string& key, nlohmann::json value, Span lasts) {
-  if (const auto guard = Guard(duty)) Publish(*guard, key, std::move(value), lasts);
+  if (const auto proof = ProveLease(duty)) Publish(*proof, key, std::move(value), lasts);
 }
 
-bool PoolMember::Publish(const fleet::LeaseGuard& guard, const std::string& key, nlohmann::json value,
+bool PoolMember::Publish(const fleet::LeaseProof& proof, const std::string& key, nlohmann::json value,
                          Span lasts) {
-  if (!guard.Holds(host_.Now())) return false;
+  if (!proof.IsValid(host_.Now())) return false;
   const fleet::UnixMs now = host_.Wall();
   const fleet::UnixMs until = now + static_cast<fleet::UnixMs>(Milliseconds(lasts));
-  gossip_.Tell(now, fleet::DutyFact{guard.duty(), key, guard.token(), until, std::move(value)});
+  gossip_.Tell(now, fleet::DutyFact{proof.lease_name(), key, proof.token(), until, std::move(value)});
   return true;
 }
 
@@ -119,11 +119,11 @@
 }
 
 bool PoolMember::Holds(const std::string& duty) const {
-  return leases_ && leases_->role(host_.Now(), duty) == fleet::Role::kHolder;
+  return leases_ && leases_->status(host_.Now(), duty) == fleet::LeaseStatus::kHolder;
 }
 
-std::optional<fleet::LeaseGuard> PoolMember::Guard(const std::string& duty) const {
-  return leases_ ? leases_->Guard(host_.Now(), duty) : std::nullopt;
+std::optional<fleet::LeaseProof> PoolMember::ProveLease(const std::string& duty) const {
+  return leases_ ? leases_->ProveLease(host_.Now(), duty) : std::nullopt;
 }
 
 // Holders are named as "name/life".
@@ -177,8 +177,8 @@
   if (!leases_ || fact.key != "lease/" + fact.duty) return;
   const auto left = std::clamp<std::int64_t>(fact.value.at("left_ms").get<std::int64_t>(), 0,
                                              options_.section.lease_term.count());
-  leases_->Hear(host_.Now(), fact.duty, fact.value.at("holder").get<std::string>(), fact.token,
-                std::chrono::milliseconds(left));
+  leases_->ObserveHolder(host_.Now(), fact.duty, fact.value.at("holder").get<std::string>(), fact.token,
+                         std::chrono::milliseconds(left));
 }
 
 void PoolMember::Send(const Endpoint& to, const fleet::LeaseMessage& lease) {
@@ -189,10 +189,10 @@
   Send(to, message);
 }
 
-void PoolMember::OnRole(const std::string& duty, fleet::Role role, fleet::Token token, Span left,
-                        std::string_view) {
-  if (options_.observer) options_.observer->OnRole(*this, duty, role, token, left);
-  if (role != fleet::Role::kHolder) return;
+void PoolMember::OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status, fleet::FencingToken token,
+                               Span left, std::string_view) {
+  if (options_.observer) options_.observer->OnLeaseStatus(*this, duty, status, token, left);
+  if (status != fleet::LeaseStatus::kHolder) return;
   Publish(duty, "lease/" + duty, {{"holder", Holder()}, {"left_ms", Milliseconds(left)}}, left);
 }
 
--- a/model/fleet/member.h
+++ b/model/fleet/member.h
@@ -36,7 +36,8 @@
   virtual void OnChanged(const PoolMember&, const fleet::Member&, std::optional<fleet::MemberState>) {}
   // Another member's entry of shared state is taken.
   virtual void OnTaken(const PoolMember&, const fleet::Entry&) {}
-  virtual void OnRole(const PoolMember&, const std::string& /*duty*/, fleet::Role, fleet::Token, Span) {}
+  virtual void OnLeaseStatus(const PoolMember&, const std::string& /*duty*/, fleet::LeaseStatus,
+                             fleet::FencingToken, Span) {}
   virtual void OnSent(const PoolMember&, const Endpoint& /*to*/, const fleet::Message&) {}
 };
 
@@ -44,15 +45,15 @@
   fleet::FleetSection section;  // as the configuration has it; `bind` and `advertise` are not read
   std::size_t pool = 0;
   std::size_t site = 0;
-  std::vector<fleet::DutySpec> duties;  // with leases: section.lease_term over zero
-  std::uint64_t seed = 0;               // of this life
-  Observer* observer = nullptr;         // null: none; outlives the member
+  std::vector<fleet::LeasedRole> duties;  // with leases: section.lease_term over zero
+  std::uint64_t seed = 0;                 // of this life
+  Observer* observer = nullptr;           // null: none; outlives the member
 };
 
 class PoolMember : private fleet::Membership::Outlet,
                    private fleet::SharedState::Host,
                    private fleet::StateGossip::Outlet,
-                   private fleet::Leases::Outlet {
+                   private fleet::Leases::Callbacks {
  public:
   // Joins at once. The host is the machine's and outlives this.
   PoolMember(model::Host& host, PoolOptions options);
@@ -67,7 +68,7 @@
   // A fact of a duty for so long; nothing unless this member holds the lease.
   void Publish(const std::string& duty, const std::string& key, nlohmann::json value, Span lasts);
   // The same under a lease of any pool; false, and nothing, if it does not hold now.
-  bool Publish(const fleet::LeaseGuard& guard, const std::string& key, nlohmann::json value, Span lasts);
+  bool Publish(const fleet::LeaseProof& proof, const std::string& key, nlohmann::json value, Span lasts);
   // To whoever has that address in the pool, for a layer above. What comes is in Datagram's message.
   void Send(const Endpoint& to, std::string channel, nlohmann::json payload);
   // Out of the pool, its leases given back, and in again.
@@ -80,7 +81,7 @@
   // Null: none are wanted.
   const fleet::Leases* leases() const { return leases_ ? &*leases_ : nullptr; }
   bool Holds(const std::string& duty) const;
-  std::optional<fleet::LeaseGuard> Guard(const std::string& duty) const;
+  std::optional<fleet::LeaseProof> ProveLease(const std::string& duty) const;
   // The name of the member that is known to hold the duty; empty: none.
   std::string HolderOf(const std::string& duty) const;
   // Times that a voter refused for a reason that an operator has to mend.
@@ -100,8 +101,8 @@
   void Refused(const std::string&, const std::string&, fleet::Refusal) override {}
 
   void Send(const Endpoint& to, const fleet::LeaseMessage& lease) override;
-  void OnRole(const std::string& duty, fleet::Role role, fleet::Token token, Span left,
-              std::string_view why) override;
+  void OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status, fleet::FencingToken token, Span left,
+                     std::string_view why) override;
   void OnFailure(const Failure&) override { ++failures_; }
 
   void StartLeases();
--- a/model/fleet/votes.h
+++ b/model/fleet/votes.h
@@ -31,9 +31,9 @@
   Result<std::optional<fleet::StoredVotes>> Load() {
     const auto found = disk_.find(key_);
     if (found == disk_.end()) return std::nullopt;
-    auto kept = fleet::KeptFromJson(nlohmann::json::parse(found->second));
-    const bool others = kept.voters != voters_;
-    auto votes = fleet::Adopt(std::move(kept), voters_);
+    auto persisted = fleet::PersistedVotesFromJson(nlohmann::json::parse(found->second));
+    const bool others = persisted.voters != voters_;
+    auto votes = fleet::AdoptVotes(std::move(persisted), voters_);
     if (!votes) return tl::unexpected(std::move(votes.error()));
     if (others) Save(*votes);
     return std::move(*votes);
--- a/model/lease/cluster.cpp
+++ b/model/lease/cluster.cpp
@@ -21,8 +21,9 @@
 }
 
 bool Equal(const LeaseMessage& a, const LeaseMessage& b) {
-  return a.verb == b.verb && a.token == b.token && a.holder == b.holder && a.request == b.request &&
-         a.asked == b.asked && a.left_ms == b.left_ms && a.why == b.why;
+  return a.type == b.type && a.token == b.token && a.holder == b.holder &&
+         a.request_number == b.request_number && a.requested_token == b.requested_token &&
+         a.retry_after_ms == b.retry_after_ms && a.denial_reason == b.denial_reason;
 }
 
 std::string NameOf(std::size_t index) { return std::string(1, static_cast<char>('A' + index)); }
@@ -47,7 +48,7 @@
 }
 
 void Table::Seat::Send(const fleet::Leases::Endpoint& to, const LeaseMessage& message) {
-  if (message.verb == LeaseMessage::Verb::kDeny) return;
+  if (message.type == LeaseMessage::Type::kDenial) return;
   const std::size_t other = to.port() - 1u;
   const bool known = std::any_of(table->letters_.begin(), table->letters_.end(), [&](const Letter& each) {
     return each.from == index && each.to == other && Equal(each.message, message);
@@ -55,8 +56,9 @@
   if (!known) table->letters_.push_back({index, other, message});
 }
 
-void Table::Seat::OnRole(const std::string&, fleet::Role role, fleet::Token token, Span, std::string_view) {
-  if (role != fleet::Role::kHolder) return;
+void Table::Seat::OnLeaseStatus(const std::string&, fleet::LeaseStatus status, fleet::FencingToken token,
+                                Span, std::string_view) {
+  if (status != fleet::LeaseStatus::kHolder) return;
   if (token == table->newest_ && table->newest_of_ != index) table->broken_ = "two have had one token";
   table->newest_ = token;
   table->newest_of_ = index;
@@ -75,11 +77,11 @@
   for (std::size_t i = 0; i < kSeats; ++i) options.voters.push_back(AddressOf(i));
   options.term = index == 0 ? options_.first_term : options_.term;
   options.drift = options_.drift;
-  options.duties = {{kDuty, fleet::DutyKind::kExclusive}};
+  options.leased_roles = {{kDuty, fleet::LeasedRoleKind::kExclusive}};
   options.seed = index;
-  options.votes = seat.disk;
-  options.store = &seat;
-  seat.guard.reset();
+  options.stored_votes = seat.disk;
+  options.vote_store = &seat;
+  seat.proof.reset();
   seat.released = false;
   seat.leases = std::make_unique<fleet::Leases>(std::move(options), Now(index), seat);
 }
@@ -89,9 +91,9 @@
   for (std::uint8_t i = 0; i < kSeats; ++i) {
     const Seat& seat = seats_[i];
     if (seat.leases->Next() <= Now(i)) steps.push_back({Kind::kTick, i});
-    if (seat.guard) steps.push_back({Kind::kAct, i});
-    if (seat.leases->role(Now(i), kDuty) == fleet::Role::kHolder) {
-      if (!seat.guard && guards_ < options_.most_guards) steps.push_back({Kind::kCheck, i});
+    if (seat.proof) steps.push_back({Kind::kAct, i});
+    if (seat.leases->status(Now(i), kDuty) == fleet::LeaseStatus::kHolder) {
+      if (!seat.proof && proofs_ < options_.max_proofs) steps.push_back({Kind::kCheck, i});
       if (faults_ < options_.most_faults) steps.push_back({Kind::kGiveBack, i});
     }
     if (seat.released) steps.push_back({Kind::kResume, i});
@@ -128,8 +130,8 @@
         seat.leases->Tick(now, Wall(step.which));
         break;
       case Kind::kCheck:
-        ++guards_;
-        seat.guard = seat.leases->Guard(now, kDuty);
+        ++proofs_;
+        seat.proof = seat.leases->ProveLease(now, kDuty);
         break;
       case Kind::kAct:
         Act(step.which);
@@ -151,22 +153,22 @@
   }
 }
 
-// By the clock or by a guard that holds.
+// By the clock or by a proof that holds.
 bool Table::Acts(std::size_t index) const {
   const Seat& seat = seats_[index];
-  return seat.leases->role(Now(index), kDuty) == fleet::Role::kHolder ||
-         (seat.guard && seat.guard->Holds(Now(index)));
+  return seat.leases->status(Now(index), kDuty) == fleet::LeaseStatus::kHolder ||
+         (seat.proof && seat.proof->IsValid(Now(index)));
 }
 
 void Table::Act(std::size_t index) {
   Seat& seat = seats_[index];
-  const fleet::LeaseGuard guard = *std::exchange(seat.guard, std::nullopt);
-  if (!resource_.Admit(guard, Now(index))) return;
+  const fleet::LeaseProof proof = *std::exchange(seat.proof, std::nullopt);
+  if (!resource_.Admit(proof, Now(index))) return;
   for (std::size_t i = 0; i < kSeats; ++i)
     if (i != index && Acts(i)) broken_ = NameOf(index) + " was let act while " + NameOf(i) + " holds";
-  if (guard.token() < written_) broken_ = "a token at the resource fell";
-  if (guard.token() == written_ && writer_ != index) broken_ = "two have written with one token";
-  written_ = guard.token();
+  if (proof.token() < written_) broken_ = "a token at the resource fell";
+  if (proof.token() == written_ && writer_ != index) broken_ = "two have written with one token";
+  written_ = proof.token();
   writer_ = index;
 }
 
@@ -180,17 +182,17 @@
 
 std::uint64_t Table::Fingerprint() const {
   std::vector<std::uint64_t> words{written_, writer_, newest_, newest_of_,
-                                   static_cast<std::uint64_t>(faults_ * 16 + guards_)};
+                                   static_cast<std::uint64_t>(faults_ * 16 + proofs_)};
   for (std::size_t i = 0; i < kSeats; ++i) {
     const Seat& seat = seats_[i];
-    const bool holds = seat.guard && seat.guard->Holds(Now(i));
+    const bool holds = seat.proof && seat.proof->IsValid(Now(i));
     words.insert(words.end(), {static_cast<std::uint64_t>(seat.life), seat.released, seat.disk.has_value(),
-                               seat.guard.has_value(), holds ? seat.guard->token() : 0,
-                               holds ? fleet::WordOf(Now(i), seat.guard->deadline()) : 0});
+                               seat.proof.has_value(), holds ? seat.proof->token() : 0,
+                               holds ? fleet::FingerprintOf(Now(i), seat.proof->deadline()) : 0});
     if (seat.disk)
       for (const auto& [duty, vote] : *seat.disk)
-        words.insert(words.end(), {fleet::WordOf(vote.holder), vote.token, vote.largest});
-    seat.leases->Fingerprint(Now(i), &words);
+        words.insert(words.end(), {fleet::FingerprintOf(vote.holder), vote.token, vote.largest_token});
+    seat.leases->AppendFingerprint(Now(i), &words);
   }
   // In whatever order they were sent.
   std::uint64_t under_way = 0;
@@ -198,12 +200,12 @@
     const LeaseMessage& m = letter.message;
     const std::array<std::uint64_t, 8> each{
         letter.from * kSeats + letter.to,
-        static_cast<std::uint64_t>(m.verb) * 16 + static_cast<std::uint64_t>(m.why),
+        static_cast<std::uint64_t>(m.type) * 16 + static_cast<std::uint64_t>(m.denial_reason),
         m.token,
-        fleet::WordOf(m.holder),
-        m.request,
-        m.asked,
-        m.left_ms,
+        fleet::FingerprintOf(m.holder),
+        m.request_number,
+        m.requested_token,
+        m.retry_after_ms,
         0};
     under_way += XXH64(each.data(), sizeof each, 1);
   }
@@ -219,7 +221,7 @@
     case Kind::kTick:
       return who + "'s timers";
     case Kind::kCheck:
-      return who + " takes a guard";
+      return who + " takes a proof";
     case Kind::kAct:
       return who + "'s act reaches the resource";
     case Kind::kGiveBack:
@@ -237,14 +239,14 @@
   }
   const Letter& letter = letters_.at(step.which);
   const LeaseMessage& m = letter.message;
-  constexpr std::array<const char*, fleet::kLeaseVerbs> kVerbs{"ask", "grant", "denial", "release"};
+  constexpr std::array<const char*, fleet::kLeaseMessageTypes> kVerbs{"ask", "grant", "denial", "release"};
   return NameOf(letter.to) +
          (step.kind == Kind::kDouble ? " gets a copy of "
           : step.kind == Kind::kLose ? " misses "
                                      : " gets ") +
-         NameOf(letter.from) + "'s " + kVerbs[static_cast<std::size_t>(m.verb)] +
+         NameOf(letter.from) + "'s " + kVerbs[static_cast<std::size_t>(m.type)] +
          " token=" + std::to_string(m.token) + " holder=" + m.holder + " request=..." +
-         std::to_string(m.request % 1000);
+         std::to_string(m.request_number % 1000);
 }
 
 }  // namespace load_balancer::model
--- a/model/lease/cluster.h
+++ b/model/lease/cluster.h
@@ -22,7 +22,7 @@
 
 struct Step {
   // kTime: true time passes, `which` times three seconds. Of member `which`: kTick, its timers; kCheck, it
-  // takes a guard; kAct, what it took the guard for reaches the resource; kGiveBack, kResume; kRestart,
+  // takes a proof; kAct, what it took the proof for reaches the resource; kGiveBack, kResume; kRestart,
   // kRestartWithoutDisk, it crashes and is back. kDeliver: message `which`; kDouble: it stays under way all
   // the same; kLose, in beginnings alone: it is gone.
   enum class Kind : std::uint8_t {
@@ -51,7 +51,7 @@
   bool walls_run = true;  // false: the wall clocks stand still, each ahead of the one before
   // On one path: crashes, give-backs and doubled messages; and guards that are taken some time before the
   // act.
-  int most_faults = 2, most_guards = 1;
+  int most_faults = 2, max_proofs = 1;
 };
 
 class Table {
@@ -74,9 +74,10 @@
     std::size_t from, to;
     fleet::LeaseMessage message;
   };
-  struct Seat : fleet::Leases::Outlet, fleet::VoteStore {
+  struct Seat : fleet::Leases::Callbacks, fleet::VoteStore {
     void Send(const fleet::Leases::Endpoint& to, const fleet::LeaseMessage& message) override;
-    void OnRole(const std::string&, fleet::Role role, fleet::Token token, Span, std::string_view) override;
+    void OnLeaseStatus(const std::string&, fleet::LeaseStatus status, fleet::FencingToken token, Span,
+                       std::string_view) override;
     void OnFailure(const Failure&) override {}
     bool Save(const fleet::StoredVotes& votes) override;
 
@@ -86,7 +87,7 @@
     bool released = false;
     std::optional<fleet::StoredVotes> disk;
     std::unique_ptr<fleet::Leases> leases;
-    std::optional<fleet::LeaseGuard> guard;  // checked, and not acted on yet
+    std::optional<fleet::LeaseProof> proof;  // checked, and not acted on yet
   };
 
   void Sit(std::size_t index);
@@ -97,13 +98,13 @@
 
   const TableOptions options_;
   std::int64_t passed_ = 0;  // of true time since the beginning, in three seconds
-  int faults_ = 0, guards_ = 0;
+  int faults_ = 0, proofs_ = 0;
   std::array<Seat, kSeats> seats_;
   std::vector<Letter> letters_;
   fleet::Fence resource_;
-  fleet::Token written_ = 0;  // by whom, and with what token
+  fleet::FencingToken written_ = 0;  // by whom, and with what token
   std::size_t writer_ = kSeats;
-  fleet::Token newest_ = 0;  // of a lease, and whose it was
+  fleet::FencingToken newest_ = 0;  // of a lease, and whose it was
   std::size_t newest_of_ = kSeats;
   std::optional<std::string> broken_;  // at the resource, or by its token
 };
--- a/model/lease/member.cpp
+++ b/model/lease/member.cpp
@@ -35,12 +35,12 @@
   options.voters = arena_.voters.at(index_);
   options.term = arena_.term;
   options.drift = arena_.drift;
-  options.duties = {{kDuty, fleet::DutyKind::kExclusive}};
+  options.leased_roles = {{kDuty, fleet::LeasedRoleKind::kExclusive}};
   options.seed = world_.random()();
-  options.store = &votes_;
+  options.vote_store = &votes_;
   auto loaded = votes_.Load();
   if (loaded) {
-    options.votes = std::move(*loaded);
+    options.stored_votes = std::move(*loaded);
     return options;
   }
   options.may_vote = false;
@@ -50,7 +50,7 @@
 
 void LeaseMember::Receive(const Packet& packet) {
   if (const auto* word = std::any_cast<Word>(packet.content.get()))
-    leases_.Hear(host_.Now(), kDuty, word->holder, word->token, word->left);
+    leases_.ObserveHolder(host_.Now(), kDuty, word->holder, word->token, word->left);
   else
     leases_.Receive(host_.Now(), packet.from, std::any_cast<const fleet::LeaseMessage&>(*packet.content));
 }
@@ -59,20 +59,20 @@
   const Time now = host_.Now();
   leases_.Tick(now, host_.Wall());
   if (now < act_at_) return;
-  if (guard_) {
-    Act(*std::exchange(guard_, std::nullopt));
+  if (proof_) {
+    Act(*std::exchange(proof_, std::nullopt));
     act_at_ = now + kBetweenActs;
     return;
   }
-  guard_ = leases_.Guard(now, kDuty);
+  proof_ = leases_.ProveLease(now, kDuty);
   // Most acts are quick; some take long from the check to the resource.
   const auto way =
       milliseconds(world_.random()() % 8 == 0 ? world_.random()() % 4000 : world_.random()() % 20);
-  act_at_ = now + (guard_ ? way : kBetweenActs);
+  act_at_ = now + (proof_ ? way : kBetweenActs);
 }
 
 Time LeaseMember::Next() const {
-  const bool acting = guard_ || leases_.role(host_.Now(), kDuty) == fleet::Role::kHolder;
+  const bool acting = proof_ || leases_.status(host_.Now(), kDuty) == fleet::LeaseStatus::kHolder;
   return acting ? std::min(leases_.Next(), act_at_) : leases_.Next();
 }
 
@@ -81,25 +81,25 @@
 
 bool LeaseMember::Acts() const {
   const Time now = host_.Now();
-  return leases_.role(now, kDuty) == fleet::Role::kHolder || (guard_ && guard_->Holds(now));
+  return leases_.status(now, kDuty) == fleet::LeaseStatus::kHolder || (proof_ && proof_->IsValid(now));
 }
 
-void LeaseMember::Act(const fleet::LeaseGuard& guard) {
-  if (!arena_.resource.Admit(guard, host_.Now())) return void(++arena_.refused);
+void LeaseMember::Act(const fleet::LeaseProof& proof) {
+  if (!arena_.resource.Admit(proof, host_.Now())) return void(++arena_.refused);
   ++arena_.acts;
   for (const LeaseMember* other : arena_.present)
     if (other && other != this && other->Acts())
       arena_.broken = host_.Name() + " was let act while " + other->host_.Name() + " holds";
-  if (guard.token() < arena_.written) arena_.broken = "a token at the resource fell";
-  if (guard.token() == arena_.written && arena_.writer != holder_)
+  if (proof.token() < arena_.written) arena_.broken = "a token at the resource fell";
+  if (proof.token() == arena_.written && arena_.writer != holder_)
     arena_.broken = "two have written with one token";
-  arena_.written = guard.token();
+  arena_.written = proof.token();
   arena_.writer = holder_;
   // Some acts are felt for longer.
   if (world_.random()() % 4 != 0) return;
   const Time until = host_.Now() + milliseconds(world_.random()() % arena_.term.count());
-  guard.Outlasts(until);
-  arena_.effects.push_back({&host_, guard.token(), std::min(until, guard.deadline())});
+  proof.ExtendEffects(until);
+  arena_.effects.push_back({&host_, proof.token(), std::min(until, proof.deadline())});
 }
 
 void LeaseMember::Send(const Endpoint& to, const fleet::LeaseMessage& message) {
@@ -107,9 +107,9 @@
 }
 
 // Whoever comes to act, or acts for longer, must be the only one: no overlap begins at another moment.
-void LeaseMember::OnRole(const std::string&, fleet::Role role, fleet::Token token, Span left,
-                         std::string_view) {
-  if (role != fleet::Role::kHolder) return;
+void LeaseMember::OnLeaseStatus(const std::string&, fleet::LeaseStatus status, fleet::FencingToken token,
+                                Span left, std::string_view) {
+  if (status != fleet::LeaseStatus::kHolder) return;
   for (const LeaseMember* other : arena_.present)
     if (other && other != this && other->Acts())
       arena_.broken = other->host_.Name() + " and " + host_.Name() + " act at once";
--- a/model/lease/member.h
+++ b/model/lease/member.h
@@ -31,21 +31,21 @@
   // Of an act, until its machine's clock says so, whatever becomes of the process.
   struct Effect {
     const Host* host;
-    fleet::Token token;
+    fleet::FencingToken token;
     Time until;
   };
   std::vector<Effect> effects;
 
   std::vector<LeaseMember*> present;  // by index; null while down
   fleet::Fence resource;
-  fleet::Token written = 0, newest = 0;
+  fleet::FencingToken written = 0, newest = 0;
   std::string writer, holder;
   std::uint64_t leases = 0, acts = 0, refused = 0;
   int lives = 0;
   std::optional<std::string> broken;
 };
 
-class LeaseMember : public Program, private fleet::Leases::Outlet {
+class LeaseMember : public Program, private fleet::Leases::Callbacks {
  public:
   LeaseMember(Host& host, World& world, Arena& arena, std::size_t index);
   ~LeaseMember() override;
@@ -56,23 +56,23 @@
 
   void GiveBack();
   void Resume();
-  // By its clock, or by a guard that it has taken and that holds.
+  // By its clock, or by a proof that it has taken and that holds.
   bool Acts() const;
 
  private:
   // A holder's word of its lease.
   struct Word {
     std::string holder;
-    fleet::Token token = 0;
+    fleet::FencingToken token = 0;
     Span left{0};
   };
 
   void Send(const Endpoint& to, const fleet::LeaseMessage& message) override;
-  void OnRole(const std::string& duty, fleet::Role role, fleet::Token token, Span left,
-              std::string_view why) override;
+  void OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status, fleet::FencingToken token, Span left,
+                     std::string_view why) override;
   void OnFailure(const Failure& failure) override;
   fleet::LeaseOptions Options();
-  void Act(const fleet::LeaseGuard& guard);
+  void Act(const fleet::LeaseProof& proof);
 
   Host& host_;
   World& world_;
@@ -81,7 +81,7 @@
   const std::string holder_;
   DiskVotes votes_;
   fleet::Leases leases_;
-  std::optional<fleet::LeaseGuard> guard_;  // of the act under way
+  std::optional<fleet::LeaseProof> proof_;  // of the act under way
   Time act_at_;                             // when it reaches the resource, or the next one begins
 };
 
--- a/model/lease/schedule.cpp
+++ b/model/lease/schedule.cpp
@@ -92,8 +92,8 @@
     arena.drift = milliseconds(seed % 4 < 2 ? 100 : 500);
     arena.present.resize(options.members);
     for (std::size_t i = 0; i < options.members; ++i) arena.members.push_back(AddressOf(i));
-    if (options.change != VoterChange::kNone) arena.expected.insert(&fleet::kOtherVoters);
-    if (options.change == VoterChange::kTwoAtOnce) arena.expected.insert(&fleet::kVotersLeapt);
+    if (options.change != VoterChange::kNone) arena.expected.insert(&fleet::kVoterSetMismatch);
+    if (options.change == VoterChange::kTwoAtOnce) arena.expected.insert(&fleet::kVoterSetLeap);
     return arena;
   }
   void WriteFile(Host& host, std::size_t member) {
--- a/model/lease/search.cpp
+++ b/model/lease/search.cpp
@@ -111,7 +111,7 @@
   later.push_back(pass(12));
   TableOptions one_fault;
   one_fault.most_faults = 1;
-  one_fault.most_guards = 0;
+  one_fault.max_proofs = 0;
   // The first request is lost and given back, and B's release is late; B and C grant the second.
   const std::vector<Step> again{wait, a_asks, lose_other, lose_first, pass(3),    a_asks,    lose_other,
                                 wait, a_asks, deliver(1), deliver(1), deliver(1), deliver(1)};
--- a/model/mutants/asked_again.requests.sed
+++ b/model/mutants/asked_again.requests.sed
@@ -1,2 +1,2 @@
-# A token that was given back may be asked for again, and its late release ends the new vote.
-/Never asked for again/{n;d}
+# A released token may be requested again, and its late release ends the new vote.
+/A released token is never requested again/{n;d}
--- a/model/mutants/check_before_the_stall.fencing.sed
+++ b/model/mutants/check_before_the_stall.fencing.sed
@@ -1,2 +1,2 @@
-# The resource does not look at the deadline.
-s/!guard\.Holds(now)/now == Time::min()/
+# The resource does not check the deadline.
+s/!proof\.IsValid(now)/now == Time::min()/
--- a/model/mutants/foreign_release.voter.sed
+++ b/model/mutants/foreign_release.voter.sed
@@ -1,2 +1,2 @@
 # A release ends whatever vote there is.
-s/ && Same(found->second\.kept, release))/)/
+s/ || !IsVoteFor(found->second\.stored, release))/)/
--- a/model/mutants/guard_outlives_give_back.requests.sed
+++ /dev/null
@@ -1,2 +0,0 @@
-# A guard holds although its lease was given back.
-/duty\.lease->over = true;/d
--- a/model/mutants/late_grant.acquisition.sed
+++ b/model/mutants/late_grant.acquisition.sed
@@ -1,2 +1,2 @@
 # A grant counts from the newest request, whichever it answers.
-s/sent->second/sent_.rbegin()->second/g
+s/request->second/sent_.rbegin()->second/g
--- a/model/mutants/live_lease_ignored.voter.sed
+++ b/model/mutants/live_lease_ignored.voter.sed
@@ -1,2 +1,2 @@
 # A voter grants while another's lease is live.
-s/Same(vote\.kept, ask) || again ? Why::kNone : Why::kHeld/again ? Why::kNone : Why::kNone/
+s/IsVoteFor(vote\.stored, request) || is_reacquired;/IsVoteFor(vote.stored, request) || is_reacquired || true;/
--- a/model/mutants/no_silence.voter.sed
+++ b/model/mutants/no_silence.voter.sed
@@ -1,2 +1,2 @@
 # A voter that has lost its votes grants at once.
-s/silent_until_(stored ? now : now + span())/silent_until_(now)/
+s/grace_period_end_(stored ? now : now + VoteDuration())/grace_period_end_(now)/
--- a/model/mutants/other_set_taken.persisted_votes.sed
+++ b/model/mutants/other_set_taken.persisted_votes.sed
@@ -1,2 +1,2 @@
-# A voter takes a file of votes as its own whichever voters it names.
-s/differ\.size() > 1/differ.size() > 100/
+# A voter adopts a file of votes whichever voters it names.
+s/differing\.size() > 1/differing.size() > 100/
--- a/model/mutants/smaller_token_again.voter.sed
+++ b/model/mutants/smaller_token_again.voter.sed
@@ -1,2 +1,2 @@
-# A late request of the vote's holder takes the vote back to a token before.
-s/ && ask\.token > vote\.kept\.largest;/;/
+# A late request of the vote's holder takes the vote back to an earlier token.
+s/ && is_larger;/;/
--- a/model/mutants/stored_vote_over.voter.sed
+++ b/model/mutants/stored_vote_over.voter.sed
@@ -1,2 +1,2 @@
-# A vote read from the disk has run out.
-s/votes_\[duty\] = {vote, now + .*};/votes_[duty] = {vote, now};/
+# A vote read from disk has expired.
+s/votes_\[lease_name\] = {vote, now + .*};/votes_[lease_name] = {vote, now};/
--- a/model/mutants/token_goes_back.voter.sed
+++ b/model/mutants/token_goes_back.voter.sed
@@ -1,2 +1,2 @@
 # Any token will do once a vote has ended.
-s/ask\.token > vote\.kept\.largest ? Why::kNone : Why::kHeld/Why::kNone/
+s/is_larger ? DenialReason::kNone : DenialReason::kLeaseHeld/DenialReason::kNone/
--- a/model/mutants/token_reused.voter.sed
+++ b/model/mutants/token_reused.voter.sed
@@ -1,2 +1,2 @@
 # A token that has been granted is granted to another.
-s/ask\.token > vote\.kept\.largest/ask.token >= vote.kept.largest/
+s/request\.token > vote\.stored\.largest_token/request.token >= vote.stored.largest_token/
--- a/model/mutants/unequal_terms.voter.sed
+++ b/model/mutants/unequal_terms.voter.sed
@@ -1,2 +1,2 @@
-# A voter grants to an asker whose term is another.
-/return Why::kTerm;/d
+# A voter grants to a requester whose term is another.
+/return DenialReason::kTermMismatch;/d
--- a/model/mutants/vote_without_margin.voter.sed
+++ b/model/mutants/vote_without_margin.voter.sed
@@ -1,2 +1,2 @@
 # A vote lasts for the term alone by the voter's clock.
-s/{vote, now + span(),/{vote, now + terms_.term,/
+s/{vote, now + VoteDuration(),/{vote, now + terms_.term,/
--- a/model/mutants/votes_forgotten.persisted_votes.sed
+++ b/model/mutants/votes_forgotten.persisted_votes.sed
@@ -1,2 +1,2 @@
 # A voter forgets its votes when the voters change.
-s/return std::move(kept\.votes);/return kept.voters == voters ? std::move(kept.votes) : StoredVotes{};/
+s/return std::move(persisted\.votes);/return persisted.voters == voters ? std::move(persisted.votes) : StoredVotes{};/
--- a/model/quota/gateways.cpp
+++ b/model/quota/gateways.cpp
@@ -50,7 +50,7 @@
       allocators_.emplace_back(
           quota::AllocatorOptions{i, all.options_.allocators, all.layout_, all.options_.timings},
           all.files_[number]);
-    guards_.resize(allocators_.size());
+    proofs_.resize(allocators_.size());
   }
 
   void Receive(const Packet& packet) override {
@@ -64,12 +64,12 @@
     if (const auto* lease = std::get_if<fleet::LeaseMessage>(&wire.message))
       return leases_.Receive(packet.from, *lease);
     const auto from = all_.by_address_.find(packet.from);
-    // The guard that there was may be used late: it is for the allocator to ask it.
-    std::optional<fleet::LeaseGuard>& guard = guards_[wire.allocator];
-    if (auto held = leases_.Guard(wire.allocator)) guard.emplace(std::move(*held));
-    if (!guard || stepping_down_) return;
+    // The proof that there was may be used late: it is for the allocator to ask it.
+    std::optional<fleet::LeaseProof>& proof = proofs_[wire.allocator];
+    if (auto held = leases_.ProveLease(wire.allocator)) proof.emplace(std::move(*held));
+    if (!proof || stepping_down_) return;
     quota::AllocatorActions actions;
-    allocators_[wire.allocator].Receive(now, *guard, all_.names_[from->second],
+    allocators_[wire.allocator].Receive(now, *proof, all_.names_[from->second],
                                         std::get<quota::Request>(wire.message), &actions);
     Act(wire.allocator, actions);
   }
@@ -82,9 +82,9 @@
       leases_.GiveBack();
     }
     for (std::size_t i = 0; i < allocators_.size(); ++i)
-      if (const auto guard = allocators_[i].Next() <= now ? Guard(i) : std::nullopt) {
+      if (const auto proof = allocators_[i].Next() <= now ? ProveLease(i) : std::nullopt) {
         quota::AllocatorActions actions;
-        allocators_[i].Tick(now, *guard, &actions);
+        allocators_[i].Tick(now, *proof, &actions);
         Act(i, actions);
       }
     Serve(now);
@@ -100,7 +100,7 @@
     if (stepping_down_) next = std::min(next, OutUntil(now));
     if (at_ < arrivals_.size()) next = std::min(next, arrivals_[at_].at);
     for (std::size_t i = 0; i < allocators_.size(); ++i)
-      if (Guard(i)) next = std::min(next, allocators_[i].Next());
+      if (ProveLease(i)) next = std::min(next, allocators_[i].Next());
     return next;
   }
 
@@ -137,8 +137,8 @@
         quota::AccountOptions{SiteName(site_), options.per_site, life, options.allocators, options.timings},
         all_.files_[number_], host_.Now());
   }
-  std::optional<fleet::LeaseGuard> Guard(std::size_t allocator) const {
-    return stepping_down_ ? std::nullopt : leases_.Guard(allocator);
+  std::optional<fleet::LeaseProof> ProveLease(std::size_t allocator) const {
+    return stepping_down_ ? std::nullopt : leases_.ProveLease(allocator);
   }
   Time OutUntil(Time now) const {
     Time latest = now;
@@ -226,7 +226,7 @@
   const std::size_t site_;
   std::vector<std::unique_ptr<quota::Account>> accounts_;  // the last one has the gateway's address
   std::vector<quota::Allocator> allocators_;
-  std::vector<std::optional<fleet::LeaseGuard>> guards_;  // the newest of each
+  std::vector<std::optional<fleet::LeaseProof>> proofs_;  // the newest of each
   bool stepping_down_ = false;
   Spender spender_;
   std::vector<Arrival> arrivals_;
--- a/model/quota/lease_member.h
+++ b/model/quota/lease_member.h
@@ -39,7 +39,7 @@
   std::map<std::size_t, Known> duties_;
 };
 
-class LeaseMember final : private fleet::Leases::Outlet {
+class LeaseMember final : private fleet::Leases::Callbacks {
  public:
   using Post = std::function<void(const Endpoint&, const fleet::LeaseMessage&)>;
   LeaseMember(Host& host, std::uint64_t life, std::size_t machine, const std::vector<Endpoint>& voters,
@@ -66,8 +66,8 @@
     leases_.Release(host_.Now());
     leases_.Resume(host_.Now());
   }
-  std::optional<fleet::LeaseGuard> Guard(std::size_t duty) const {
-    return leases_.Guard(host_.Now(), Duty(duty));
+  std::optional<fleet::LeaseProof> ProveLease(std::size_t duty) const {
+    return leases_.ProveLease(host_.Now(), Duty(duty));
   }
 
  private:
@@ -80,13 +80,15 @@
     options.term = std::chrono::floor<std::chrono::milliseconds>(timings.term);
     options.drift = std::chrono::ceil<std::chrono::milliseconds>(timings.drift);
     options.seed = life;
-    for (std::size_t i = 0; i < duties; ++i) options.duties.push_back({Duty(i), fleet::DutyKind::kExclusive});
+    for (std::size_t i = 0; i < duties; ++i)
+      options.leased_roles.push_back({Duty(i), fleet::LeasedRoleKind::kExclusive});
     return options;
   }
 
   void Send(const Endpoint& to, const fleet::LeaseMessage& message) override { post_(to, message); }
-  void OnRole(const std::string& duty, fleet::Role role, fleet::Token, Span, std::string_view) override {
-    if (role == fleet::Role::kHolder)
+  void OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status, fleet::FencingToken, Span,
+                     std::string_view) override {
+    if (status == fleet::LeaseStatus::kHolder)
       holders_.Tell(std::stoul(duty.substr(duty.find('/') + 1)), machine_, host_.True());
   }
   void OnFailure(const Failure&) override {}
--- a/model/quota/scale/crowd.cpp
+++ b/model/quota/scale/crowd.cpp
@@ -61,11 +61,11 @@
       Act(actions);
       all_.Timed(begin, &all_.gateway_costs_.rest_s);
     } else if (const auto* request = std::get_if<quota::Request>(&wire.message)) {
-      const auto guard = leases_ ? leases_->Guard(wire.allocator) : std::nullopt;
-      if (!guard) return;
+      const auto proof = leases_ ? leases_->ProveLease(wire.allocator) : std::nullopt;
+      if (!proof) return;
       const double begin = all_.Processor();
       quota::AllocatorActions actions;
-      allocators_[wire.allocator].Receive(host_.Now(), *guard, all_.names_[all_.by_address_.at(packet.from)],
+      allocators_[wire.allocator].Receive(host_.Now(), *proof, all_.names_[all_.by_address_.at(packet.from)],
                                           *request, &actions);
       Act(wire.allocator, actions);
       all_.Timed(begin, &all_.allocator_costs_.rest_s);
@@ -78,11 +78,11 @@
     const Time now = host_.Now();
     if (leases_) leases_->Tick();
     for (std::size_t i = 0; i < allocators_.size(); ++i) {
-      const auto guard = allocators_[i].Next() <= now ? leases_->Guard(i) : std::nullopt;
-      if (!guard) continue;
+      const auto proof = allocators_[i].Next() <= now ? leases_->ProveLease(i) : std::nullopt;
+      if (!proof) continue;
       const double begin = all_.Processor();
       quota::AllocatorActions actions;
-      allocators_[i].Tick(now, *guard, &actions);
+      allocators_[i].Tick(now, *proof, &actions);
       Act(i, actions);
       all_.Timed(begin, &all_.allocator_costs_.rest_s);
     }
@@ -101,7 +101,7 @@
     const Moment arrival = all_.clients_[number_].Next();
     if (arrival != Moment::max()) next = std::min(next, all_.clocks_[number_].At(arrival));
     for (std::size_t i = 0; i < allocators_.size(); ++i)
-      if (leases_->Guard(i)) next = std::min(next, allocators_[i].Next());
+      if (leases_->ProveLease(i)) next = std::min(next, allocators_[i].Next());
     return next;
   }
 
--- a/model/spill/gateway.cpp
+++ b/model/spill/gateway.cpp
@@ -38,7 +38,7 @@
 class Lease {
  public:
   Lease(bool holds, std::uint64_t token) : holds_(holds), token_(token) {}
-  bool Holds(Time) const { return holds_; }
+  bool IsValid(Time) const { return holds_; }
   std::uint64_t token() const { return token_; }
 
  private:
--- a/model/system/checks.cpp
+++ b/model/system/checks.cpp
@@ -41,7 +41,8 @@
   return static_cast<SystemGateway*>(federation_->program(machine));
 }
 
-void Checks::Acted(std::size_t machine, std::size_t pool, const std::string& duty, fleet::Token token) {
+void Checks::Acted(std::size_t machine, std::size_t pool, const std::string& duty,
+                   fleet::FencingToken token) {
   ++acts_;
   const std::string who = federation_->world().host(machine).Name();
   for (const std::size_t holder : Holders(*federation_, machine, pool, duty))
@@ -50,7 +51,7 @@
             At(now()));
   if (!federation_->member(machine, pool)->Holds(duty))
     Break(who + " acts for " + duty + " without its lease" + At(now()));
-  fleet::Token& largest = tokens_[{pool, duty}];
+  fleet::FencingToken& largest = tokens_[{pool, duty}];
   if (tokens_grow_ && token < largest) Break(who + " acts for " + duty + " with an older token" + At(now()));
   largest = std::max(largest, token);
 }
--- a/model/system/checks.h
+++ b/model/system/checks.h
@@ -35,7 +35,7 @@
 
   // ---- told by gateways ------------------------------------------------------------------------------
   // An act for an exclusive duty of that pool under a lease of this token.
-  void Acted(std::size_t machine, std::size_t pool, const std::string& duty, fleet::Token token);
+  void Acted(std::size_t machine, std::size_t pool, const std::string& duty, fleet::FencingToken token);
   // A request was charged as inside its budget; returns the charge's number among its partner's.
   std::size_t Admitted(const std::string& partner, Try one, quota::Milli cost);
   void Credited(const std::string& partner, std::size_t number);
@@ -76,8 +76,8 @@
   const Wiring& wiring_;
   const bool skew_kept_, tokens_grow_;
   Federation* federation_ = nullptr;
-  std::map<std::pair<std::size_t, std::string>, fleet::Token> tokens_;  // by pool and duty
-  std::map<std::string, std::vector<Charge>> charges_;                  // by partner, in their order
+  std::map<std::pair<std::size_t, std::string>, fleet::FencingToken> tokens_;  // by pool and duty
+  std::map<std::string, std::vector<Charge>> charges_;                         // by partner, in their order
   std::set<Try> over_budget_;
   std::map<std::string, OfferCheck> offers_;  // by site
   std::map<std::string, Moment> no_spare_since_;
--- a/model/system/quota_side.cpp
+++ b/model/system/quota_side.cpp
@@ -56,18 +56,18 @@
     TakeAnswer(allocator, gateway, *answer);
 }
 
-std::optional<fleet::LeaseGuard> QuotaSide::Guard(std::size_t allocator) const {
-  return paused_ ? std::nullopt : pool_.Guard(Wiring::AllocatorOf(allocator));
+std::optional<fleet::LeaseProof> QuotaSide::ProveLease(std::size_t allocator) const {
+  return paused_ ? std::nullopt : pool_.ProveLease(Wiring::AllocatorOf(allocator));
 }
 
 void QuotaSide::TakeRequest(std::size_t allocator, const std::string& gateway, const nlohmann::json& json) {
-  const auto guard = Guard(allocator);
-  if (!guard) return;
+  const auto proof = ProveLease(allocator);
+  if (!proof) return;
   const auto request = quota::RequestFromJson(json, gateway);
   if (!request) return;
   quota::AllocatorActions actions;
-  allocators_[allocator].Receive(host_.Now(), *guard, gateway, *request, &actions);
-  Do(allocator, actions, *guard);
+  allocators_[allocator].Receive(host_.Now(), *proof, gateway, *request, &actions);
+  Do(allocator, actions, *proof);
 }
 
 void QuotaSide::TakeAnswer(std::size_t allocator, const std::string& gateway, const nlohmann::json& json) {
@@ -82,7 +82,7 @@
   if (!posted_.empty()) return host_.Now();
   Time next = account_.Next();
   for (std::size_t i = 0; i < allocators_.size(); ++i)
-    if (Guard(i)) next = std::min(next, allocators_[i].Next());
+    if (ProveLease(i)) next = std::min(next, allocators_[i].Next());
   return next;
 }
 
@@ -93,11 +93,11 @@
   account_.Tick(now, &actions);
   Do(actions);
   for (std::size_t i = 0; i < allocators_.size(); ++i) {
-    const auto guard = Guard(i);
-    if (!guard) continue;
+    const auto proof = ProveLease(i);
+    if (!proof) continue;
     quota::AllocatorActions handed_out;
-    allocators_[i].Tick(now, *guard, &handed_out);
-    Do(i, handed_out, *guard);
+    allocators_[i].Tick(now, *proof, &handed_out);
+    Do(i, handed_out, *proof);
   }
 }
 
@@ -109,11 +109,11 @@
 }
 
 void QuotaSide::Do(std::size_t allocator, const quota::AllocatorActions& actions,
-                   const fleet::LeaseGuard& guard) {
+                   const fleet::LeaseProof& proof) {
   for (const quota::AllocatorAction& action : actions) {
     const auto* send = std::get_if<quota::SendAnswer>(&action);
     if (!send) continue;
-    checks_.Acted(machine_, kWidePool, guard.duty(), guard.token());
+    checks_.Acted(machine_, kWidePool, proof.lease_name(), proof.token());
     Send(send->gateway, {{kAllocatorKey, allocator}, {kAnswerKey, quota::ToJson(send->answer)}});
   }
 }
--- a/model/system/quota_side.h
+++ b/model/system/quota_side.h
@@ -39,12 +39,12 @@
   Time OutUntil() const;
 
  private:
-  std::optional<fleet::LeaseGuard> Guard(std::size_t allocator) const;
+  std::optional<fleet::LeaseProof> ProveLease(std::size_t allocator) const;
   void Send(const std::string& gateway, nlohmann::json payload);
   void TakeRequest(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
   void TakeAnswer(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
   void Do(const quota::AccountActions& actions);
-  void Do(std::size_t allocator, const quota::AllocatorActions& actions, const fleet::LeaseGuard& guard);
+  void Do(std::size_t allocator, const quota::AllocatorActions& actions, const fleet::LeaseProof& proof);
 
   Host& host_;
   PoolMember& pool_;
--- a/model/system/scenario.cpp
+++ b/model/system/scenario.cpp
@@ -124,9 +124,9 @@
   federation.wide.share_verdicts = false;
   federation.wide.most_bytes_per_second = 131072;
   for (std::size_t i = 0; i < wiring.allocators; ++i)
-    federation.wide_duties.push_back({Wiring::AllocatorOf(i), fleet::DutyKind::kExclusive});
+    federation.wide_duties.push_back({Wiring::AllocatorOf(i), fleet::LeasedRoleKind::kExclusive});
   for (const std::string& site : wiring.sites)
-    federation.duties.push_back({Wiring::AmbassadorOf(site), fleet::DutyKind::kExclusive});
+    federation.duties.push_back({Wiring::AmbassadorOf(site), fleet::LeasedRoleKind::kExclusive});
   const double bound = std::chrono::duration<double>(wiring.timings.drift) / wiring.timings.term;
   federation.most_rate_error = ClocksApart(seed) ? bound : kSmallError;
   scene.settings.classes = Classes();
--- a/model/system/spill_side.cpp
+++ b/model/system/spill_side.cpp
@@ -179,22 +179,22 @@
 }
 
 void SpillSide::MakeEstimate() {
-  const auto guard = site_.Guard(duty_);
-  if (!guard) {
+  const auto proof = site_.ProveLease(duty_);
+  if (!proof) {
     ambassador_.reset();
     office_ = 0;
     return;
   }
-  if (std::exchange(office_, guard->token()) != guard->token()) {
+  if (std::exchange(office_, proof->token()) != proof->token()) {
     ambassador_.emplace(wiring_.spill, own_site_);
     ambassador_->Heard(host_.Now(), host_.Name(), OwnSpare());
     return;  // the others are heard until the next time
   }
-  const auto estimate = ambassador_->Make(host_.Now(), host_.Wall(), *guard);
+  const auto estimate = ambassador_->Make(host_.Now(), host_.Wall(), *proof);
   if (!estimate) return;
-  if (!wide_.Publish(*guard, "estimate/" + own_site_, spill::ToJson(*estimate), wiring_.spill.staleness))
+  if (!wide_.Publish(*proof, "estimate/" + own_site_, spill::ToJson(*estimate), wiring_.spill.staleness))
     return;
-  checks_.Acted(machine_, kSitePool, duty_, guard->token());
+  checks_.Acted(machine_, kSitePool, duty_, proof->token());
   checks_.Estimated(own_site_, std::min(wiring_.spill.most_part * static_cast<double>(estimate->mean),
                                         static_cast<double>(estimate->low)));
   Feed(spill::EstimateHeard{*estimate, host_.Wall()});
--- a/src/fleet/lease/acquisition.cpp
+++ b/src/fleet/lease/acquisition.cpp
@@ -8,58 +8,61 @@
 
 namespace load_balancer::fleet {
 
-void Bid::Open(Time now, std::uint64_t number, Span term, Span lasts, Span every) {
-  std::erase_if(sent_, [&](const auto& each) { return each.second + term <= now; });
+void LeaseAcquisition::BeginRequest(Time now, std::uint64_t number, const RequestTiming& timing) {
+  std::erase_if(sent_, [&](const auto& request) { return request.second + timing.term <= now; });
   sent_[number] = now;
   denied_.clear();
-  open_ = true;
-  ends_ = now + lasts;
-  next_repeat_ = now + every;
+  is_request_open_ = true;
+  request_deadline_ = now + timing.timeout;
+  next_retransmit_ = now + timing.retransmit_interval;
 }
 
-void Bid::Repeated(Time now, Span every) { next_repeat_ = now + every; }
-
-bool Bid::Answered(const Endpoint& voter) const {
-  const auto found = granted_.find(voter);
-  return denied_.contains(voter) || (found != granted_.end() && found->second == sent());
+bool LeaseAcquisition::HasAnswered(const Endpoint& voter) const {
+  if (denied_.contains(voter)) return true;
+  const auto granted = granted_.find(voter);
+  return granted != granted_.end() && granted->second == request_sent_at();
 }
 
-bool Bid::Grant(const Endpoint& voter, std::uint64_t request) {
-  const auto sent = sent_.find(request);
-  if (sent == sent_.end()) return false;
-  Time& counted = granted_.try_emplace(voter, sent->second).first->second;
-  counted = std::max(counted, sent->second);
+bool LeaseAcquisition::CountGrant(const Endpoint& voter, std::uint64_t request_number) {
+  const auto request = sent_.find(request_number);
+  if (request == sent_.end()) return false;
+  Time& bound_since = granted_.try_emplace(voter, request->second).first->second;
+  bound_since = std::max(bound_since, request->second);
   denied_.erase(voter);
   return true;
 }
 
-void Bid::Deny(const Endpoint& voter, std::uint64_t request, Time from) {
-  if (open_ && request == number()) denied_[voter] = from;
+void LeaseAcquisition::RecordDenial(const Endpoint& voter, std::uint64_t request_number, Time may_grant_at) {
+  if (is_request_open_ && request_number == this->request_number()) denied_[voter] = may_grant_at;
 }
 
-std::optional<Time> Bid::Since(std::size_t majority) const {
+std::optional<Time> LeaseAcquisition::MajorityBoundSince(std::size_t majority) const {
   if (granted_.size() < majority) return std::nullopt;
-  std::vector<Time> moments;
-  for (const auto& [voter, moment] : granted_) moments.push_back(moment);
-  std::sort(moments.begin(), moments.end(), std::greater<>());
-  return moments[majority - 1];
+  std::vector<Time> bound_since;
+  for (const auto& [voter, moment] : granted_) bound_since.push_back(moment);
+  std::sort(bound_since.begin(), bound_since.end(), std::greater<>());
+  return bound_since[majority - 1];
 }
 
-Time Bid::Opens(Time now, std::size_t voters, std::size_t majority) const {
-  if (voters - std::min(voters, denied_.size()) >= majority) return now;
-  std::vector<Time> moments(voters - std::min(voters, denied_.size()), now);
-  for (const auto& [voter, from] : denied_) moments.push_back(from);
+Time LeaseAcquisition::MajorityMayGrantAt(Time now, std::size_t voters, std::size_t majority) const {
+  const std::size_t undecided = voters - std::min(voters, denied_.size());
+  if (undecided >= majority) return now;
+  std::vector<Time> moments(undecided, now);
+  for (const auto& [voter, may_grant_at] : denied_) moments.push_back(may_grant_at);
   std::sort(moments.begin(), moments.end());
   return std::max(now, moments[majority - 1]);
 }
 
-void Bid::Fingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const {
-  words->insert(words->end(), {token_, open_, WordOf(now, ends_), open_ ? WordOf(now, next_repeat_) : 0});
-  // These count while the term from then on lasts.
-  for (const auto& [request, sent] : sent_) words->insert(words->end(), {request, WordOf(now, sent + term)});
-  for (const auto& [voter, moment] : granted_)
-    words->insert(words->end(), {voter.port(), WordOf(now, moment + term)});
-  for (const auto& [voter, from] : denied_) words->insert(words->end(), {voter.port(), WordOf(now, from)});
+void LeaseAcquisition::AppendFingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const {
+  words->insert(words->end(), {token_, is_request_open_, FingerprintOf(now, request_deadline_),
+                               is_request_open_ ? FingerprintOf(now, next_retransmit_) : 0});
+  // A request, and a grant of it, counts for a term after it was sent.
+  for (const auto& [number, sent_at] : sent_)
+    words->insert(words->end(), {number, FingerprintOf(now, sent_at + term)});
+  for (const auto& [voter, bound_since] : granted_)
+    words->insert(words->end(), {voter.port(), FingerprintOf(now, bound_since + term)});
+  for (const auto& [voter, may_grant_at] : denied_)
+    words->insert(words->end(), {voter.port(), FingerprintOf(now, may_grant_at)});
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/acquisition.h
+++ b/src/fleet/lease/acquisition.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// One token that is asked for, or held and renewed: its requests, and what each voter has answered.
+/// @file
+/// The acquisition of one lease under one fencing token, and its renewals: the requests that were sent and
+/// what each voter has answered.
 #ifndef LOAD_BALANCER_FLEET_LEASE_ACQUISITION_H_
 #define LOAD_BALANCER_FLEET_LEASE_ACQUISITION_H_
 
@@ -15,48 +16,64 @@
 
 namespace load_balancer::fleet {
 
-class Bid {
+/// Counts grants and denials of one token. A grant counts from the moment at which the request that it
+/// answers was first sent, so that a late grant never makes the lease last longer than the voter is bound by
+/// it.
+class LeaseAcquisition {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
-  Bid() = default;  // for nothing
-  explicit Bid(Token token) : token_(token) {}
+  /// How long a request waits, and how often it is retransmitted meanwhile.
+  struct RequestTiming {
+    Span term{};                 ///< Requests older than this no longer count.
+    Span timeout{};              ///< The request ends so long after it was first sent.
+    Span retransmit_interval{};  ///< Between two transmissions to a voter that has not answered.
+  };
 
-  Token token() const { return token_; }  // 0: nothing is asked for
+  /// Requests nothing.
+  LeaseAcquisition() = default;
+  explicit LeaseAcquisition(FencingToken token) : token_(token) {}
 
-  // A request that is sent now, and repeated `every` so long until a majority has granted it, or it has ended
-  // after `lasts`. Requests older than `term` are forgotten.
-  void Open(Time now, std::uint64_t number, Span term, Span lasts, Span every);
-  void Close() { open_ = false; }
-  bool open() const { return open_; }
-  std::uint64_t number() const { return sent_.rbegin()->first; }  // of the newest request
-  Time sent() const { return sent_.rbegin()->second; }
-  Time ends() const { return ends_; }
-  Time next_repeat() const { return next_repeat_; }
-  // Of the newest request again, to those that have not answered; its moment stays that of the first sending.
-  void Repeated(Time now, Span every);
-  bool Answered(const Endpoint& voter) const;
+  /// 0 if nothing is requested.
+  FencingToken token() const { return token_; }
 
-  // False, and nothing changes, if the grant answers no request of this bid.
-  bool Grant(const Endpoint& voter, std::uint64_t request);
-  // The voter may grant from `from` on.
-  void Deny(const Endpoint& voter, std::uint64_t request, Time from);
+  /// Begins a request that is sent for the first time at `now`. Forgets the denials of the one before.
+  void BeginRequest(Time now, std::uint64_t number, const RequestTiming& timing);
+  void EndRequest() { is_request_open_ = false; }
+  /// Whether the newest request still waits for a majority.
+  bool is_request_open() const { return is_request_open_; }
+  /// Number and first sending of the newest request. Requires that there is one.
+  std::uint64_t request_number() const { return sent_.rbegin()->first; }
+  Time request_sent_at() const { return sent_.rbegin()->second; }
+  Time request_deadline() const { return request_deadline_; }
+  Time next_retransmit() const { return next_retransmit_; }
+  void ScheduleRetransmit(Time at) { next_retransmit_ = at; }
+  /// Whether the voter has granted or denied the newest request.
+  bool HasAnswered(const Endpoint& voter) const;
 
-  // The newest moment of a request since which so many voters are bound; nothing if there is none.
-  std::optional<Time> Since(std::size_t majority) const;
-  // Of so many voters, when a majority of them may grant by what those that denied the newest request say.
-  Time Opens(Time now, std::size_t voters, std::size_t majority) const;
+  /// Counts a voter's grant. Returns false, and changes nothing, if it answers no request that still counts.
+  bool CountGrant(const Endpoint& voter, std::uint64_t request_number);
+  /// Records that the voter may grant from `may_grant_at` on. Ignores answers to other than the newest
+  /// request.
+  void RecordDenial(const Endpoint& voter, std::uint64_t request_number, Time may_grant_at);
 
-  // As Leases::Fingerprint.
-  void Fingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const;
+  /// The newest moment since which `majority` voters are bound by their grants; nothing if fewer have
+  /// granted.
+  std::optional<Time> MajorityBoundSince(std::size_t majority) const;
+  /// When `majority` of `voters` voters may grant, as far as the denials of the newest request tell.
+  Time MajorityMayGrantAt(Time now, std::size_t voters, std::size_t majority) const;
+
+  /// As Leases::AppendFingerprint.
+  void AppendFingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const;
 
  private:
-  Token token_ = 0;
-  std::map<std::uint64_t, Time> sent_;  // when each request was sent
-  std::map<Endpoint, Time> granted_;    // of each voter the newest of these moments that it has granted
-  std::map<Endpoint, Time> denied_;     // of those that denied the newest request, when they may grant
-  bool open_ = false;                   // the newest request is not answered by a majority yet
-  Time ends_{}, next_repeat_{};
+  FencingToken token_ = 0;
+  std::map<std::uint64_t, Time> sent_;  // first sending of each request, by its number
+  std::map<Endpoint, Time> granted_;    // by voter, the newest first sending of a request that it has granted
+  std::map<Endpoint, Time> denied_;     // by voter that denied the newest request, when it may grant
+  bool is_request_open_ = false;
+  Time request_deadline_{};
+  Time next_retransmit_{};
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/denial_reporter.cpp
+++ b/src/fleet/lease/denial_reporter.cpp
@@ -8,49 +8,53 @@
 namespace load_balancer::fleet {
 namespace {
 
-using Why = LeaseMessage::Why;
+using DenialReason = LeaseMessage::DenialReason;
 
-std::string Figures(std::uint64_t there, std::uint64_t here) {
-  return std::to_string(there) + " there, " + std::to_string(here) + " here";
-}
+struct DenialFailure {
+  const FailureKind& kind;
+  std::string detail;
+};
 
-std::uint64_t Count(std::chrono::milliseconds span) { return static_cast<std::uint64_t>(span.count()); }
+std::string CompareValues(std::uint64_t voters_value, std::uint64_t own_value) {
+  return std::to_string(voters_value) + " there, " + std::to_string(own_value) + " here";
+}
 
-}  // namespace
+std::uint64_t MillisecondCount(std::chrono::milliseconds span) {
+  return static_cast<std::uint64_t>(span.count());
+}
 
-std::optional<Failure> Complaints::Of(const Endpoint& voter, const LeaseMessage& denial,
-                                      const LeaseTerms& terms) {
-  const FailureKind* kind = nullptr;
-  std::string detail;
-  switch (denial.why) {
-    case Why::kTerm:
-      kind = &kOtherTerm;
-      detail = Figures(denial.term_ms, Count(terms.term));
-      break;
-    case Why::kDrift:
-      kind = &kOtherDrift;
-      detail = Figures(denial.drift_ms, Count(terms.drift));
-      break;
-    case Why::kVoters:
-      kind = &kOtherVoters;
-      detail = "hash " + Figures(denial.voters, terms.voters);
-      break;
-    case Why::kDisk:
-    case Why::kFull:
-      kind = &kVoteNotKept;
-      detail = denial.why == Why::kDisk ? "disk" : "too many duties";
-      break;
-    case Why::kNone:
-    case Why::kHeld:
-    case Why::kSilent:
+// Nothing for a denial that is part of normal operation.
+std::optional<DenialFailure> FailureOf(const LeaseMessage& denial, const LeaseTerms& terms) {
+  switch (denial.denial_reason) {
+    case DenialReason::kTermMismatch:
+      return DenialFailure{kTermMismatch, CompareValues(denial.term_ms, MillisecondCount(terms.term))};
+    case DenialReason::kDriftMismatch:
+      return DenialFailure{kDriftMismatch, CompareValues(denial.drift_ms, MillisecondCount(terms.drift))};
+    case DenialReason::kVoterSetMismatch:
+      return DenialFailure{kVoterSetMismatch,
+                           "hash " + CompareValues(denial.voter_set_hash, terms.voter_set_hash)};
+    case DenialReason::kNotPersisted:
+      return DenialFailure{kVoteNotPersisted, "disk"};
+    case DenialReason::kTooManyLeases:
+      return DenialFailure{kVoteNotPersisted, "too many duties"};
+    case DenialReason::kNone:
+    case DenialReason::kLeaseHeld:
+    case DenialReason::kGracePeriod:
       return std::nullopt;
   }
-  if (!told_.emplace(voter, denial.why).second) return std::nullopt;
-  return Failure(*kind, voter.address().to_string() + ":" + std::to_string(voter.port()), detail);
+  return std::nullopt;
 }
 
-void Complaints::Forget(const Endpoint& voter) {
-  std::erase_if(told_, [&](const auto& each) { return each.first == voter; });
+}  // namespace
+
+std::optional<Failure> DenialReporter::Report(const Endpoint& voter, const LeaseMessage& denial,
+                                              const LeaseTerms& terms) {
+  const std::optional<DenialFailure> failure = FailureOf(denial, terms);
+  if (!failure) return std::nullopt;
+  const bool is_new = reported_[voter].insert(denial.denial_reason).second;
+  if (!is_new) return std::nullopt;
+  const std::string address = voter.address().to_string() + ":" + std::to_string(voter.port());
+  return Failure(failure->kind, address, failure->detail);
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/denial_reporter.h
+++ b/src/fleet/lease/denial_reporter.h
@@ -1,13 +1,13 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// Denials that an operator has to mend: each told once for each voter and reason, until the voter grants.
+/// @file
+/// Turns denials that an operator has to resolve into failures, each reported once.
 #ifndef LOAD_BALANCER_FLEET_LEASE_DENIAL_REPORTER_H_
 #define LOAD_BALANCER_FLEET_LEASE_DENIAL_REPORTER_H_
 
 #include <boost/asio/ip/udp.hpp>
+#include <map>
 #include <optional>
 #include <set>
-#include <utility>
 
 #include "base/error/failure.h"
 #include "fleet/lease/message.h"
@@ -15,16 +15,19 @@
 
 namespace load_balancer::fleet {
 
-class Complaints {
+/// Remembers which reasons of which voters have been reported.
+class DenialReporter {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
-  // Nothing if the denial is no fault, or is told already. `terms` are the asker's.
-  std::optional<Failure> Of(const Endpoint& voter, const LeaseMessage& denial, const LeaseTerms& terms);
-  void Forget(const Endpoint& voter);
+  /// The failure to report for a voter's denial. Nothing if the denial is part of normal operation, or has
+  /// been reported since the voter last granted. `terms` are those of the requester.
+  std::optional<Failure> Report(const Endpoint& voter, const LeaseMessage& denial, const LeaseTerms& terms);
+  /// Forgets what was reported of the voter. To be called when it grants.
+  void Forget(const Endpoint& voter) { reported_.erase(voter); }
 
  private:
-  std::set<std::pair<Endpoint, LeaseMessage::Why>> told_;
+  std::map<Endpoint, std::set<LeaseMessage::DenialReason>> reported_;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/fencing.cpp
+++ b/src/fleet/lease/fencing.cpp
@@ -7,22 +7,22 @@
 
 namespace load_balancer::fleet {
 
-bool LeaseGuard::Holds(Time now) const { return lease_ && !lease_->over && now < deadline_; }
+bool LeaseProof::IsValid(Time now) const { return lease_ && !lease_->is_released && now < deadline_; }
 
-void LeaseGuard::Outlasts(Time until) const {
+void LeaseProof::ExtendEffects(Time until) const {
   if (lease_) lease_->effects_until = std::max(lease_->effects_until, std::min(until, deadline_));
 }
 
-Result<void> Fence::Admit(const LeaseGuard& guard, Time now) {
-  if (!guard.Holds(now)) return tl::unexpected(Failure(kPastDeadline, guard.duty()));
-  return Admit(guard.duty(), guard.token());
+Result<void> Fence::Admit(const LeaseProof& proof, Time now) {
+  if (!proof.IsValid(now)) return tl::unexpected(Failure(kLeaseExpired, proof.lease_name()));
+  return Admit(proof.lease_name(), proof.token());
 }
 
-Result<void> Fence::Admit(const std::string& duty, Token token) {
-  Token& largest = largest_[duty];
+Result<void> Fence::Admit(const std::string& lease_name, FencingToken token) {
+  FencingToken& largest = largest_tokens_[lease_name];
   if (token < largest)
     return tl::unexpected(
-        Failure(kOlderToken, duty, std::to_string(token) + " after " + std::to_string(largest)));
+        Failure(kStaleToken, lease_name, std::to_string(token) + " after " + std::to_string(largest)));
   largest = token;
   return {};
 }
--- a/src/fleet/lease/fencing.h
+++ b/src/fleet/lease/fencing.h
@@ -1,14 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// The right to act for a duty, and what a resource checks of it when the act comes (Kleppmann: "How to do
-// distributed locking", 2016). An exclusive act takes a `const LeaseGuard&`.
+/// @file
+/// Fencing: the proof of a lease that every exclusive act takes, and the check that the protected resource
+/// makes of it. A process may stall between checking its lease and acting, so the resource checks again when
+/// the act arrives: the deadline where both share a clock, and everywhere that tokens never decrease
+/// (Kleppmann: "How to do distributed locking", 2016).
 #ifndef LOAD_BALANCER_FLEET_LEASE_FENCING_H_
 #define LOAD_BALANCER_FLEET_LEASE_FENCING_H_
 
 #include <map>
 #include <memory>
 #include <string>
-#include <string_view>
 
 #include "base/error/failure.h"
 #include "base/time.h"
@@ -16,60 +17,51 @@
 
 namespace load_balancer::fleet {
 
-// kExclusive: never done without the lease. kAvailable: each does it itself while no quorum answers.
-enum class DutyKind { kExclusive, kAvailable };
-
-inline std::string_view Name(DutyKind kind) {
-  return kind == DutyKind::kExclusive ? "exclusive" : "available";
-}
-
-struct DutySpec {
-  std::string name;
-  DutyKind kind = DutyKind::kExclusive;
-};
-
-// A lease while it is held, as its holder and its guards see it.
+/// A lease while it is held, shared by its holder and the proofs made of it.
 struct HeldLease {
-  bool over = false;
-  Time effects_until{};  // of what was done under it
+  bool is_released = false;
+  Time effects_until{};  ///< Until when acts under this lease have effects.
 };
 
-// Of a lease that its maker held when it made this. A renewal does not lengthen it: take a new one.
-class LeaseGuard {
+/// Proof that the process held a lease when it made this, valid until a deadline. Renewing the lease does not
+/// extend an existing proof. Only Leases makes proofs.
+class LeaseProof {
  public:
-  LeaseGuard(LeaseGuard&&) = default;
-  LeaseGuard& operator=(LeaseGuard&&) = default;
+  LeaseProof(LeaseProof&&) = default;
+  LeaseProof& operator=(LeaseProof&&) = default;
 
-  const std::string& duty() const { return duty_; }
-  Token token() const { return token_; }
-  Time deadline() const { return deadline_; }  // of this process's monotonic clock
-  // Whether to act is still right: before the deadline, and the lease has not been given back.
-  bool Holds(Time now) const;
-  // What was done under this has its effects until then, at most until the deadline: before, the lease is not
-  // given back, so that nobody has it sooner than it runs out.
-  void Outlasts(Time until) const;
+  const std::string& lease_name() const { return lease_name_; }
+  FencingToken token() const { return token_; }
+  /// On this process's monotonic clock.
+  Time deadline() const { return deadline_; }
+  /// Whether `now` is before the deadline and the lease has not been released.
+  bool IsValid(Time now) const;
+  /// Records that an act under this proof has effects until `until`, capped at the deadline. Until then the
+  /// lease is not released early, so that no other member has it while the effects last.
+  void ExtendEffects(Time until) const;
 
  private:
   friend class Leases;
-  LeaseGuard(std::string duty, Token token, Time deadline, std::shared_ptr<HeldLease> lease)
-      : duty_(std::move(duty)), token_(token), deadline_(deadline), lease_(std::move(lease)) {}
+  LeaseProof(std::string lease_name, FencingToken token, Time deadline, std::shared_ptr<HeldLease> lease)
+      : lease_name_(std::move(lease_name)), token_(token), deadline_(deadline), lease_(std::move(lease)) {}
 
-  std::string duty_;
-  Token token_;
+  std::string lease_name_;
+  FencingToken token_;
   Time deadline_;
   std::shared_ptr<HeldLease> lease_;  // null once moved from
 };
 
-// The resource's side: what it has seen of each duty.
+/// The check at a protected resource: it remembers the largest token of each lease.
 class Fence {
  public:
-  // Refuses with kPastDeadline a guard that does not hold, and what the other refuses.
-  Result<void> Admit(const LeaseGuard& guard, Time now);
-  // An act that came from another process: refuses with kOlderToken a token smaller than the largest seen.
-  Result<void> Admit(const std::string& duty, Token token);
+  /// Checks an act of this process. Fails with kLeaseExpired if the proof is not valid at `now`, and
+  /// otherwise as the overload below.
+  Result<void> Admit(const LeaseProof& proof, Time now);
+  /// Checks an act of another process. Fails with kStaleToken if a larger token has been admitted before.
+  Result<void> Admit(const std::string& lease_name, FencingToken token);
 
  private:
-  std::map<std::string, Token> largest_;
+  std::map<std::string, FencingToken> largest_tokens_;  // by lease name
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/leases.h
+++ b/src/fleet/lease/leases.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// Leases of duties that one member does at a time (Gray, Cheriton: "Leases: An Efficient Fault-Tolerant
-// Mechanism for Distributed File Cache Consistency", 1989), granted by a majority of voters, each with a
-// fencing token that only grows. The candidate's and holder's side, with this member's vote beside it. Owns
-// no socket and no clock. Protocol, bounds and the argument are in docs/leases.md.
+/// @file
+/// Leases of roles that one member has at a time (Gray, Cheriton: "Leases: An Efficient Fault-Tolerant
+/// Mechanism for Distributed File Cache Consistency", 1989). A majority of voters grants each lease, with a
+/// fencing token that only grows. Owns no socket and no clock. docs/leases.md has the protocol, its bounds
+/// and the argument for its safety.
 #ifndef LOAD_BALANCER_FLEET_LEASE_LEASES_H_
 #define LOAD_BALANCER_FLEET_LEASE_LEASES_H_
 
@@ -11,133 +11,134 @@
 #include <chrono>
 #include <cstdint>
 #include <map>
-#include <memory>
 #include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
 
 #include "base/time.h"
-#include "fleet/lease/acquisition.h"
 #include "fleet/lease/denial_reporter.h"
 #include "fleet/lease/fencing.h"
+#include "fleet/lease/lease_state.h"
+#include "fleet/lease/leased_role.h"
 #include "fleet/lease/message.h"
 #include "fleet/lease/voter.h"
-#include "fleet/lease/voter_set.h"
 
 namespace load_balancer::fleet {
 
 struct LeaseOptions {
   using Endpoint = boost::asio::ip::udp::endpoint;
-  std::string holder;            // who this is: the member's name and a mark of this life of it
-  Endpoint address;              // where the others reach this member
-  std::vector<Endpoint> voters;  // may hold `address`
+
+  std::string holder;            ///< This member's name and a mark of its incarnation.
+  Endpoint address;              ///< Where the others reach this member.
+  std::vector<Endpoint> voters;  ///< This member votes if its address is among them.
   std::chrono::milliseconds term{3000};
-  std::chrono::milliseconds drift{100};  // that a clock may gain or lose over a term
-  std::vector<DutySpec> duties;
-  std::uint64_t seed = 0;
-  std::optional<StoredVotes> votes;  // what a life before has kept; nothing: that is not known
-  VoteStore* store = nullptr;        // null: votes are in memory alone; outlives the leases
-  bool may_vote = true;              // false: this voter grants nothing
+  std::chrono::milliseconds drift{100};  ///< What a clock may gain or lose in a term.
+  std::vector<LeasedRole> leased_roles;
+  std::uint64_t seed = 0;                   ///< For the jitter of attempts.
+  std::optional<StoredVotes> stored_votes;  ///< Of the incarnation before; nothing if they are unknown.
+  VoteStore* vote_store = nullptr;          ///< Null: votes are in memory alone. Outlives the leases.
+  bool may_vote = true;                     ///< Otherwise this voter grants nothing.
 };
 
-enum class Role { kAlone, kHolder, kFollower, kWaiting };
-std::string_view Name(Role role);
-
+/// A member's side of all its leases, as candidate, holder and follower, together with its vote.
 class Leases {
  public:
   using Endpoint = LeaseOptions::Endpoint;
 
-  // What goes out. Called from within the calls below, and must not call back.
-  class Outlet {
+  /// Called from within the functions of Leases; must not call back into them.
+  class Callbacks {
    public:
-    virtual ~Outlet() = default;
+    virtual ~Callbacks() = default;
     virtual void Send(const Endpoint& to, const LeaseMessage& message) = 0;
-    // A duty's role is new, or, for `why` "renewed", the same for longer. The holder stops in `left`.
-    virtual void OnRole(const std::string& duty, Role role, Token token, Span left, std::string_view why) = 0;
-    // A voter refuses for a reason that an operator has to mend; once for each voter and reason, until it
-    // grants.
+    /// The status of a lease has changed or, with the reason "renewed", is the same for longer. A holder must
+    /// stop after `remaining`.
+    virtual void OnLeaseStatus(const std::string& lease_name, LeaseStatus status, FencingToken token,
+                               Span remaining, std::string_view reason) = 0;
+    /// A voter denies for a reason that an operator has to resolve. Once for each voter and reason, until it
+    /// grants.
     virtual void OnFailure(const Failure& failure) = 0;
   };
 
-  // `wall` is Unix milliseconds here and below.
-  Leases(LeaseOptions options, Time now, Outlet& outlet);
+  /// `callbacks` must outlive this.
+  Leases(LeaseOptions options, Time now, Callbacks& callbacks);
 
-  // One more duty from now on; nothing if it is known.
-  void Add(Time now, const DutySpec& duty);
+  /// Requests the lease of one more role from now on. Does nothing if the role is known.
+  void AddLeasedRole(Time now, const LeasedRole& role);
 
   void Receive(Time now, const Endpoint& from, const LeaseMessage& message);
-  // A holder has made known that it has the lease for `left` longer.
-  void Hear(Time now, const std::string& duty, const std::string& holder, Token token, Span left);
-  void Tick(Time now, std::uint64_t wall);
+  /// A holder has announced that it has the lease for `remaining` longer.
+  void ObserveHolder(Time now, const std::string& lease_name, const std::string& holder, FencingToken token,
+                     Span remaining);
+  /// Does what is due. `unix_ms` is the wall clock, from which new tokens are made.
+  void Tick(Time now, std::uint64_t unix_ms);
+  /// When Tick is to be called next.
   Time Next() const;
 
-  // Gives up what it holds, and asks for nothing until Resume. No guard holds any more. A lease whose acts
-  // have effects (LeaseGuard::Outlasts) is not given back, but runs out.
+  /// Releases all leases and requests none until Resume. Invalidates all proofs. A lease whose acts still
+  /// have effects (LeaseProof::ExtendEffects) is left to expire instead.
   void Release(Time now);
   void Resume(Time now);
 
-  // A token that has been seen in a life before.
-  void Outgrow(const std::string& duty, Token token);
-  Token largest(const std::string& duty) const { return duties_.at(duty).largest; }
-
-  // The right to act, if the lease is held at `now`.
-  std::optional<LeaseGuard> Guard(Time now, const std::string& duty) const;
-
-  // By the clock as it is, not as it was at the last Tick: a process that stood still must not act.
-  Role role(Time now, const std::string& duty) const;
-  DutyKind kind(const std::string& duty) const { return duties_.at(duty).kind; }
-  // Of the lease that is held or followed; 0: of none.
-  Token token(const std::string& duty) const { return duties_.at(duty).token; }
-  std::string holder(const std::string& duty) const { return duties_.at(duty).holder; }
-  Span left(Time now, const std::string& duty) const;
-
-  // Appends all that decides what this will do, times as spans from `now`: two that append the same go on
-  // alike. For searches that must not look at one state twice.
-  void Fingerprint(Time now, std::vector<std::uint64_t>* words) const;
+  /// Raises the largest token of the lease to at least one that was seen in an earlier incarnation.
+  void RaiseLargestToken(const std::string& lease_name, FencingToken token);
+  FencingToken largest_token(const std::string& lease_name) const {
+    return leases_.at(lease_name).largest_token;
+  }
+
+  /// Proof that this member holds the lease at `now`; nothing if it does not.
+  std::optional<LeaseProof> ProveLease(Time now, const std::string& lease_name) const;
+
+  /// By the clock rather than by the last Tick: a stalled process must not act.
+  LeaseStatus status(Time now, const std::string& lease_name) const {
+    return leases_.at(lease_name).StatusAt(now);
+  }
+  LeasedRoleKind kind(const std::string& lease_name) const { return leases_.at(lease_name).kind; }
+  /// Token and holder of the lease that is held or followed; 0 and empty if there has been none.
+  FencingToken token(const std::string& lease_name) const { return leases_.at(lease_name).token; }
+  std::string holder(const std::string& lease_name) const { return leases_.at(lease_name).holder; }
+  /// How much longer the lease held or followed lasts, or the wait.
+  Span remaining(Time now, const std::string& lease_name) const;
+
+  /// Appends all that decides the future behaviour, moments relative to `now`, so that a model checker
+  /// explores equal states once.
+  void AppendFingerprint(Time now, std::vector<std::uint64_t>* words) const;
 
  private:
-  struct Duty {
-    DutyKind kind = DutyKind::kExclusive;
-    Role role = Role::kWaiting;
-    std::string holder;
-    Token token = 0, largest = 0;  // largest: that has been heard of
-    Time until{};                  // of the lease held or followed, or of the wait
-    Time next_try{};
-    std::shared_ptr<HeldLease> lease;  // while held
-    Time effects_until{};              // of what was done under leases that are over
-    Bid bid;
-    int failed = 0;  // bids, one after another
-    // The last token that was given back: how often, and when, that is said again.
-    Token given_back = 0;
-    int releases = 0;
-    Time next_release{};
-  };
-
-  void Ask(Time now, const std::string& name, Duty& duty, Token token);
-  void Repeat(Time now, const std::string& name, Duty& duty);
-  LeaseMessage Request(const std::string& name, const Duty& duty) const;
-  std::size_t Majority() const;
+  // Requests and their answers: requests.cpp.
+  void SendRequest(Time now, LeaseState& lease, FencingToken token);
+  void RetransmitRequest(Time now, LeaseState& lease);
+  LeaseMessage MakeRequest(const LeaseState& lease) const;
   void OnGrant(Time now, const Endpoint& from, const LeaseMessage& message);
-  void OnDeny(Time now, const Endpoint& from, const LeaseMessage& message);
-  void GiveBack(Time now, const std::string& name, Duty& duty);
-  void SayReleased(Time now, const std::string& name, Duty& duty);
-  void EndRequest(Time now, const std::string& name, Duty& duty);
-  void OnTimeUp(Time now, const std::string& name, Duty& duty);
-  void Set(Time now, const std::string& name, Duty& duty, Role role, Time until, std::string_view why);
+  void OnDenial(Time now, const Endpoint& from, const LeaseMessage& message);
+  void ExtendLease(Time now, LeaseState& lease);
+  void FailAttempt(Time now, LeaseState& lease);
+  LeaseState* FindRequested(const LeaseMessage& answer);
+  bool IsVoter(const Endpoint& address) const;
+  std::size_t MajoritySize() const;
+
+  // Releases: release.cpp.
+  void ReleaseLease(Time now, LeaseState& lease);
+  void TransmitRelease(Time now, LeaseState& lease);
+  void ReleaseLateGrant(Time now, const Endpoint& voter, const LeaseMessage& grant, const LeaseState& lease);
+
+  void TickLease(Time now, LeaseState& lease, std::uint64_t unix_ms);
+  void OnExpiry(Time now, LeaseState& lease);
+  void SetStatus(Time now, LeaseState& lease, LeaseStatus status, Time until, std::string_view reason);
   void Deliver(Time now, const Endpoint& to, const LeaseMessage& message);
-  static bool Ends(const Duty& duty);
-  Span Random(Span from, Span to);
+  void DeliverToVoters(Time now, const LeaseMessage& message);
+  LeaseMessage MakeMessage(LeaseMessage::Type type, const std::string& lease_name, FencingToken token) const;
+  Span RandomSpan(Span longest);
 
   const LeaseOptions options_;
   const LeaseTerms terms_;
-  Outlet& outlet_;
+  Callbacks& callbacks_;
   Voter voter_;
-  std::map<std::string, Duty> duties_;
-  std::uint64_t requests_;   // the number of the last one
-  std::uint64_t draws_ = 0;  // of random spans
-  Complaints complaints_;
-  bool released_ = false;
+  std::map<std::string, LeaseState> leases_;  // by name
+  std::uint64_t last_request_number_;
+  std::uint64_t random_draws_ = 0;
+  DenialReporter denial_reporter_;
+  bool is_released_ = false;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/persisted_votes.cpp
+++ b/src/fleet/lease/persisted_votes.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-std::string Joined(const std::vector<std::string>& words) {
+std::string JoinWithSpaces(const std::vector<std::string>& words) {
   std::string text;
   for (const std::string& word : words) text.append(text.empty() ? "" : " ").append(word);
   return text;
@@ -20,27 +20,28 @@
 
 }  // namespace
 
-json ToJson(const KeptVotes& kept) {
+json ToJson(const PersistedVotes& persisted) {
   json votes = json::object();
-  for (const auto& [duty, vote] : kept.votes)
-    votes[duty] = json::array({vote.holder, vote.token, vote.largest, vote.span_ms});
-  return {{"voters", kept.voters}, {"votes", std::move(votes)}};
+  for (const auto& [lease_name, vote] : persisted.votes)
+    votes[lease_name] = json::array({vote.holder, vote.token, vote.largest_token, vote.duration_ms});
+  return {{"voters", persisted.voters}, {"votes", std::move(votes)}};
 }
 
-KeptVotes KeptFromJson(const json& packed) {
-  KeptVotes kept{packed.at("voters").get<std::vector<std::string>>(), {}};
-  for (const auto& [duty, vote] : packed.at("votes").items())
-    kept.votes[duty] = {vote.at(0).get<std::string>(), vote.at(1).get<Token>(), vote.at(2).get<Token>(),
-                        vote.at(3).get<std::uint64_t>()};
-  return kept;
+PersistedVotes PersistedVotesFromJson(const json& document) {
+  PersistedVotes persisted{document.at("voters").get<std::vector<std::string>>(), {}};
+  for (const auto& [lease_name, vote] : document.at("votes").items())
+    persisted.votes[lease_name] = {vote.at(0).get<std::string>(), vote.at(1).get<FencingToken>(),
+                                   vote.at(2).get<FencingToken>(), vote.at(3).get<std::uint64_t>()};
+  return persisted;
 }
 
-Result<StoredVotes> Adopt(KeptVotes kept, const std::vector<std::string>& voters) {
-  std::vector<std::string> differ;
-  std::set_symmetric_difference(kept.voters.begin(), kept.voters.end(), voters.begin(), voters.end(),
-                                std::back_inserter(differ));
-  if (differ.size() > 1) return tl::unexpected(Failure(kVotersLeapt, "before: " + Joined(kept.voters)));
-  return std::move(kept.votes);
+Result<StoredVotes> AdoptVotes(PersistedVotes persisted, const std::vector<std::string>& voters) {
+  std::vector<std::string> differing;
+  std::set_symmetric_difference(persisted.voters.begin(), persisted.voters.end(), voters.begin(),
+                                voters.end(), std::back_inserter(differing));
+  if (differing.size() > 1)
+    return tl::unexpected(Failure(kVoterSetLeap, "before: " + JoinWithSpaces(persisted.voters)));
+  return std::move(persisted.votes);
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/persisted_votes.h
+++ b/src/fleet/lease/persisted_votes.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// What a voter keeps on its disk, and what of it its next life may go on from once the voters have changed.
+/// @file
+/// The persisted form of a voter's votes, and which of them bind it after the set of voters has changed.
 #ifndef LOAD_BALANCER_FLEET_LEASE_PERSISTED_VOTES_H_
 #define LOAD_BALANCER_FLEET_LEASE_PERSISTED_VOTES_H_
 
@@ -13,18 +13,18 @@
 
 namespace load_balancer::fleet {
 
-struct KeptVotes {
-  std::vector<std::string> voters;  // of the life that kept them, as host:port, sorted
+struct PersistedVotes {
+  std::vector<std::string> voters;  ///< The voter set of the incarnation that wrote this, host:port, sorted.
   StoredVotes votes;
 };
 
-nlohmann::json ToJson(const KeptVotes& kept);
-// Throws nlohmann::json::exception on what is out of form.
-KeptVotes KeptFromJson(const nlohmann::json& packed);
+nlohmann::json ToJson(const PersistedVotes& persisted);
+/// Throws nlohmann::json::exception if `document` does not have the form that ToJson writes.
+PersistedVotes PersistedVotesFromJson(const nlohmann::json& document);
 
-// The votes that bind a voter of the set `voters`, sorted: all of them. Refuses with kVotersLeapt if the sets
-// differ by more than one voter.
-Result<StoredVotes> Adopt(KeptVotes kept, const std::vector<std::string>& voters);
+/// The votes that bind a voter of the set `voters` (sorted): all of them. Fails with kVoterSetLeap if the
+/// sets differ by more than one voter, since majorities of the two need not share a voter then.
+Result<StoredVotes> AdoptVotes(PersistedVotes persisted, const std::vector<std::string>& voters);
 
 }  // namespace load_balancer::fleet
 
--- a/src/fleet/lease/requests.cpp
+++ b/src/fleet/lease/requests.cpp
@@ -1,135 +1,117 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The part of Leases that asks voters, counts what they answer, and gives back.
+// The part of Leases that requests leases of the voters and counts their answers.
 #include <algorithm>
 #include <utility>
 
 #include "fleet/lease/leases.h"
+#include "fleet/lease/timing.h"
 
 namespace load_balancer::fleet {
 namespace {
 
 using std::chrono::milliseconds;
-using Verb = LeaseMessage::Verb;
-
-constexpr int kMostFailed = 2;
-constexpr int kReleases = 4;  // times that a give-back is said, as it is not answered
-constexpr int kRepeats = 24;  // of a request in a term, if it lasted for one
-
-LeaseMessage Said(Verb verb, const std::string& duty, Token token, const std::string& holder) {
-  LeaseMessage message;
-  message.verb = verb;
-  message.duty = duty;
-  message.token = token;
-  message.holder = holder;
-  return message;
-}
+using Type = LeaseMessage::Type;
+
+constexpr int kMaxBackoffDoublings = 2;
 
 }  // namespace
 
-LeaseMessage Leases::Request(const std::string& name, const Duty& duty) const {
-  LeaseMessage message = Said(Verb::kAsk, name, duty.bid.token(), options_.holder);
-  message.request = duty.bid.number();
+std::size_t Leases::MajoritySize() const { return options_.voters.size() / 2 + 1; }
+
+bool Leases::IsVoter(const Endpoint& address) const {
+  return std::find(options_.voters.begin(), options_.voters.end(), address) != options_.voters.end();
+}
+
+LeaseMessage Leases::MakeRequest(const LeaseState& lease) const {
+  LeaseMessage message = MakeMessage(Type::kRequest, lease.name, lease.acquisition.token());
+  message.request_number = lease.acquisition.request_number();
   message.term_ms = static_cast<std::uint64_t>(terms_.term.count());
   message.drift_ms = static_cast<std::uint64_t>(terms_.drift.count());
-  message.voters = terms_.voters;
+  message.voter_set_hash = terms_.voter_set_hash;
   return message;
 }
 
-void Leases::Ask(Time now, const std::string& name, Duty& duty, Token token) {
-  if (duty.bid.token() != token) duty.bid = Bid(token);
-  // Never asked for again once it is given back, whatever the wall clock says: the release may come late.
-  duty.largest = std::max(duty.largest, token);
-  duty.bid.Open(now, ++requests_, terms_.term, terms_.term / 6, terms_.term / kRepeats);
-  const LeaseMessage message = Request(name, duty);
-  for (const Endpoint& voter : options_.voters) Deliver(now, voter, message);
+void Leases::SendRequest(Time now, LeaseState& lease, FencingToken token) {
+  if (lease.acquisition.token() != token) lease.acquisition = LeaseAcquisition(token);
+  // A released token is never requested again, whatever the wall clock says: its release may arrive late.
+  lease.largest_token = std::max(lease.largest_token, token);
+  ++last_request_number_;
+  lease.acquisition.BeginRequest(now, last_request_number_,
+                                 {terms_.term, RequestTimeout(terms_.term), RetransmitInterval(terms_.term)});
+  DeliverToVoters(now, MakeRequest(lease));
 }
 
-void Leases::Repeat(Time now, const std::string& name, Duty& duty) {
-  duty.bid.Repeated(now, terms_.term / kRepeats);
-  const LeaseMessage message = Request(name, duty);
-  for (const Endpoint& voter : options_.voters)
-    if (duty.bid.open() && !duty.bid.Answered(voter)) Deliver(now, voter, message);
+void Leases::RetransmitRequest(Time now, LeaseState& lease) {
+  lease.acquisition.ScheduleRetransmit(now + RetransmitInterval(terms_.term));
+  const LeaseMessage message = MakeRequest(lease);
+  for (const Endpoint& voter : options_.voters) {
+    const bool is_awaited = lease.acquisition.is_request_open() && !lease.acquisition.HasAnswered(voter);
+    if (is_awaited) Deliver(now, voter, message);
+  }
 }
 
-void Leases::OnGrant(Time now, const Endpoint& from, const LeaseMessage& message) {
-  const auto found = duties_.find(message.duty);
-  if (found == duties_.end() || message.holder != options_.holder) return;
-  Duty& duty = found->second;
-  if (std::find(options_.voters.begin(), options_.voters.end(), from) == options_.voters.end()) return;
-  complaints_.Forget(from);
-  // One that was given up, and the voter has not heard of that.
-  if (message.token != duty.bid.token() && message.token != 0 && now >= duty.effects_until)
-    Deliver(now, from, Said(Verb::kRelease, message.duty, message.token, options_.holder));
-  if (message.token != duty.bid.token() || !duty.bid.Grant(from, message.request)) return;
-  const std::optional<Time> since = duty.bid.Since(Majority());
-  if (!since) return;
-  if (*since == duty.bid.sent()) {
-    duty.bid.Close();
-    duty.next_try = *since + terms_.term / 3;
-  }
-  const Time until = *since + terms_.term - terms_.drift;
-  const bool renewed = duty.role == Role::kHolder;
-  if (now >= until || (renewed && until <= duty.until)) return;
-  duty.failed = 0;
-  if (!renewed) duty.lease = std::make_shared<HeldLease>();
-  duty.holder = options_.holder;
-  duty.token = duty.bid.token();
-  duty.largest = std::max(duty.largest, duty.token);
-  Set(now, message.duty, duty, Role::kHolder, until, renewed ? "renewed" : "granted");
+// Null unless the answer is to this incarnation.
+LeaseState* Leases::FindRequested(const LeaseMessage& answer) {
+  const auto found = leases_.find(answer.lease_name);
+  return found == leases_.end() || answer.holder != options_.holder ? nullptr : &found->second;
 }
 
-void Leases::OnDeny(Time now, const Endpoint& from, const LeaseMessage& message) {
-  const auto found = duties_.find(message.duty);
-  if (found == duties_.end() || message.holder != options_.holder) return;
-  Duty& duty = found->second;
-  if (!duty.bid.open() || message.asked != duty.bid.token()) return;
-  duty.largest = std::max(duty.largest, message.token);
-  if (const auto failure = complaints_.Of(from, message, terms_)) outlet_.OnFailure(*failure);
-  // Whoever else holds it, or is about to: nothing is to be had sooner.
-  if (duty.role == Role::kHolder) return;
-  const Span wait = std::min<Span>(milliseconds(message.left_ms), terms_.term + terms_.drift);
-  duty.bid.Deny(from, message.request, now + wait);
-  const Time opens = duty.bid.Opens(now, options_.voters.size(), Majority());
-  if (opens <= now) return;
-  duty.next_try = std::max(duty.next_try, opens);
-  EndRequest(now, message.duty, duty);
+void Leases::OnGrant(Time now, const Endpoint& from, const LeaseMessage& message) {
+  LeaseState* lease = FindRequested(message);
+  if (!lease || !IsVoter(from)) return;
+  denial_reporter_.Forget(from);
+  if (message.token != lease->acquisition.token()) return ReleaseLateGrant(now, from, message, *lease);
+  if (lease->acquisition.CountGrant(from, message.request_number)) ExtendLease(now, *lease);
 }
 
-// From here on nothing that was granted for the token counts, and no guard of it holds: before any voter
-// hears of it.
-void Leases::GiveBack(Time now, const std::string& name, Duty& duty) {
-  if (duty.lease) {
-    duty.lease->over = true;
-    duty.effects_until = std::max(duty.effects_until, duty.lease->effects_until);
-    duty.lease.reset();
+// Makes this member the holder, or the holder for longer, as far as a majority of grants allows.
+void Leases::ExtendLease(Time now, LeaseState& lease) {
+  const std::optional<Time> bound_since = lease.acquisition.MajorityBoundSince(MajoritySize());
+  if (!bound_since) return;
+  if (*bound_since == lease.acquisition.request_sent_at()) {
+    lease.acquisition.EndRequest();
+    lease.next_attempt = *bound_since + RenewalInterval(terms_.term);
   }
-  const Token token = std::exchange(duty.bid, Bid()).token();
-  if (token == 0 || now < duty.effects_until) return;
-  duty.given_back = token;
-  duty.releases = kReleases;
-  SayReleased(now, name, duty);
+  const Time until = *bound_since + terms_.term - terms_.drift;
+  const bool is_renewal = lease.status == LeaseStatus::kHolder;
+  if (now >= until || (is_renewal && until <= lease.until)) return;
+  lease.failed_attempts = 0;
+  if (!is_renewal) lease.held_lease = std::make_shared<HeldLease>();
+  lease.holder = options_.holder;
+  lease.token = lease.acquisition.token();
+  lease.largest_token = std::max(lease.largest_token, lease.token);
+  SetStatus(now, lease, LeaseStatus::kHolder, until, is_renewal ? "renewed" : "granted");
 }
 
-void Leases::SayReleased(Time now, const std::string& name, Duty& duty) {
-  --duty.releases;
-  duty.next_release = now + terms_.term / kRepeats;
-  const LeaseMessage message = Said(Verb::kRelease, name, duty.given_back, options_.holder);
-  for (const Endpoint& voter : options_.voters) Deliver(now, voter, message);
+void Leases::OnDenial(Time now, const Endpoint& from, const LeaseMessage& message) {
+  LeaseState* lease = FindRequested(message);
+  if (!lease || !lease->acquisition.is_request_open()) return;
+  if (message.requested_token != lease->acquisition.token()) return;
+  lease->largest_token = std::max(lease->largest_token, message.token);
+  if (const auto failure = denial_reporter_.Report(from, message, terms_)) callbacks_.OnFailure(*failure);
+  if (lease->status == LeaseStatus::kHolder) return;
+  const Span retry_after = std::min<Span>(milliseconds(message.retry_after_ms), terms_.term + terms_.drift);
+  lease->acquisition.RecordDenial(from, message.request_number, now + retry_after);
+  const Time may_succeed_at =
+      lease->acquisition.MajorityMayGrantAt(now, options_.voters.size(), MajoritySize());
+  if (may_succeed_at <= now) return;
+  lease->next_attempt = std::max(lease->next_attempt, may_succeed_at);
+  FailAttempt(now, *lease);
 }
 
-// Without a majority in time. A holder asks again while its term lasts.
-void Leases::EndRequest(Time now, const std::string& name, Duty& duty) {
-  if (duty.role == Role::kHolder) {
-    duty.bid.Close();
-    duty.next_try = now;
+// Without a majority in time. A holder requests again at once, while its lease lasts.
+void Leases::FailAttempt(Time now, LeaseState& lease) {
+  if (lease.status == LeaseStatus::kHolder) {
+    lease.acquisition.EndRequest();
+    lease.next_attempt = now;
     return;
   }
-  GiveBack(now, name, duty);
-  // The more have asked in vain, the farther apart they ask again.
-  duty.failed = std::min(duty.failed + 1, kMostFailed);
-  duty.next_try =
-      std::max(duty.next_try, now + terms_.term / 12) + Random(Span(0), terms_.term / 6 * (1 << duty.failed));
+  ReleaseLease(now, lease);
+  // Exponential backoff with jitter, so that candidates that collided come apart.
+  lease.failed_attempts = std::min(lease.failed_attempts + 1, kMaxBackoffDoublings);
+  const Span jitter = RandomSpan(RequestTimeout(terms_.term) * (1 << lease.failed_attempts));
+  lease.next_attempt = std::max(lease.next_attempt, now + MinBackoff(terms_.term)) + jitter;
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/vote_file.cpp
+++ b/src/fleet/lease/vote_file.cpp
@@ -12,41 +12,43 @@
 #include "state/snapshot.h"
 
 namespace load_balancer::fleet {
-VoteFile::VoteFile(std::string path, std::string name, std::vector<std::string> voters)
-    : path_(std::move(path)), name_(std::move(name)), voters_(std::move(voters)) {
+
+VoteFile::VoteFile(std::string path, std::string process_name, std::vector<std::string> voters)
+    : path_(std::move(path)), process_name_(std::move(process_name)), voters_(std::move(voters)) {
   std::sort(voters_.begin(), voters_.end());
 }
 
 Result<std::optional<StoredVotes>> VoteFile::Load() {
-  // Of whatever age, and whatever the wall clock says: a vote is bound by the monotonic clock alone.
-  constexpr auto kAny = std::numeric_limits<state::UnixMs>::max();
-  auto read = state::ReadFile(path_, {name_, kAny / 2, kAny / 2, kAny / 2});
-  if (const auto* why = std::get_if<state::Refusal>(&read)) {
-    if (*why == state::Refusal::kAbsent) return std::nullopt;
-    return tl::unexpected(Failure(kVotesRefused, path_, std::string(state::Name(*why))));
+  // Votes are bound by the monotonic clock alone, so a file of any age is read.
+  constexpr auto kAnyAge = std::numeric_limits<state::UnixMs>::max() / 2;
+  auto read = state::ReadFile(path_, {process_name_, kAnyAge, kAnyAge, kAnyAge});
+  if (const auto* refusal = std::get_if<state::Refusal>(&read)) {
+    if (*refusal == state::Refusal::kAbsent) return std::nullopt;
+    return tl::unexpected(Failure(kVotesFileRejected, path_, std::string(state::Name(*refusal))));
   }
   const state::Snapshot& snapshot = std::get<state::Snapshot>(read);
-  KeptVotes kept;
+  PersistedVotes persisted;
   try {
-    kept = KeptFromJson(snapshot.body);
+    persisted = PersistedVotesFromJson(snapshot.body);
   } catch (const nlohmann::json::exception& error) {
-    return tl::unexpected(Failure(kVotesRefused, path_, error.what()));
+    return tl::unexpected(Failure(kVotesFileRejected, path_, error.what()));
   }
-  const bool others = kept.voters != voters_;
-  auto votes = Adopt(std::move(kept), voters_);
+  const bool have_voters_changed = persisted.voters != voters_;
+  auto votes = AdoptVotes(std::move(persisted), voters_);
   if (!votes) return tl::unexpected(Failure(votes.error().kind(), path_, votes.error().where()));
-  sequence_ = snapshot.sequence;
-  if (others) Save(*votes);
+  last_sequence_ = snapshot.sequence;
+  if (have_voters_changed) Save(*votes);
   return std::move(*votes);
 }
 
 bool VoteFile::Save(const StoredVotes& votes) {
   try {
-    state::WriteWhole(path_, "", state::Encode({name_, sequence_ + 1, 0, ToJson({voters_, votes})}));
-    ++sequence_;
+    state::WriteWhole(path_, "",
+                      state::Encode({process_name_, last_sequence_ + 1, 0, ToJson({voters_, votes})}));
+    ++last_sequence_;
     return true;
   } catch (const std::system_error& error) {
-    log::Error("fleet", Failure(kVoteNotKept, path_, error.what()));
+    log::Error("fleet", Failure(kVoteNotPersisted, path_, error.what()));
     return false;
   }
 }
--- a/src/fleet/lease/vote_file.h
+++ b/src/fleet/lease/vote_file.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// A voter's votes on disk, in the snapshot's verified format (docs/recovery.md).
+/// @file
+/// A voter's votes in a file, in the checked format of snapshots (docs/recovery.md).
 #ifndef LOAD_BALANCER_FLEET_LEASE_VOTE_FILE_H_
 #define LOAD_BALANCER_FLEET_LEASE_VOTE_FILE_H_
 
@@ -15,21 +15,24 @@
 
 class VoteFile : public VoteStore {
  public:
-  // `path` names the file and `name` the process; `voters` are those of its configuration, as host:port.
-  VoteFile(std::string path, std::string name, std::vector<std::string> voters);
+  /// `process_name` is stored in the file; `voters` are the configured ones as host:port, in any order.
+  VoteFile(std::string path, std::string process_name, std::vector<std::string> voters);
 
-  // What a life before has kept; nothing where there is no file. Refuses with kVotesRefused a file that does
-  // not pass, and with kVotersLeapt one of voters that differ from the configured ones by more than one. One
-  // of other voters is kept anew under the configured ones, so that the next change is told from this one.
+  /// The votes of the incarnation before; nothing if there is no file. Fails with kVotesFileRejected if the
+  /// file is damaged, and with kVoterSetLeap if its voters differ from the configured ones by more than one.
+  /// Rewrites a file of other voters under the configured ones, so that the next change is compared with
+  /// them.
   Result<std::optional<StoredVotes>> Load();
 
-  // Written whole and fsynced. The file of before is not kept: a vote forgotten is worse than none known.
+  /// Replaces the file, with fsync, and keeps no earlier version: a forgotten vote is worse than unknown
+  /// votes.
   bool Save(const StoredVotes& votes) override;
 
  private:
-  const std::string path_, name_;
+  const std::string path_;
+  const std::string process_name_;
   std::vector<std::string> voters_;  // sorted
-  std::uint64_t sequence_ = 0;       // of the last one written
+  std::uint64_t last_sequence_ = 0;  // of the newest file that was read or written
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/voter.cpp
+++ b/src/fleet/lease/voter.cpp
@@ -4,108 +4,126 @@
 #include <algorithm>
 
 #include "fleet/lease/fingerprint.h"
+#include "fleet/lease/timing.h"
 
 namespace load_balancer::fleet {
 namespace {
 
 using std::chrono::milliseconds;
-using Verb = LeaseMessage::Verb;
-using Why = LeaseMessage::Why;
+using DenialReason = LeaseMessage::DenialReason;
+using Type = LeaseMessage::Type;
 
-std::uint64_t Count(milliseconds span) { return static_cast<std::uint64_t>(span.count()); }
+std::uint64_t MillisecondCount(milliseconds span) { return static_cast<std::uint64_t>(span.count()); }
 
-bool Same(const StoredVote& vote, const LeaseMessage& message) {
+bool IsVoteFor(const StoredVote& vote, const LeaseMessage& message) {
   return vote.holder == message.holder && vote.token == message.token;
 }
 
+LeaseMessage MakeAnswer(Type type, const LeaseMessage& request) {
+  LeaseMessage answer;
+  answer.type = type;
+  answer.lease_name = request.lease_name;
+  answer.holder = request.holder;
+  answer.requested_token = request.token;
+  answer.request_number = request.request_number;
+  return answer;
+}
+
 }  // namespace
 
 Voter::Voter(const LeaseTerms& terms, Time now, const std::optional<StoredVotes>& stored, VoteStore* store)
-    : terms_(terms), store_(store), silent_until_(stored ? now : now + span()) {
+    : terms_(terms), store_(store), grace_period_end_(stored ? now : now + VoteDuration()) {
   if (!stored) return;
-  // No clock survives: each may have been granted a moment ago.
-  for (const auto& [duty, vote] : *stored)
-    votes_[duty] = {vote, now + std::max<Span>(milliseconds(vote.span_ms), span())};
+  // No clock survives a restart, so each vote may have been granted a moment ago.
+  for (const auto& [lease_name, vote] : *stored)
+    votes_[lease_name] = {vote, now + std::max<Span>(milliseconds(vote.duration_ms), VoteDuration())};
 }
 
-void Voter::Outgrow(const std::string& duty, Token token) {
-  if (votes_.size() >= kMostVotes && !votes_.contains(duty)) return;
-  Token& largest = votes_[duty].kept.largest;
+void Voter::RaiseLargestToken(const std::string& lease_name, FencingToken token) {
+  if (votes_.size() >= kMaxVotes && !votes_.contains(lease_name)) return;
+  FencingToken& largest = votes_[lease_name].stored.largest_token;
   largest = std::max(largest, token);
 }
 
-Why Voter::Judge(Time now, const LeaseMessage& ask) const {
-  if (ask.term_ms != Count(terms_.term)) return Why::kTerm;
-  if (ask.drift_ms != Count(terms_.drift)) return Why::kDrift;
-  if (ask.voters != terms_.voters) return Why::kVoters;
-  if (now < silent_until_) return Why::kSilent;
-  const auto found = votes_.find(ask.duty);
-  if (found == votes_.end()) return votes_.size() < kMostVotes ? Why::kNone : Why::kFull;
+DenialReason Voter::CheckRequest(Time now, const LeaseMessage& request) const {
+  if (request.term_ms != MillisecondCount(terms_.term)) return DenialReason::kTermMismatch;
+  if (request.drift_ms != MillisecondCount(terms_.drift)) return DenialReason::kDriftMismatch;
+  if (request.voter_set_hash != terms_.voter_set_hash) return DenialReason::kVoterSetMismatch;
+  if (now < grace_period_end_) return DenialReason::kGracePeriod;
+  const auto found = votes_.find(request.lease_name);
+  if (found == votes_.end())
+    return votes_.size() < kMaxVotes ? DenialReason::kNone : DenialReason::kTooManyLeases;
   const Vote& vote = found->second;
-  // Its holder asks for a larger token only when it has given this one up.
-  const bool again = vote.kept.holder == ask.holder && ask.token > vote.kept.largest;
-  if (now < vote.until) return Same(vote.kept, ask) || again ? Why::kNone : Why::kHeld;
-  return ask.token > vote.kept.largest ? Why::kNone : Why::kHeld;
+  const bool is_larger = request.token > vote.stored.largest_token;
+  if (now >= vote.until) return is_larger ? DenialReason::kNone : DenialReason::kLeaseHeld;
+  // The holder requests a larger token only once it has released the one before.
+  const bool is_reacquired = vote.stored.holder == request.holder && is_larger;
+  const bool may_grant = IsVoteFor(vote.stored, request) || is_reacquired;
+  return may_grant ? DenialReason::kNone : DenialReason::kLeaseHeld;
 }
 
-bool Voter::Keep(const std::string& duty, const StoredVote& vote) {
+bool Voter::PersistVote(const std::string& lease_name, const StoredVote& vote) {
   if (!store_) return true;
   StoredVotes all;
-  for (const auto& [name, each] : votes_) all[name] = each.kept;
-  all[duty] = vote;
+  for (const auto& [name, each] : votes_) all[name] = each.stored;
+  all[lease_name] = vote;
   return store_->Save(all);
 }
 
-LeaseMessage Voter::Answer(Time now, const LeaseMessage& ask) {
-  LeaseMessage answer;
-  answer.verb = Verb::kDeny;
-  answer.duty = ask.duty;
-  answer.holder = ask.holder;
-  answer.asked = ask.token;
-  answer.request = ask.request;
-  answer.why = Judge(now, ask);
-  if (answer.why == Why::kNone) {
-    const auto held = votes_.find(ask.duty);
-    const Token largest = held == votes_.end() ? 0 : held->second.kept.largest;
-    const StoredVote vote{ask.holder, ask.token, std::max(largest, ask.token),
-                          Count(terms_.term + terms_.drift)};
-    if ((held != votes_.end() && held->second.kept == vote) || Keep(ask.duty, vote)) {
-      const bool same = held != votes_.end() && held->second.kept == vote;
-      votes_[ask.duty] = {vote, now + span(), same ? held->second.fresh_until : now + terms_.term / 6};
-      answer.verb = Verb::kGrant;
-      answer.token = ask.token;
-      return answer;
-    }
-    answer.why = Why::kDisk;
-  }
-  const auto found = votes_.find(ask.duty);
+LeaseMessage Voter::Answer(Time now, const LeaseMessage& request) {
+  const DenialReason reason = CheckRequest(now, request);
+  if (reason != DenialReason::kNone) return MakeDenial(now, request, reason);
+  if (!GrantVote(now, request)) return MakeDenial(now, request, DenialReason::kNotPersisted);
+  LeaseMessage grant = MakeAnswer(Type::kGrant, request);
+  grant.token = request.token;
+  return grant;
+}
+
+// Renews the vote if it is the same, and stores it otherwise. Returns false if it could not be stored.
+bool Voter::GrantVote(Time now, const LeaseMessage& request) {
+  const auto found = votes_.find(request.lease_name);
+  const FencingToken largest = found == votes_.end() ? 0 : found->second.stored.largest_token;
+  const StoredVote vote{request.holder, request.token, std::max(largest, request.token),
+                        MillisecondCount(terms_.term + terms_.drift)};
+  const bool is_renewal = found != votes_.end() && found->second.stored == vote;
+  if (!is_renewal && !PersistVote(request.lease_name, vote)) return false;
+  const Time decided_by = is_renewal ? found->second.decided_by : now + RequestTimeout(terms_.term);
+  votes_[request.lease_name] = {vote, now + VoteDuration(), decided_by};
+  return true;
+}
+
+LeaseMessage Voter::MakeDenial(Time now, const LeaseMessage& request, DenialReason reason) const {
+  LeaseMessage denial = MakeAnswer(Type::kDenial, request);
+  denial.denial_reason = reason;
+  const auto found = votes_.find(request.lease_name);
   const Vote vote = found == votes_.end() ? Vote{} : found->second;
-  answer.token = vote.kept.largest;
-  if (silent_until_ < Time::max()) {
-    // Who has no majority by then gives it back.
-    const Time until = now < vote.fresh_until ? std::min(vote.until, vote.fresh_until) : vote.until;
-    const Span wait = std::max(Span(0), std::max(until, silent_until_) - now);
-    answer.left_ms = Count(std::chrono::ceil<milliseconds>(wait));
-  }
-  answer.term_ms = Count(terms_.term);
-  answer.drift_ms = Count(terms_.drift);
-  answer.voters = terms_.voters;
-  return answer;
+  denial.token = vote.stored.largest_token;
+  if (grace_period_end_ < Time::max())
+    denial.retry_after_ms = MillisecondCount(std::chrono::ceil<milliseconds>(RetryAfter(now, vote)));
+  denial.term_ms = MillisecondCount(terms_.term);
+  denial.drift_ms = MillisecondCount(terms_.drift);
+  denial.voter_set_hash = terms_.voter_set_hash;
+  return denial;
+}
+
+// How long until the voter may grant. A new vote that has no majority by `decided_by` is released.
+Span Voter::RetryAfter(Time now, const Vote& vote) const {
+  const Time until = now < vote.decided_by ? std::min(vote.until, vote.decided_by) : vote.until;
+  return std::max(Span(0), std::max(until, grace_period_end_) - now);
 }
 
 void Voter::OnRelease(Time now, const LeaseMessage& release) {
-  const auto found = votes_.find(release.duty);
-  if (found != votes_.end() && Same(found->second.kept, release))
-    found->second.until = std::min(found->second.until, now);
+  const auto found = votes_.find(release.lease_name);
+  if (found == votes_.end() || !IsVoteFor(found->second.stored, release)) return;
+  found->second.until = std::min(found->second.until, now);
 }
 
-void Voter::Fingerprint(Time now, std::vector<std::uint64_t>* words) const {
-  words->push_back(WordOf(now, silent_until_));
-  for (const auto& [duty, vote] : votes_)
-    for (const std::uint64_t word :
-         {WordOf(duty), WordOf(vote.kept.holder), vote.kept.token, vote.kept.largest, vote.kept.span_ms,
-          WordOf(now, vote.until), WordOf(now, vote.fresh_until)})
-      words->push_back(word);
+void Voter::AppendFingerprint(Time now, std::vector<std::uint64_t>* words) const {
+  words->push_back(FingerprintOf(now, grace_period_end_));
+  for (const auto& [lease_name, vote] : votes_)
+    words->insert(words->end(), {FingerprintOf(lease_name), FingerprintOf(vote.stored.holder),
+                                 vote.stored.token, vote.stored.largest_token, vote.stored.duration_ms,
+                                 FingerprintOf(now, vote.until), FingerprintOf(now, vote.decided_by)});
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/voter.h
+++ b/src/fleet/lease/voter.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// The voter's side of leases: to whom it has granted, what of that outlives it, and when it may grant again.
-// Owns no clock and no file. The argument is in docs/leases.md.
+/// @file
+/// The voter's side of leases: which requests it grants, and what of its votes survives a restart. Owns no
+/// clock and no file. docs/leases.md argues why two leases are never live at once.
 #ifndef LOAD_BALANCER_FLEET_LEASE_VOTER_H_
 #define LOAD_BALANCER_FLEET_LEASE_VOTER_H_
 
@@ -17,64 +17,76 @@
 
 namespace load_balancer::fleet {
 
-inline constexpr std::size_t kMostVotes = 256;  // duties
+/// The number of leases on which a voter stores votes; it denies requests for others.
+inline constexpr std::size_t kMaxVotes = 256;
 
-// What is kept of a vote. It holds for `span_ms` from when it was last granted.
+/// A vote as it is persisted.
 struct StoredVote {
   std::string holder;
-  Token token = 0, largest = 0;
-  std::uint64_t span_ms = 0;
+  FencingToken token = 0;
+  FencingToken largest_token = 0;  ///< That this voter has granted for the lease.
+  std::uint64_t duration_ms = 0;   ///< How long the vote binds the voter after each grant.
   bool operator==(const StoredVote&) const = default;
 };
-using StoredVotes = std::map<std::string, StoredVote>;  // by duty
 
+/// By lease name.
+using StoredVotes = std::map<std::string, StoredVote>;
+
+/// Persists a voter's votes.
 class VoteStore {
  public:
   virtual ~VoteStore() = default;
-  // On the disk, fsynced, before it returns; false: not kept.
+  /// Writes all votes durably before it returns. Returns false if they could not be stored.
   virtual bool Save(const StoredVotes& votes) = 0;
 };
 
-// What voters and askers must agree on. `voters` is VotersHash.
+/// What voters and requesters must agree on.
 struct LeaseTerms {
-  std::chrono::milliseconds term{3000}, drift{100};
-  std::uint64_t voters = 0;
+  std::chrono::milliseconds term{3000};  ///< How long a lease lasts.
+  std::chrono::milliseconds drift{100};  ///< What a clock may gain or lose in a term.
+  std::uint64_t voter_set_hash = 0;      ///< HashVoterSet of the voters.
 };
 
+/// Grants each lease to one holder at a time and never grants a smaller token than before.
 class Voter {
  public:
-  // `stored`: what a life before has kept; nothing: that is not known, so this is silent for term and drift.
-  // `store` may be null: then votes are in memory alone. It outlives this.
+  /// `stored` holds the votes of the incarnation before. Without it they are unknown, so the voter grants
+  /// nothing during a grace period of term and drift. `store` may be null, in which case votes are in memory
+  /// alone; otherwise it must outlive the voter.
   Voter(const LeaseTerms& terms, Time now, const std::optional<StoredVotes>& stored, VoteStore* store);
 
-  // Grants nothing from now on.
-  void FallSilent() { silent_until_ = Time::max(); }
-  // A token that has been seen in a life before.
-  void Outgrow(const std::string& duty, Token token);
+  /// Grants nothing from now on.
+  void StopGranting() { grace_period_end_ = Time::max(); }
+  /// Raises the largest token of the lease to at least one that was seen in an earlier incarnation.
+  void RaiseLargestToken(const std::string& lease_name, FencingToken token);
 
-  // kGrant or kDeny. A vote that is new is in the store before this returns a grant.
-  LeaseMessage Answer(Time now, const LeaseMessage& ask);
+  /// Answers a request with a grant or a denial. A new vote is stored before the grant is returned.
+  LeaseMessage Answer(Time now, const LeaseMessage& request);
+  /// Ends the vote if holder and token are those of the release.
   void OnRelease(Time now, const LeaseMessage& release);
 
-  Time silent_until() const { return silent_until_; }
-
-  // As Leases::Fingerprint.
-  void Fingerprint(Time now, std::vector<std::uint64_t>* words) const;
+  /// As Leases::AppendFingerprint.
+  void AppendFingerprint(Time now, std::vector<std::uint64_t>* words) const;
 
  private:
   struct Vote {
-    StoredVote kept;
+    StoredVote stored;
     Time until{};
-    Time fresh_until{};  // by then its holder has a majority, or has given the token back
+    /// By then the holder of a new vote has a majority, or has released the token.
+    Time decided_by{};
   };
-  LeaseMessage::Why Judge(Time now, const LeaseMessage& ask) const;
-  bool Keep(const std::string& duty, const StoredVote& vote);
-  Span span() const { return terms_.term + terms_.drift; }
+
+  LeaseMessage::DenialReason CheckRequest(Time now, const LeaseMessage& request) const;
+  bool GrantVote(Time now, const LeaseMessage& request);
+  bool PersistVote(const std::string& lease_name, const StoredVote& vote);
+  LeaseMessage MakeDenial(Time now, const LeaseMessage& request, LeaseMessage::DenialReason reason) const;
+  Span RetryAfter(Time now, const Vote& vote) const;
+  Span VoteDuration() const { return terms_.term + terms_.drift; }
 
   const LeaseTerms terms_;
   VoteStore* const store_;
-  Time silent_until_;  // before, a life of this voter that is forgotten may have granted
-  std::map<std::string, Vote> votes_;
+  Time grace_period_end_;
+  std::map<std::string, Vote> votes_;  // by lease name
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/voter_set.cpp
+++ b/src/fleet/lease/voter_set.cpp
@@ -6,16 +6,22 @@
 #include <algorithm>
 
 namespace load_balancer::fleet {
+namespace {
 
-std::uint64_t VotersHash(std::vector<boost::asio::ip::udp::endpoint> voters) {
+namespace ip = boost::asio::ip;
+
+ip::address_v6 ToIpv6(const ip::address& address) {
+  return address.is_v4() ? ip::make_address_v6(ip::v4_mapped, address.to_v4()) : address.to_v6();
+}
+
+}  // namespace
+
+std::uint64_t HashVoterSet(std::vector<ip::udp::endpoint> voters) {
   std::sort(voters.begin(), voters.end());
   std::uint64_t hash = 0;
-  for (const auto& voter : voters) {
-    const auto bytes = voter.address().is_v4() ? boost::asio::ip::make_address_v6(boost::asio::ip::v4_mapped,
-                                                                                  voter.address().to_v4())
-                                               : voter.address().to_v6();
-    const auto raw = bytes.to_bytes();
-    hash = XXH64(raw.data(), raw.size(), hash + voter.port());
+  for (const ip::udp::endpoint& voter : voters) {
+    const auto bytes = ToIpv6(voter.address()).to_bytes();
+    hash = XXH64(bytes.data(), bytes.size(), hash + voter.port());
   }
   return hash;
 }
--- a/src/fleet/lease/voter_set.h
+++ b/src/fleet/lease/voter_set.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-//
-// The set of voters, as members compare it.
+/// @file
+/// A digest of the set of voters, by which members check that they have the same configuration.
 #ifndef LOAD_BALANCER_FLEET_LEASE_VOTER_SET_H_
 #define LOAD_BALANCER_FLEET_LEASE_VOTER_SET_H_
 
@@ -10,8 +10,8 @@
 
 namespace load_balancer::fleet {
 
-// The same for the same voters in whatever order (xxHash).
-std::uint64_t VotersHash(std::vector<boost::asio::ip::udp::endpoint> voters);
+/// Independent of the order of the voters (xxHash, over addresses in their IPv6 form).
+std::uint64_t HashVoterSet(std::vector<boost::asio::ip::udp::endpoint> voters);
 
 }  // namespace load_balancer::fleet
 
--- a/src/fleet/node/duties.cpp
+++ b/src/fleet/node/duties.cpp
@@ -28,10 +28,10 @@
   options.voters = section_.seeds;
   options.term = section_.lease_term;
   options.drift = section_.lease_drift;
-  options.duties = options_.duties;
+  options.leased_roles = options_.duties;
   options.seed = seed_;
   LoadVotes(&options);
-  leases_.emplace(std::move(options), Steady::now(), static_cast<Leases::Outlet&>(*this));
+  leases_.emplace(std::move(options), Steady::now(), static_cast<Leases::Callbacks&>(*this));
   if (away_) leases_->Release(Steady::now());
   Restore(kept_);
 }
@@ -42,13 +42,13 @@
   std::vector<std::string> voters;
   for (const Udp::endpoint& voter : options->voters) voters.push_back(Text(voter));
   votes_ = std::make_unique<VoteFile>(options_.votes, name_, std::move(voters));
-  options->store = votes_.get();
+  options->vote_store = votes_.get();
   auto loaded = votes_->Load();
   if (loaded) {
-    options->votes = std::move(*loaded);
+    options->stored_votes = std::move(*loaded);
     return;
   }
-  options->may_vote = &loaded.error().kind() != &kVotersLeapt;
+  options->may_vote = &loaded.error().kind() != &kVoterSetLeap;
   log::Error(options_.component, loaded.error());
 }
 
@@ -62,47 +62,49 @@
   Send(to, message);
 }
 
-void Node::OnRole(const std::string& duty, Role role, Token token, Span left, std::string_view why) {
+void Node::OnLeaseStatus(const std::string& duty, LeaseStatus status, FencingToken token, Span left,
+                         std::string_view why) {
   const auto left_ms = std::chrono::duration_cast<std::chrono::milliseconds>(left).count();
   log::Info(options_.component, fmt::format("lease duty={} role={} token={} left_ms={} why={}", duty,
-                                            Name(role), token, left_ms, why));
-  facts_.OnRole(duty, role);
-  const auto guard = Guard(duty);
-  if (!guard) return;
-  const auto published = Publish(*guard, "lease/" + duty, {{"holder", holder_}, {"left_ms", left_ms}}, left);
+                                            Name(status), token, left_ms, why));
+  facts_.OnLeaseStatus(duty, status);
+  const auto proof = ProveLease(duty);
+  if (!proof) return;
+  const auto published = Publish(*proof, "lease/" + duty, {{"holder", holder_}, {"left_ms", left_ms}}, left);
   if (!published) log::Warn(options_.component, published.error());
 }
 
 bool Node::Does(const std::string& duty) const {
   // An exclusive one never without a lease, though the address is not had yet.
-  const auto exclusive = [&](const DutySpec& each) {
-    return each.name == duty && each.kind == DutyKind::kExclusive;
+  const auto exclusive = [&](const LeasedRole& each) {
+    return each.name == duty && each.kind == LeasedRoleKind::kExclusive;
   };
   if (!leases_) return !leased() || std::none_of(options_.duties.begin(), options_.duties.end(), exclusive);
-  const Role role = leases_->role(Steady::now(), duty);
-  return role == Role::kHolder || role == Role::kAlone;
+  const LeaseStatus status = leases_->status(Steady::now(), duty);
+  return status == LeaseStatus::kHolder || status == LeaseStatus::kStandalone;
 }
 
-std::optional<LeaseGuard> Node::Guard(const std::string& duty) const {
-  return leases_ ? leases_->Guard(Steady::now(), duty) : std::nullopt;
+std::optional<LeaseProof> Node::ProveLease(const std::string& duty) const {
+  return leases_ ? leases_->ProveLease(Steady::now(), duty) : std::nullopt;
 }
 
 bool Node::FollowerOf(const std::string& duty) const {
-  return leases_ && leases_->role(Steady::now(), duty) == Role::kFollower;
+  return leases_ && leases_->status(Steady::now(), duty) == LeaseStatus::kFollower;
 }
 
-Token Node::HeldToken(const std::string& duty) const {
-  return leases_ && leases_->role(Steady::now(), duty) == Role::kHolder ? leases_->token(duty) : 0;
+FencingToken Node::HeldToken(const std::string& duty) const {
+  return leases_ && leases_->status(Steady::now(), duty) == LeaseStatus::kHolder ? leases_->token(duty) : 0;
 }
 
 std::string Node::HolderOf(const std::string& duty) const { return leases_ ? leases_->holder(duty) : ""; }
 
-Result<void> Node::Publish(const LeaseGuard& guard, const std::string& key, nlohmann::json value,
+Result<void> Node::Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                            Span lasts) {
-  if (!guard.Holds(Steady::now())) return tl::unexpected(Failure(kPastDeadline, key));
+  if (!proof.IsValid(Steady::now())) return tl::unexpected(Failure(kLeaseExpired, key));
   const UnixMs now = UnixMilliseconds();
   const auto ms = std::chrono::duration_cast<std::chrono::milliseconds>(lasts).count();
-  state_.Tell(DutyFact{guard.duty(), key, guard.token(), now + static_cast<UnixMs>(ms), std::move(value)});
+  state_.Tell(
+      DutyFact{proof.lease_name(), key, proof.token(), now + static_cast<UnixMs>(ms), std::move(value)});
   return {};
 }
 
@@ -112,9 +114,9 @@
   std::string line;
   for (const auto& [duty, kind] : options_.duties)
     line += fmt::format("{}{} {} holder={} token={} left={:.1f}s kind={}", line.empty() ? "" : ", ", duty,
-                        Name(leases_->role(now, duty)),
+                        Name(leases_->status(now, duty)),
                         leases_->holder(duty).empty() ? "-" : leases_->holder(duty), leases_->token(duty),
-                        Seconds(leases_->left(now, duty)).count(), Name(kind));
+                        Seconds(leases_->remaining(now, duty)).count(), Name(kind));
   return line;
 }
 
@@ -126,8 +128,8 @@
       !left->is_number_integer())
     return;
   const auto ms = std::clamp<std::int64_t>(left->get<std::int64_t>(), 0, section_.lease_term.count());
-  leases_->Hear(Steady::now(), fact.duty, holder->get<std::string>(), fact.token,
-                std::chrono::milliseconds(ms));
+  leases_->ObserveHolder(Steady::now(), fact.duty, holder->get<std::string>(), fact.token,
+                         std::chrono::milliseconds(ms));
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/facts.h
+++ b/src/fleet/node/facts.h
@@ -23,7 +23,7 @@
   // A peer's whole table and state have come for the first time.
   virtual void OnJoined() = 0;
   // What this process is to a duty from now on.
-  virtual void OnRole(const std::string& duty, Role role) = 0;
+  virtual void OnLeaseStatus(const std::string& duty, LeaseStatus status) = 0;
   // The holder of a duty has made this known.
   virtual void OnDutyFact(const DutyFact& fact) = 0;
 };
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -88,7 +88,7 @@
   Kept kept = kept_;
   if (membership_) kept.incarnation = membership_->self().last.incarnation;
   for (const auto& [duty, kind] : options_.duties)
-    if (leases_) kept.tokens[duty] = leases_->largest(duty);
+    if (leases_) kept.tokens[duty] = leases_->largest_token(duty);
   return kept;
 }
 
@@ -96,7 +96,7 @@
   kept_ = kept;
   if (membership_) membership_->Outlive(Steady::now(), kept.incarnation);
   if (!leases_) return;
-  for (const auto& [duty, token] : kept.tokens) leases_->Outgrow(duty, token);
+  for (const auto& [duty, token] : kept.tokens) leases_->RaiseLargestToken(duty, token);
 }
 
 void Node::Tell(Verdict verdict) { state_.Tell(std::move(verdict)); }
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -32,20 +32,20 @@
 inline constexpr char kDiscoveryDuty[] = "discovery", kMaintenanceDuty[] = "maintenance";
 
 // Those of a site's fleet.
-inline std::vector<DutySpec> SiteDuties() {
-  return {{kDiscoveryDuty, DutyKind::kAvailable}, {kMaintenanceDuty, DutyKind::kExclusive}};
+inline std::vector<LeasedRole> SiteLeasedRoles() {
+  return {{kDiscoveryDuty, LeasedRoleKind::kAvailable}, {kMaintenanceDuty, LeasedRoleKind::kExclusive}};
 }
 
 struct NodeOptions {
-  std::string component = "fleet";              // that speaks in the log
-  std::vector<DutySpec> duties = SiteDuties();  // with leases, where the section has a term
+  std::string component = "fleet";                     // that speaks in the log
+  std::vector<LeasedRole> duties = SiteLeasedRoles();  // with leases, where the section has a term
   std::string votes;  // the file that keeps this voter's votes; empty: they are in memory alone
 };
 
 class Node : private Transport::Host,
              private Membership::Outlet,
              private StateExchange::Host,
-             private Leases::Outlet {
+             private Leases::Callbacks {
  public:
   // Joins at once, or, while another process holds the address (one that this one replaces), as soon as that
   // one leaves it. `name` is the member's, `seed` for random numbers. `facts` outlives this and is called
@@ -61,7 +61,7 @@
   // For the process's next life; and what a life before had. To be called before the event loop runs.
   struct Kept {
     std::uint64_t incarnation = 0;
-    std::map<std::string, Token> tokens;
+    std::map<std::string, FencingToken> tokens;
   };
   Kept Keep() const;
   void Restore(const Kept& kept);
@@ -74,16 +74,16 @@
   // duty, no quorum for one.
   bool Does(const std::string& duty) const;
   // The right to act for the duty; nothing unless this process holds its lease.
-  std::optional<LeaseGuard> Guard(const std::string& duty) const;
+  std::optional<LeaseProof> ProveLease(const std::string& duty) const;
   // Whether duties have leases here; without them each process does each duty.
   bool leased() const { return section_.lease_term.count() > 0; }
   // Another member is known to hold it.
   bool FollowerOf(const std::string& duty) const;
   // Of the lease that this process holds; 0 if it holds none.
-  Token HeldToken(const std::string& duty) const;
+  FencingToken HeldToken(const std::string& duty) const;
   std::string HolderOf(const std::string& duty) const;
-  // Makes a fact of the guard's duty known for so long, under its token. Refuses with kPastDeadline.
-  Result<void> Publish(const LeaseGuard& guard, const std::string& key, nlohmann::json value, Span lasts);
+  // Makes a fact of the proof's duty known for so long, under its token. Refuses with kLeaseExpired.
+  Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value, Span lasts);
 
   // To a member's address, for who has subscribed to the channel there; a member that has none drops it. It
   // may be lost, as any datagram may. False, and nothing is sent, if the channel's name is empty or over
@@ -116,7 +116,8 @@
   void OnFact(const DutyFact& fact) override;
 
   void Send(const Udp::endpoint& to, const LeaseMessage& message) override;
-  void OnRole(const std::string& duty, Role role, Token token, Span left, std::string_view why) override;
+  void OnLeaseStatus(const std::string& duty, LeaseStatus status, FencingToken token, Span left,
+                     std::string_view why) override;
   void OnFailure(const Failure& failure) override;
 
   void StartLeases();
--- a/src/fleet/wire/decode.cpp
+++ b/src/fleet/wire/decode.cpp
@@ -48,19 +48,19 @@
 
 LeaseMessage LeaseIn(const json& value) {
   LeaseMessage lease;
-  lease.verb = OneOf<LeaseMessage::Verb>(value.at(0), kLeaseVerbs);
-  lease.duty = NameIn(value.at(1));
+  lease.type = OneOf<LeaseMessage::Type>(value.at(0), kLeaseMessageTypes);
+  lease.lease_name = NameIn(value.at(1));
   lease.token = FigureIn(value.at(2));
   lease.holder = value.at(3).get<std::string>();
   if (lease.holder.empty() || lease.holder.size() > 2 * kMostName) throw std::invalid_argument("holder");
-  lease.left_ms = FigureIn(value.at(4));
-  lease.asked = FigureIn(value.at(5));
+  lease.retry_after_ms = FigureIn(value.at(4));
+  lease.requested_token = FigureIn(value.at(5));
   if (value.size() <= 6) return lease;  // of a version without numbers of requests
-  lease.request = FigureIn(value.at(6));
+  lease.request_number = FigureIn(value.at(6));
   lease.term_ms = FigureIn(value.at(7));
   lease.drift_ms = FigureIn(value.at(8));
-  lease.voters = FigureIn(value.at(9));
-  lease.why = OneOf<LeaseMessage::Why>(value.at(10), kLeaseReasons);
+  lease.voter_set_hash = FigureIn(value.at(9));
+  lease.denial_reason = OneOf<LeaseMessage::DenialReason>(value.at(10), kDenialReasons);
   return lease;
 }
 
--- a/src/fleet/wire/encode.cpp
+++ b/src/fleet/wire/encode.cpp
@@ -41,17 +41,17 @@
   if (message.state_buckets) root["e"] = json::binary(message.state_buckets->Pack());
   if (message.slice) root["x"] = Pack(*message.slice);
   if (const auto& lease = message.lease)
-    root["l"] = {static_cast<unsigned>(lease->verb),
-                 lease->duty,
+    root["l"] = {static_cast<unsigned>(lease->type),
+                 lease->lease_name,
                  lease->token,
                  lease->holder,
-                 lease->left_ms,
-                 lease->asked,
-                 lease->request,
+                 lease->retry_after_ms,
+                 lease->requested_token,
+                 lease->request_number,
                  lease->term_ms,
                  lease->drift_ms,
-                 lease->voters,
-                 static_cast<unsigned>(lease->why)};
+                 lease->voter_set_hash,
+                 static_cast<unsigned>(lease->denial_reason)};
   if (message.kind == Message::Kind::kPayload) {
     root["c"] = message.channel;
     root["p"] = message.payload;
--- a/src/fleet/wire/size.cpp
+++ b/src/fleet/wire/size.cpp
@@ -26,7 +26,8 @@
   std::size_t taken = kMessageBytes + fleet.size() + SizeOf(message.sender) + message.target.size() +
                       Text(message.target_address).size();
   taken += SizeOf(message.buckets) + SizeOf(message.state_buckets) + (message.slice ? kSliceBytes : 0);
-  if (const auto& lease = message.lease) taken += kLeaseBytes + lease->duty.size() + lease->holder.size();
+  if (const auto& lease = message.lease)
+    taken += kLeaseBytes + lease->lease_name.size() + lease->holder.size();
   if (message.kind == Message::Kind::kPayload)
     taken += message.channel.size() + nlohmann::json::to_msgpack(message.payload).size();
   return taken < kMostDatagram ? kMostDatagram - taken : 0;
--- a/src/proxy/federation/federation.cpp
+++ b/src/proxy/federation/federation.cpp
@@ -83,7 +83,7 @@
 
 void Federation::Restore(const nlohmann::json& kept) {
   pool_.node().Restore({kept.at("incarnation").get<std::uint64_t>(),
-                        kept.at("tokens").get<std::map<std::string, fleet::Token>>()});
+                        kept.at("tokens").get<std::map<std::string, fleet::FencingToken>>()});
   if (quota_ && kept.contains("ledger")) quota_->Load(kept.at("ledger"));
 }
 
--- a/src/proxy/federation/pool.cpp
+++ b/src/proxy/federation/pool.cpp
@@ -21,7 +21,7 @@
   options.component = "sites";
   options.votes = votes;
   options.duties.clear();
-  for (const std::string& duty : duties) options.duties.push_back({duty, fleet::DutyKind::kExclusive});
+  for (const std::string& duty : duties) options.duties.push_back({duty, fleet::LeasedRoleKind::kExclusive});
   return options;
 }
 
--- a/src/proxy/federation/pool.h
+++ b/src/proxy/federation/pool.h
@@ -45,7 +45,9 @@
   // Messages of configured gateways.
   void Subscribe(const std::string& channel, Take take);
 
-  std::optional<fleet::LeaseGuard> Guard(const std::string& duty) const { return node_.Guard(duty); }
+  std::optional<fleet::LeaseProof> ProveLease(const std::string& duty) const {
+    return node_.ProveLease(duty);
+  }
   // The gateway that is known to hold the duty, this one, too; empty: none.
   std::string HolderOf(const std::string& duty) const;
 
@@ -61,7 +63,7 @@
   void OnKey(const fleet::KeySite&, fleet::UnixMs) override {}
   void OnShare(int) override {}
   void OnJoined() override {}
-  void OnRole(const std::string&, fleet::Role) override {}
+  void OnLeaseStatus(const std::string&, fleet::LeaseStatus) override {}
   void OnDutyFact(const fleet::DutyFact& fact) override { host_.OnPoolFact(fact); }
 
   const std::string self_;
--- a/src/proxy/federation/quota_service.cpp
+++ b/src/proxy/federation/quota_service.cpp
@@ -171,18 +171,18 @@
 }
 
 // The right to hand out grants.
-std::optional<fleet::LeaseGuard> QuotaService::Guard(std::size_t allocator) const {
-  return paused_ || stopped_ ? std::nullopt : pool_.Guard(DutyOf(allocator));
+std::optional<fleet::LeaseProof> QuotaService::ProveLease(std::size_t allocator) const {
+  return paused_ || stopped_ ? std::nullopt : pool_.ProveLease(DutyOf(allocator));
 }
 
 void QuotaService::TakeRequest(std::size_t allocator, const std::string& gateway,
                                const nlohmann::json& json) {
-  const auto guard = Guard(allocator);
-  if (!guard) return;  // another's by now: the gateway asks again
+  const auto proof = ProveLease(allocator);
+  if (!proof) return;  // another's by now: the gateway asks again
   const auto request = quota::RequestFromJson(json, gateway);
   if (!request) return log::Warn("quota", request.error());
   quota::AllocatorActions actions;
-  allocators_[allocator].Receive(Steady::now(), *guard, gateway, *request, &actions);
+  allocators_[allocator].Receive(Steady::now(), *proof, gateway, *request, &actions);
   Do(allocator, actions);
 }
 
@@ -200,7 +200,7 @@
 Steady::time_point QuotaService::Next() const {
   auto next = account_ ? account_->Next() : Steady::now() + kLook;
   for (std::size_t i = 0; i < allocators_.size(); ++i)
-    if (Guard(i)) next = std::min(next, allocators_[i].Next());
+    if (ProveLease(i)) next = std::min(next, allocators_[i].Next());
   return next;
 }
 
@@ -224,10 +224,10 @@
     Do(actions);
   }
   for (std::size_t i = 0; i < allocators_.size(); ++i) {
-    const auto guard = Guard(i);
-    if (!guard) continue;
+    const auto proof = ProveLease(i);
+    if (!proof) continue;
     quota::AllocatorActions actions;
-    allocators_[i].Tick(Steady::now(), *guard, &actions);
+    allocators_[i].Tick(Steady::now(), *proof, &actions);
     Do(i, actions);
   }
   Arm();
@@ -277,7 +277,7 @@
                       Name(each.source), Units(each.in_force.rate), Units(each.demand));
     }
   for (std::size_t i = 0; i < allocators_.size(); ++i) {
-    if (!Guard(i)) continue;
+    if (!ProveLease(i)) continue;
     for (const auto& each : allocators_[i].Lines(now))
       line += fmt::format(", {} {} per_s={:.3f} committed={:.3f} asking={}", DutyOf(i), each.partner,
                           Units(each.rate), Units(each.committed), each.demand.size());
--- a/src/proxy/federation/quota_service.h
+++ b/src/proxy/federation/quota_service.h
@@ -61,7 +61,7 @@
   void Begin();
   void Send(const std::string& gateway, nlohmann::json payload);
   void Receive(const std::string& gateway, const nlohmann::json& payload);
-  std::optional<fleet::LeaseGuard> Guard(std::size_t allocator) const;
+  std::optional<fleet::LeaseProof> ProveLease(std::size_t allocator) const;
   void TakeRequest(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
   void TakeAnswer(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
   void Tick();
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -243,22 +243,22 @@
 }
 
 void SpillService::MakeEstimate() {
-  const auto guard = site_.Guard(duty_);
-  if (!guard) {
+  const auto proof = site_.ProveLease(duty_);
+  if (!proof) {
     ambassador_.reset();
     office_ = 0;
     return;
   }
-  if (std::exchange(office_, guard->token()) != guard->token()) {
+  if (std::exchange(office_, proof->token()) != proof->token()) {
     ambassador_.emplace(options_, sites_.site);
     ambassador_->Heard(Steady::now(), self_, MemberSpareOf(host_.SpareNow()));
     log::Info("spill", fmt::format("duty={} token={} makes the site's estimates", duty_, office_));
     return;  // the others are heard until the next time
   }
-  const auto estimate = ambassador_->Make(Steady::now(), UnixMilliseconds(), *guard);
+  const auto estimate = ambassador_->Make(Steady::now(), UnixMilliseconds(), *proof);
   if (!estimate) return;
   const auto published =
-      pool_.node().Publish(*guard, "estimate/" + sites_.site, spill::ToJson(*estimate), options_.staleness);
+      pool_.node().Publish(*proof, "estimate/" + sites_.site, spill::ToJson(*estimate), options_.staleness);
   if (!published) return log::Warn("spill", published.error());
   Feed(spill::EstimateHeard{*estimate, UnixMilliseconds()});
 }
--- a/src/proxy/federation/spill_service.h
+++ b/src/proxy/federation/spill_service.h
@@ -96,7 +96,7 @@
   std::map<RequestId, Open> open_;
   std::map<std::string, bool> present_;  // gateways of other sites, as last told
   std::optional<spill::Ambassador> ambassador_;
-  fleet::Token office_ = 0;  // the lease that the ambassador is of
+  fleet::FencingToken office_ = 0;  // the lease that the ambassador is of
   Steady::time_point next_complaint_{};
   boost::asio::steady_timer timer_;
 };
--- a/src/proxy/fleet_link/discovery_duty.cpp
+++ b/src/proxy/fleet_link/discovery_duty.cpp
@@ -54,7 +54,7 @@
 }
 
 // A new holder says everything anew, under its own token.
-void DiscoveryDuty::OnRole() {
+void DiscoveryDuty::OnLeaseStatus() {
   if (!fleet_.Does(fleet::kDiscoveryDuty)) return discovery_.Pause();
   for (const auto& [id, member] : known_) Publish(id);
   Watch();
@@ -97,10 +97,10 @@
 }
 
 void DiscoveryDuty::Publish(const std::string& id) {
-  const auto guard = fleet_.node()->Guard(fleet::kDiscoveryDuty);
-  if (!guard) return;
+  const auto proof = fleet_.node()->ProveLease(fleet::kDiscoveryDuty);
+  if (!proof) return;
   const auto published = fleet_.node()->Publish(
-      *guard, "server/" + id,
+      *proof, "server/" + id,
       {{"revision", revision_}, {"members", nlohmann::json::array({ToJson(known_.at(id))})}}, kFactLasts);
   if (!published) log::Warn("fleet", published.error());
 }
--- a/src/proxy/fleet_link/discovery_duty.h
+++ b/src/proxy/fleet_link/discovery_duty.h
@@ -38,7 +38,7 @@
   // What the fleet may be told before discovery has said anything.
   void Know(const std::vector<Member>& members);
   // This process has become the duty's holder, or is it no more.
-  void OnRole();
+  void OnLeaseStatus();
   // A list's entry from the holder, which has it from discovery.
   void OnFact(const fleet::DutyFact& fact);
 
--- a/src/proxy/fleet_link/fleet_link.cpp
+++ b/src/proxy/fleet_link/fleet_link.cpp
@@ -16,10 +16,10 @@
 namespace {
 
 // Those of the site's fleet.
-std::vector<fleet::DutySpec> DutiesOf(const Config& config) {
-  auto duties = fleet::SiteDuties();
+std::vector<fleet::LeasedRole> LeasedRolesOf(const Config& config) {
+  auto duties = fleet::SiteLeasedRoles();
   if (config.spill.on)
-    duties.push_back({SpillService::DutyOf(config.sites.site), fleet::DutyKind::kExclusive});
+    duties.push_back({SpillService::DutyOf(config.sites.site), fleet::LeasedRoleKind::kExclusive});
   return duties;
 }
 
@@ -30,7 +30,7 @@
   const std::uint64_t seed = config.seed ^ StableHash(config.name);
   discovery_.Know(config.known.members);
   fleet::NodeOptions options;
-  options.duties = DutiesOf(config);
+  options.duties = LeasedRolesOf(config);
   options.votes = votes;
   node_ = std::make_unique<fleet::Node>(io, config.fleet, config.name, seed,
                                         static_cast<fleet::Facts&>(*this), std::move(options));
@@ -55,12 +55,12 @@
 void FleetLink::OnJoined() { recovery_.OnJoined(); }
 
 // A new holder says everything anew, under its own token.
-void FleetLink::OnRole(const std::string& duty, fleet::Role role) {
-  const bool holds = role == fleet::Role::kHolder;
+void FleetLink::OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status) {
+  const bool holds = status == fleet::LeaseStatus::kHolder;
   const bool renewed = holds && std::exchange(held_[duty], holds);
   held_[duty] = holds;
   if (renewed) return;
-  duty == fleet::kMaintenanceDuty ? maintenance_.OnRole() : discovery_.OnRole();
+  duty == fleet::kMaintenanceDuty ? maintenance_.OnLeaseStatus() : discovery_.OnLeaseStatus();
 }
 
 void FleetLink::OnDutyFact(const fleet::DutyFact& fact) {
--- a/src/proxy/fleet_link/fleet_link.h
+++ b/src/proxy/fleet_link/fleet_link.h
@@ -50,7 +50,7 @@
   void OnKey(const fleet::KeySite& site, fleet::UnixMs met) override;
   void OnShare(int most_in_flight) override;
   void OnJoined() override;
-  void OnRole(const std::string& duty, fleet::Role role) override;
+  void OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status) override;
   void OnDutyFact(const fleet::DutyFact& fact) override;
 
   ModuleDriver& module_;
--- a/src/proxy/fleet_link/maintenance_duty.cpp
+++ b/src/proxy/fleet_link/maintenance_duty.cpp
@@ -18,16 +18,16 @@
   const bool out = call.verb == OperatorCall::Verb::kDetach;
   if (!fleet_.node() || !fleet_.node()->leased())
     return controller_.Change(call.id, out, nullptr, std::move(reply));
-  const auto guard = fleet_.node()->Guard(fleet::kMaintenanceDuty);
-  if (!guard) return reply(OperatorReply::No(NotTheHolder()));
+  const auto proof = fleet_.node()->ProveLease(fleet::kMaintenanceDuty);
+  if (!proof) return reply(OperatorReply::No(NotTheHolder()));
   // The disk may take longer than the lease; then the change is another holder's to make.
   controller_.Change(
-      call.id, out, [&] { return Publish(*guard); }, std::move(reply));
+      call.id, out, [&] { return Publish(*proof); }, std::move(reply));
 }
 
-void MaintenanceDuty::OnRole() {
-  if (const auto guard = fleet_.node()->Guard(fleet::kMaintenanceDuty))
-    if (const auto published = Publish(*guard); !published) log::Warn("fleet", published.error());
+void MaintenanceDuty::OnLeaseStatus() {
+  if (const auto proof = fleet_.node()->ProveLease(fleet::kMaintenanceDuty))
+    if (const auto published = Publish(*proof); !published) log::Warn("fleet", published.error());
 }
 
 void MaintenanceDuty::OnFact(const fleet::DutyFact& fact) {
@@ -38,15 +38,15 @@
   controller_.Replace(std::move(out));
 }
 
-Result<void> MaintenanceDuty::Publish(const fleet::LeaseGuard& guard) {
-  return fleet_.node()->Publish(guard, "maintenance", controller_.detached(), kFactLasts);
+Result<void> MaintenanceDuty::Publish(const fleet::LeaseProof& proof) {
+  return fleet_.node()->Publish(proof, "maintenance", controller_.detached(), kFactLasts);
 }
 
 Failure MaintenanceDuty::NotTheHolder() const {
   const fleet::Node& node = *std::as_const(fleet_).node();
   if (node.FollowerOf(fleet::kMaintenanceDuty))
-    return Failure(fleet::kHeldElsewhere, node.HolderOf(fleet::kMaintenanceDuty));
-  return Failure(fleet::kNoHolder, fleet::kMaintenanceDuty);
+    return Failure(fleet::kHeldByOtherMember, node.HolderOf(fleet::kMaintenanceDuty));
+  return Failure(fleet::kNoLeaseHolder, fleet::kMaintenanceDuty);
 }
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/fleet_link/maintenance_duty.h
+++ b/src/proxy/fleet_link/maintenance_duty.h
@@ -27,11 +27,11 @@
   void Change(const OperatorCall& call, OnReply reply);
 
   // This process has become the duty's holder, or is it no more.
-  void OnRole();
+  void OnLeaseStatus();
   void OnFact(const fleet::DutyFact& fact);
 
  private:
-  Result<void> Publish(const fleet::LeaseGuard& guard);
+  Result<void> Publish(const fleet::LeaseProof& proof);
   Failure NotTheHolder() const;
 
   FleetLink& fleet_;
--- a/src/proxy/recovery/recovery.cpp
+++ b/src/proxy/recovery/recovery.cpp
@@ -84,7 +84,7 @@
   if (federation_.federation() && body.contains("sites")) federation_.federation()->Restore(body.at("sites"));
   if (!fleet_.node() || !body.contains("incarnation")) return;
   fleet_.node()->Restore({body.at("incarnation").get<std::uint64_t>(),
-                          body.at("tokens").get<std::map<std::string, fleet::Token>>()});
+                          body.at("tokens").get<std::map<std::string, fleet::FencingToken>>()});
 }
 
 }  // namespace load_balancer::proxy
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -41,16 +41,16 @@
 }
 
 // The grants of other holders have ended with their leases.
-void Allocator::Begin(const fleet::LeaseGuard& guard, AllocatorActions* actions) {
-  if (guard.token() == last_.token) return;
-  last_.token = guard.token();
+void Allocator::Begin(const fleet::LeaseProof& proof, AllocatorActions* actions) {
+  if (proof.token() == last_.token) return;
+  last_.token = proof.token();
   actions->push_back(TermBegan{options_.index, last_.token});
 }
 
-void Allocator::Receive(Time now, const fleet::LeaseGuard& guard, const std::string& gateway,
+void Allocator::Receive(Time now, const fleet::LeaseProof& proof, const std::string& gateway,
                         const Request& request, AllocatorActions* actions) {
-  if (!guard.Holds(now)) return;
-  Begin(guard, actions);
+  if (!proof.IsValid(now)) return;
+  Begin(proof, actions);
   const GatewayId* from = gateways_.Find(gateway);
   if (!from) {
     if (warned_.insert(gateway).second)
@@ -73,7 +73,7 @@
     }
   if (request.asks.empty() && request.acks.empty())
     actions->push_back(SendAnswer{gateway, Empty(now, request.life)});
-  IssueGrants(now, guard, actions);
+  IssueGrants(now, proof, actions);
 }
 
 void Allocator::AnswerOther(Time now, GatewayId gateway, const Request& request, AllocatorActions* actions) {
@@ -90,13 +90,13 @@
   Send(name, answer, actions);
 }
 
-void Allocator::Tick(Time now, const fleet::LeaseGuard& guard, AllocatorActions* actions) {
-  if (!guard.Holds(now)) return;
-  Begin(guard, actions);
-  IssueGrants(now, guard, actions);
+void Allocator::Tick(Time now, const fleet::LeaseProof& proof, AllocatorActions* actions) {
+  if (!proof.IsValid(now)) return;
+  Begin(proof, actions);
+  IssueGrants(now, proof, actions);
 }
 
-void Allocator::IssueGrants(Time now, const fleet::LeaseGuard& guard, AllocatorActions* actions) {
+void Allocator::IssueGrants(Time now, const fleet::LeaseProof& proof, AllocatorActions* actions) {
   std::map<std::pair<GatewayId, std::uint64_t>, Answer> answers;  // by gateway and life; 0: calls alone
   const auto answer = [&](GatewayId gateway, std::uint64_t life) -> Answer& {
     return answers.try_emplace({gateway, life}, Empty(now, life)).first->second;
@@ -110,11 +110,11 @@
     if (budget == revisions_.present->partners.end()) continue;
     const Floors floors(partner, gateways_, revisions_);
     for (IssuedGrant& issued :
-         entry.allocator.IssueGrants(now, guard.deadline(), budget->second, floors, &last_)) {
+         entry.allocator.IssueGrants(now, proof.deadline(), budget->second, floors, &last_)) {
       issued.grant.partner = partner;
       answer(issued.gateway, issued.life).grants.push_back(std::move(issued.grant));
     }
-    guard.Outlasts(entry.allocator.commitments().LastEnd(now));
+    proof.ExtendEffects(entry.allocator.commitments().LastEnd(now));
     for (const GatewayId gateway : entry.allocator.Calls(now, gateways_, floors))
       answer(gateway, 0).calls.push_back(partner);
     Schedule(partner, entry);
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -54,12 +54,12 @@
  public:
   Allocator(AllocatorOptions options, std::shared_ptr<const Budgets> budgets);
 
-  // Handles a request that came from the pool address of `gateway`. Does nothing if the guard no longer
+  // Handles a request that came from the pool address of `gateway`. Does nothing if the proof no longer
   // holds.
-  void Receive(Time now, const fleet::LeaseGuard& guard, const std::string& gateway, const Request& request,
+  void Receive(Time now, const fleet::LeaseProof& proof, const std::string& gateway, const Request& request,
                AllocatorActions* actions);
   // Issues what is due. Call it at Next() or soon after, while the lease is held.
-  void Tick(Time now, const fleet::LeaseGuard& guard, AllocatorActions* actions);
+  void Tick(Time now, const fleet::LeaseProof& proof, AllocatorActions* actions);
   Time Next() const { return schedule_.empty() ? Time::max() : schedule_.begin()->first; }
 
   // Replaces the budgets, after a reload of the configuration.
@@ -87,8 +87,8 @@
   std::vector<Line> Lines(Time now) const;
 
  private:
-  void Begin(const fleet::LeaseGuard& guard, AllocatorActions* actions);
-  void IssueGrants(Time now, const fleet::LeaseGuard& guard, AllocatorActions* actions);
+  void Begin(const fleet::LeaseProof& proof, AllocatorActions* actions);
+  void IssueGrants(Time now, const fleet::LeaseProof& proof, AllocatorActions* actions);
   void AnswerOther(Time now, GatewayId gateway, const Request& request, AllocatorActions* actions);
   Answer Empty(Time now, std::uint64_t life) const;
   struct Entry {
--- a/src/spill/ambassador.h
+++ b/src/spill/ambassador.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The site's ambassador: sums what the members could still take and makes the site's estimate. Exclusive: an
-// estimate is made under a lease's guard only, and carries its token.
+// estimate is made under a lease proof only, and carries its token.
 #ifndef LOAD_BALANCER_SPILL_AMBASSADOR_H_
 #define LOAD_BALANCER_SPILL_AMBASSADOR_H_
 
@@ -25,11 +25,11 @@
   Milliseconds wait{0};
 };
 
-// A lease's guard at the act: fleet/lease/fencing.h.
+// A lease proof at the act: fleet/lease/fencing.h.
 template <typename T>
-concept Guard = requires(const T& guard, Time now) {
-  { guard.Holds(now) } -> std::convertible_to<bool>;
-  { guard.token() } -> std::convertible_to<std::uint64_t>;
+concept FencingProof = requires(const T& proof, Time now) {
+  { proof.IsValid(now) } -> std::convertible_to<bool>;
+  { proof.token() } -> std::convertible_to<std::uint64_t>;
 };
 
 // One term of office: made anew whenever the duty is taken up, so that no state is claimed to have held under
@@ -49,10 +49,10 @@
 
   // The sum now, or nothing if the lease does not hold. Members silent past staleness count as zero. To be
   // called every `estimate_interval`; `wall` in Unix ms.
-  template <Guard LeaseGuard>
-  std::optional<Estimate> Make(Time now, UnixMs wall, const LeaseGuard& guard) {
-    if (!guard.Holds(now)) return std::nullopt;
-    return Sum(now, wall, guard.token());
+  template <FencingProof LeaseProof>
+  std::optional<Estimate> Make(Time now, UnixMs wall, const LeaseProof& proof) {
+    if (!proof.IsValid(now)) return std::nullopt;
+    return Sum(now, wall, proof.token());
   }
 
  private:
--- a/tests/compatibility/fleet_datagrams.cpp
+++ b/tests/compatibility/fleet_datagrams.cpp
@@ -34,17 +34,17 @@
 }
 
 json FieldsOf(const LeaseMessage& lease) {
-  return {{"verb", static_cast<int>(lease.verb)},
-          {"duty", lease.duty},
+  return {{"verb", static_cast<int>(lease.type)},
+          {"duty", lease.lease_name},
           {"token", lease.token},
           {"holder", lease.holder},
-          {"left_ms", lease.left_ms},
-          {"asked", lease.asked},
-          {"request", lease.request},
+          {"left_ms", lease.retry_after_ms},
+          {"asked", lease.requested_token},
+          {"request", lease.request_number},
           {"term_ms", lease.term_ms},
           {"drift_ms", lease.drift_ms},
-          {"voters", lease.voters},
-          {"why", static_cast<int>(lease.why)}};
+          {"voters", lease.voter_set_hash},
+          {"why", static_cast<int>(lease.denial_reason)}};
 }
 
 json FieldsOf(const fleet::Slice& slice) {
@@ -187,35 +187,35 @@
   return {CaseOf("sync_request", request), CaseOf("sync_slice", slice), CaseOf("state", state)};
 }
 
-LeaseMessage LeaseOf(LeaseMessage::Verb verb) {
+LeaseMessage LeaseOf(LeaseMessage::Type verb) {
   LeaseMessage lease;
-  lease.verb = verb;
-  lease.duty = "treasurer/2";
+  lease.type = verb;
+  lease.lease_name = "treasurer/2";
   lease.token = 1764600000200;
   lease.holder = "n1/1764600000001";
-  lease.request = 99;
+  lease.request_number = 99;
   return lease;
 }
 
 std::vector<GoldenCase> LeaseCases() {
-  using Verb = LeaseMessage::Verb;
-  LeaseMessage ask = LeaseOf(Verb::kAsk);
+  using Type = LeaseMessage::Type;
+  LeaseMessage ask = LeaseOf(Type::kRequest);
   ask.term_ms = 3000;
   ask.drift_ms = 100;
-  ask.voters = 0xa1b2c3d4e5f60718U;
-  LeaseMessage grant = LeaseOf(Verb::kGrant);
-  LeaseMessage release = LeaseOf(Verb::kRelease);
-  release.duty = "ambassador/MUC";
+  ask.voter_set_hash = 0xa1b2c3d4e5f60718U;
+  LeaseMessage grant = LeaseOf(Type::kGrant);
+  LeaseMessage release = LeaseOf(Type::kRelease);
+  release.lease_name = "ambassador/MUC";
   std::vector<std::pair<std::string, LeaseMessage>> messages{
       {"ask", ask}, {"grant", grant}, {"release", release}};
   const char* const reasons[] = {"none", "held", "silent", "term", "drift", "voters", "disk", "full"};
-  static_assert(std::size(reasons) == fleet::kLeaseReasons);
-  for (int reason = 0; reason < fleet::kLeaseReasons; ++reason) {
+  static_assert(std::size(reasons) == fleet::kDenialReasons);
+  for (int reason = 0; reason < fleet::kDenialReasons; ++reason) {
     LeaseMessage deny = ask;
-    deny.verb = Verb::kDeny;
-    deny.left_ms = 1234;
-    deny.asked = 1764600000199;
-    deny.why = static_cast<LeaseMessage::Why>(reason);
+    deny.type = Type::kDenial;
+    deny.retry_after_ms = 1234;
+    deny.requested_token = 1764600000199;
+    deny.denial_reason = static_cast<LeaseMessage::DenialReason>(reason);
     messages.emplace_back(std::string("deny_") + reasons[reason], deny);
   }
   std::vector<GoldenCase> cases;
--- a/tests/compatibility/stored_files.cpp
+++ b/tests/compatibility/stored_files.cpp
@@ -76,8 +76,10 @@
 json FieldsOf(const fleet::StoredVotes& votes) {
   json fields = json::object();
   for (const auto& [duty, vote] : votes)
-    fields[duty] = {
-        {"holder", vote.holder}, {"token", vote.token}, {"largest", vote.largest}, {"span_ms", vote.span_ms}};
+    fields[duty] = {{"holder", vote.holder},
+                    {"token", vote.token},
+                    {"largest", vote.largest_token},
+                    {"span_ms", vote.duration_ms}};
   return fields;
 }
 
@@ -106,9 +108,10 @@
 constexpr Time kStart = Time(std::chrono::hours(1));
 constexpr quota::Milli kBudgetRate = 100'000;  // of the partner, thousandths of a request a second
 
-class NoOutlet : public fleet::Leases::Outlet {
+class NoOutlet : public fleet::Leases::Callbacks {
   void Send(const fleet::LeaseOptions::Endpoint&, const fleet::LeaseMessage&) override {}
-  void OnRole(const std::string&, fleet::Role, fleet::Token, Span, std::string_view) override {}
+  void OnLeaseStatus(const std::string&, fleet::LeaseStatus, fleet::FencingToken, Span,
+                     std::string_view) override {}
   void OnFailure(const Failure&) override {}
 };
 
@@ -135,9 +138,9 @@
     request.ask = 1;
     request.asks = {{{"acme", {}, 0}, demand, 1000}};
     quota::AllocatorActions actions;
-    const auto guard = leases_.Guard(now_, kDuty);
-    if (!guard) throw std::runtime_error("the lease is not held");
-    allocator_.Receive(now_, *guard, gateway, request, &actions);
+    const auto proof = leases_.ProveLease(now_, kDuty);
+    if (!proof) throw std::runtime_error("the lease is not held");
+    allocator_.Receive(now_, *proof, gateway, request, &actions);
     for (const auto& action : actions)
       if (const auto* sent = std::get_if<quota::SendAnswer>(&action); sent && !sent->answer.grants.empty())
         return sent->answer.grants.front().part.rate;
@@ -150,8 +153,8 @@
     options.holder = "n1/1";
     options.address = {boost::asio::ip::make_address("127.0.0.1"), 1};
     options.voters = {options.address};
-    options.duties = {{kDuty, fleet::DutyKind::kExclusive}};
-    options.votes = fleet::StoredVotes{};
+    options.leased_roles = {{kDuty, fleet::LeasedRoleKind::kExclusive}};
+    options.stored_votes = fleet::StoredVotes{};
     return options;
   }
   static quota::Layout Layout() { return {{"MUC", {"n1", "n2"}}}; }
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -20,7 +20,7 @@
   void OnKey(const load_balancer::fleet::KeySite&, load_balancer::fleet::UnixMs) override {}
   void OnShare(int) override {}
   void OnJoined() override {}
-  void OnRole(const std::string&, load_balancer::fleet::Role) override {}
+  void OnLeaseStatus(const std::string&, load_balancer::fleet::LeaseStatus) override {}
   void OnDutyFact(const load_balancer::fleet::DutyFact&) override {}
 };
 
--- a/tests/fleet/lease_actor.cpp
+++ b/tests/fleet/lease_actor.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A member of a fleet that does nothing but act, for tests: while it holds the lease of maintenance it writes
-// to a stand-in resource, each time under a guard, and prints each act with its begin and end on the
+// to a stand-in resource, each time under a proof, and prints each act with its begin and end on the
 // machine's monotonic clock. A fleet::Node as the program has it, with real sockets, timers and a file of
 // votes.
 //
@@ -34,7 +34,7 @@
   void OnKey(const fl::KeySite&, fl::UnixMs) override {}
   void OnShare(int) override {}
   void OnJoined() override {}
-  void OnRole(const std::string&, fl::Role) override {}
+  void OnLeaseStatus(const std::string&, fl::LeaseStatus) override {}
   void OnDutyFact(const fl::DutyFact&) override {}
 };
 
@@ -60,28 +60,28 @@
   }
 
  private:
-  // Takes a guard, and acts on it a little later, sometimes much later.
+  // Takes a proof, and acts on it a little later, sometimes much later.
   void Arm() {
-    timer_.expires_after(milliseconds(guard_ && random_() % 32 == 0 ? random_() % 4000 : random_() % 10));
+    timer_.expires_after(milliseconds(proof_ && random_() % 32 == 0 ? random_() % 4000 : random_() % 10));
     timer_.async_wait([this](const boost::system::error_code& failed) {
       if (failed) return;
-      if (guard_)
-        Act(*std::exchange(guard_, std::nullopt));
-      else if ((guard_ = node_.Guard(fl::kMaintenanceDuty)))
+      if (proof_)
+        Act(*std::exchange(proof_, std::nullopt));
+      else if ((proof_ = node_.ProveLease(fl::kMaintenanceDuty)))
         began_ = Count(Steady::now());
       Arm();
     });
   }
 
   // The resource looks at deadline and token, and says when it took the write, if it did.
-  void Act(const fl::LeaseGuard& guard) {
+  void Act(const fl::LeaseProof& proof) {
     asio::write(resource_,
-                asio::buffer(name_ + " " + std::to_string(guard.token()) + " " + std::to_string(began_) +
-                             " " + std::to_string(Count(guard.deadline())) + "\n"));
+                asio::buffer(name_ + " " + std::to_string(proof.token()) + " " + std::to_string(began_) +
+                             " " + std::to_string(Count(proof.deadline())) + "\n"));
     asio::read_until(resource_, answer_, '\n');
     std::string answer;
     std::getline(std::istream(&answer_), answer);
-    std::printf("act token=%llu begin=%lld end=%lld %s\n", static_cast<unsigned long long>(guard.token()),
+    std::printf("act token=%llu begin=%lld end=%lld %s\n", static_cast<unsigned long long>(proof.token()),
                 began_, Count(Steady::now()), answer.c_str());
     std::fflush(stdout);
   }
@@ -93,7 +93,7 @@
   asio::steady_timer timer_;
   Tcp::socket resource_;
   asio::streambuf answer_;
-  std::optional<fl::LeaseGuard> guard_;  // of the act under way
+  std::optional<fl::LeaseProof> proof_;  // of the act under way
   long long began_ = 0;
 };
 
--- a/tests/fleet/lease_late_test.cpp
+++ b/tests/fleet/lease_late_test.cpp
@@ -34,7 +34,7 @@
         options.voters.emplace_back(boost::asio::ip::address_v4::loopback(), v);
       options.term = kTerm;
       options.drift = kDrift;
-      options.duties = {{"d", fl::DutyKind::kAvailable}};
+      options.leased_roles = {{"d", fl::LeasedRoleKind::kAvailable}};
       options.seed = seed * 3 + i;
       seat.leases = std::make_unique<fl::Leases>(options, now_, seat);
     }
@@ -61,11 +61,12 @@
     std::size_t from, to;
     fl::LeaseMessage message;
   };
-  struct Seat : fl::Leases::Outlet {
+  struct Seat : fl::Leases::Callbacks {
     void Send(const Udp::endpoint& to, const fl::LeaseMessage& message) override {
       table->Put(address.port() - 1u, to.port() - 1u, message);
     }
-    void OnRole(const std::string&, fl::Role, fl::Token, load_balancer::Span, std::string_view) override {}
+    void OnLeaseStatus(const std::string&, fl::LeaseStatus, fl::FencingToken, load_balancer::Span,
+                       std::string_view) override {}
     void OnFailure(const load_balancer::Failure& failure) override { ADD_FAILURE() << failure.Text(); }
     LateGrants* table = nullptr;
     Udp::endpoint address;
@@ -73,7 +74,7 @@
   };
 
   void Put(std::size_t from, std::size_t to, const fl::LeaseMessage& message) {
-    if (from == victim_ && message.verb == fl::LeaseMessage::Verb::kAsk) {
+    if (from == victim_ && message.type == fl::LeaseMessage::Type::kRequest) {
       if (first_round_ == load_balancer::Time{}) first_round_ = now_;
       if (now_ != first_round_) return;
     }
@@ -83,7 +84,7 @@
   std::vector<std::size_t> Holders() const {
     std::vector<std::size_t> holders;
     for (std::size_t i = 0; i < 3; ++i)
-      if (seats_[i].leases->role(now_, "d") == fl::Role::kHolder) holders.push_back(i);
+      if (seats_[i].leases->status(now_, "d") == fl::LeaseStatus::kHolder) holders.push_back(i);
     return holders;
   }
 
--- a/tests/fleet/lease_test.cpp
+++ b/tests/fleet/lease_test.cpp
@@ -86,10 +86,10 @@
     }
     return 5;
   }
-  static fl::Token TokenIn(const std::string& line) {
+  static fl::FencingToken TokenIn(const std::string& line) {
     return std::stoull(line.substr(line.find(" token=") + 7));
   }
-  static fl::Token TokenOf(Cluster& cluster, std::size_t member, std::size_t mark) {
+  static fl::FencingToken TokenOf(Cluster& cluster, std::size_t member, std::size_t mark) {
     return TokenIn(cluster.process(member).WaitFor(kHolds, mark)->second);
   }
   static std::vector<std::size_t> Others(std::size_t but) {
@@ -99,7 +99,7 @@
     return others;
   }
   // Exactly one watch is open, and it carries this token.
-  bool WaitForOneWatch(fl::Token token) {
+  bool WaitForOneWatch(fl::FencingToken token) {
     return discovery.seen.WaitFor([&](const CountingDiscovery::Seen& s) {
       for (const auto& [each, count] : s.open)
         if (count != (each == std::to_string(token) ? 1 : 0)) return false;
@@ -110,7 +110,7 @@
   void ExpectOneHolderAtATime() {
     const auto s = discovery.seen.Get();
     EXPECT_LE(s.most_held_at_once, 1u);
-    fl::Token last = 0;
+    fl::FencingToken last = 0;
     for (const std::string& token : s.began) {
       if (token.empty()) continue;
       EXPECT_GE(std::stoull(token), last);
@@ -152,7 +152,7 @@
   const auto cluster = Start();
   const std::size_t holder = WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4});
   ASSERT_LT(holder, 5u);
-  const fl::Token token = TokenOf(*cluster, holder, 0);
+  const fl::FencingToken token = TokenOf(*cluster, holder, 0);
   ASSERT_TRUE(WaitForOneWatch(token));
   const auto marks = cluster->Marks();
   const auto killed = std::chrono::steady_clock::now();
@@ -174,7 +174,7 @@
   const auto cluster = Start();
   const std::size_t holder = WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4});
   ASSERT_LT(holder, 5u);
-  const fl::Token token = TokenOf(*cluster, holder, 0);
+  const fl::FencingToken token = TokenOf(*cluster, holder, 0);
   const auto marks = cluster->Marks();
   cluster->process(holder).Signal(SIGSTOP);
   const std::size_t next = WaitForHolder(*cluster, marks, Others(holder));
@@ -286,19 +286,19 @@
     Udp::endpoint from, to;
     fl::LeaseMessage message;
   };
-  struct Seat : fl::Leases::Outlet {
+  struct Seat : fl::Leases::Callbacks {
     void Send(const Udp::endpoint& to, const fl::LeaseMessage& message) override {
       table->posts.push_back({address, to, message});
     }
-    void OnRole(const std::string&, fl::Role role, fl::Token token, load_balancer::Span,
-                std::string_view) override {
-      if (role == fl::Role::kHolder) tokens.push_back(token);
+    void OnLeaseStatus(const std::string&, fl::LeaseStatus status, fl::FencingToken token,
+                       load_balancer::Span, std::string_view) override {
+      if (status == fl::LeaseStatus::kHolder) tokens.push_back(token);
     }
     void OnFailure(const load_balancer::Failure& failure) override { ADD_FAILURE() << failure.Text(); }
     Table* table = nullptr;
     Udp::endpoint address;
     std::unique_ptr<fl::Leases> leases;
-    std::vector<fl::Token> tokens;
+    std::vector<fl::FencingToken> tokens;
   };
   Table() {
     for (unsigned short i = 0; i < 3; ++i) Sit(i);
@@ -310,7 +310,7 @@
     options.holder = Cluster::Name(i) + "/" + std::to_string(now.time_since_epoch().count());
     options.address = seats[i].address;
     for (unsigned short v = 1; v <= 3; ++v) options.voters.emplace_back(kAnyPort.address(), v);
-    options.duties = {{"d", fl::DutyKind::kAvailable}};
+    options.leased_roles = {{"d", fl::LeasedRoleKind::kAvailable}};
     options.seed = i;
     seats[i].leases = std::make_unique<fl::Leases>(options, now, seats[i]);
   }
@@ -326,13 +326,13 @@
           seats[to].leases->Receive(now, post.from, post.message);
       }
       std::size_t holders = 0;
-      for (const Seat& seat : seats) holders += seat.leases->role(now, "d") == fl::Role::kHolder;
+      for (const Seat& seat : seats) holders += seat.leases->status(now, "d") == fl::LeaseStatus::kHolder;
       EXPECT_LE(holders, 1u);
     }
   }
   std::size_t Holder() const {
     for (std::size_t i = 0; i < 3; ++i)
-      if (seats[i].leases->role(now, "d") == fl::Role::kHolder) return i;
+      if (seats[i].leases->status(now, "d") == fl::LeaseStatus::kHolder) return i;
     return 3;
   }
 
@@ -348,12 +348,13 @@
   table.Run(milliseconds(3000));
   const std::size_t first = table.Holder();
   ASSERT_LT(first, 3u);
-  const fl::Token token = table.seats[first].tokens.back();
+  const fl::FencingToken token = table.seats[first].tokens.back();
   table.Run(milliseconds(12000));
   EXPECT_EQ(table.Holder(), first) << "renewed";
   EXPECT_EQ(table.seats[first].leases->token("d"), token);
   table.Run(milliseconds(10000), {first});
-  EXPECT_EQ(table.seats[first].leases->role(table.now, "d"), fl::Role::kWaiting) << "by the clock alone";
+  EXPECT_EQ(table.seats[first].leases->status(table.now, "d"), fl::LeaseStatus::kWaiting)
+      << "by the clock alone";
   const std::size_t second = table.Holder();
   ASSERT_LT(second, 3u);
   EXPECT_GT(table.seats[second].leases->token("d"), token);
@@ -369,9 +370,9 @@
   fl::Leases& leases = *table.seats[(first + 1) % 3].leases;
   // Two are cut off, and this one asks in vain, each time for a larger token.
   table.Run(milliseconds(9000), {first, (first + 2) % 3});
-  leases.Outgrow("d", 1u << 30);
-  leases.Hear(table.now, "d", "n9/1", table.seats[first].leases->token("d") + 1, milliseconds(1000));
-  EXPECT_EQ(leases.role(table.now, "d"), fl::Role::kFollower);
+  leases.RaiseLargestToken("d", 1u << 30);
+  leases.ObserveHolder(table.now, "d", "n9/1", table.seats[first].leases->token("d") + 1, milliseconds(1000));
+  EXPECT_EQ(leases.status(table.now, "d"), fl::LeaseStatus::kFollower);
 }
 
 TEST(Protocol, AHolderThatGivesUpIsFollowedAtOnceAndARestartedVoterKeepsStill) {
--- a/tests/fleet/payload_test.cpp
+++ b/tests/fleet/payload_test.cpp
@@ -64,15 +64,15 @@
     message.target_address = kLongestAddress;
     message.table = message.digest = message.sequence = ~0ull;
     if (message.kind == Message::Kind::kLease)
-      message.lease = fl::LeaseMessage{.duty = std::string(fl::kMostName, 'd'),
+      message.lease = fl::LeaseMessage{.lease_name = std::string(fl::kMostName, 'd'),
                                        .token = ~0ull,
                                        .holder = std::string(2 * fl::kMostName, 'h'),
-                                       .left_ms = ~0ull,
-                                       .asked = ~0ull,
-                                       .request = ~0ull,
+                                       .retry_after_ms = ~0ull,
+                                       .requested_token = ~0ull,
+                                       .request_number = ~0ull,
                                        .term_ms = ~0ull,
                                        .drift_ms = ~0ull,
-                                       .voters = ~0ull};
+                                       .voter_set_hash = ~0ull};
     if (message.kind == Message::Kind::kSync) {
       message.buckets = fl::Buckets(fl::kMostBuckets);
       message.slice = fl::Slice{fl::kMostBuckets, ~0u, ~0ull, ~0ull, true};
@@ -91,7 +91,7 @@
   void OnKey(const fl::KeySite&, fl::UnixMs) override {}
   void OnShare(int) override {}
   void OnJoined() override {}
-  void OnRole(const std::string&, fl::Role) override {}
+  void OnLeaseStatus(const std::string&, fl::LeaseStatus) override {}
   void OnDutyFact(const fl::DutyFact&) override {}
 };
 
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -189,7 +189,7 @@
     FederationOptions options = Options(1, 5);
     options.seeds = 5;
     options.fleet.lease_term = seconds(2);
-    options.duties = {{"treasurer", fleet::DutyKind::kExclusive}};
+    options.duties = {{"treasurer", fleet::LeasedRoleKind::kExclusive}};
     options.most_rate_error = 0.02;
     Federation federation(7, options);
     World& world = federation.world();
--- a/tests/spill/estimate_test.cpp
+++ b/tests/spill/estimate_test.cpp
@@ -79,7 +79,7 @@
 
 struct Lease {
   bool holds = true;
-  bool Holds(Time) const { return holds; }
+  bool IsValid(Time) const { return holds; }
   std::uint64_t token() const { return 9; }
 };
 
--- a/tests/spill/herd_test.cpp
+++ b/tests/spill/herd_test.cpp
@@ -17,7 +17,7 @@
 constexpr double kMostWork = 8;
 
 struct Lease {
-  bool Holds(Time) const { return true; }
+  bool IsValid(Time) const { return true; }
   std::uint64_t token() const { return 1; }
 };
 
