--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -42,7 +42,7 @@
               static_cast<fleet::StateGossip::MessageSender&>(*this)),
       allowance_(options_.section.max_bytes_per_second),
       allowed_at_(host.Now()),
-      membership_(MembershipOf(options_, host), host.Now(), static_cast<fleet::Membership::Outlet&>(*this)),
+      membership_(MembershipOf(options_, host), host.Now(), static_cast<fleet::Membership::Callbacks&>(*this)),
       votes_(host.Disk(), options_.pool, options_.section.seeds) {
   gossip_.Join(&membership_);
   if (options_.section.lease_term.count() > 0) StartLeases();
@@ -161,12 +161,12 @@
   return true;
 }
 
-void PoolMember::Changed(const fleet::Member& member, std::optional<fleet::MemberState> before,
+void PoolMember::OnMemberChanged(const fleet::Member& member, std::optional<fleet::MemberState> before,
                          std::string_view) {
   if (options_.observer) options_.observer->OnChanged(*this, member, before);
 }
 
-void PoolMember::Displaced(const Endpoint&) {
+void PoolMember::OnDisplaced(const Endpoint&) {
   if (leases_) leases_->Release(host_.Now());
 }
 
--- a/model/fleet/member.h
+++ b/model/fleet/member.h
@@ -50,7 +50,7 @@
   Observer* observer = nullptr;           // null: none; outlives the member
 };
 
-class PoolMember : private fleet::Membership::Outlet,
+class PoolMember : private fleet::Membership::Callbacks,
                    private fleet::SharedState::Host,
                    private fleet::StateGossip::MessageSender,
                    private fleet::Leases::Callbacks {
@@ -91,10 +91,10 @@
 
  private:
   void Send(const Endpoint& to, const fleet::Message& message) override;
-  void Changed(const fleet::Member& member, std::optional<fleet::MemberState> before,
+  void OnMemberChanged(const fleet::Member& member, std::optional<fleet::MemberState> before,
                std::string_view why) override;
-  void Stalled(Span) override {}
-  void Displaced(const Endpoint&) override;
+  void OnStalled(Span) override {}
+  void OnDisplaced(const Endpoint&) override;
 
   bool IsListed(const std::string&) const override { return true; }
   void OnAccepted(const fleet::Entry& entry) override;
--- a/model/system/mutants/never_refutes.sed
+++ b/model/system/mutants/never_refutes.sed
@@ -1,2 +1,2 @@
-# A member that is taken for dead says so of no newer incarnation.
-s/alive\.incarnation = over + 1/alive.incarnation = self_.last.incarnation + 0 * over/
+# A member that is considered dead refutes it with no newer incarnation.
+s/alive\.incarnation = refuted_incarnation + 1/alive.incarnation = self_.last.incarnation + 0 * refuted_incarnation/
--- a/src/fleet/lease/acquisition.h
+++ b/src/fleet/lease/acquisition.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// The acquisition of one lease under one fencing token, and its renewals: the requests that were sent and
 /// what each voter has answered.
 #ifndef LOAD_BALANCER_FLEET_LEASE_ACQUISITION_H_
--- a/src/fleet/lease/denial_reporter.h
+++ b/src/fleet/lease/denial_reporter.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// Turns denials that an operator has to resolve into failures, each reported once.
 #ifndef LOAD_BALANCER_FLEET_LEASE_DENIAL_REPORTER_H_
 #define LOAD_BALANCER_FLEET_LEASE_DENIAL_REPORTER_H_
--- a/src/fleet/lease/fencing.h
+++ b/src/fleet/lease/fencing.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// Fencing: the proof of a lease that every exclusive act takes, and the check that the protected resource
 /// makes of it. A process may stall between checking its lease and acting, so the resource checks again when
 /// the act arrives: the deadline where both share a clock, and everywhere that tokens never decrease
--- a/src/fleet/lease/fingerprint.h
+++ b/src/fleet/lease/fingerprint.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// The words from which the model checker hashes a state, so that it explores equal states once.
 #ifndef LOAD_BALANCER_FLEET_LEASE_FINGERPRINT_H_
 #define LOAD_BALANCER_FLEET_LEASE_FINGERPRINT_H_
--- a/src/fleet/lease/lease_state.h
+++ b/src/fleet/lease/lease_state.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// What a member knows of one lease, as its candidate, holder or follower.
 #ifndef LOAD_BALANCER_FLEET_LEASE_LEASE_STATE_H_
 #define LOAD_BALANCER_FLEET_LEASE_LEASE_STATE_H_
--- a/src/fleet/lease/leased_role.h
+++ b/src/fleet/lease/leased_role.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// Roles of which at most one member at a time has the lease. Logs, settings and operators' commands call
 /// them duties.
 #ifndef LOAD_BALANCER_FLEET_LEASE_LEASED_ROLE_H_
--- a/src/fleet/lease/leases.h
+++ b/src/fleet/lease/leases.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// Leases of roles that one member has at a time (Gray, Cheriton: "Leases: An Efficient Fault-Tolerant
 /// Mechanism for Distributed File Cache Consistency", 1989). A majority of voters grants each lease, with a
 /// fencing token that only grows. Owns no socket and no clock. docs/leases.md has the protocol, its bounds
--- a/src/fleet/lease/message.h
+++ b/src/fleet/lease/message.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// The messages of the lease protocol between candidates, lease holders and voters.
 #ifndef LOAD_BALANCER_FLEET_LEASE_MESSAGE_H_
 #define LOAD_BALANCER_FLEET_LEASE_MESSAGE_H_
--- a/src/fleet/lease/persisted_votes.h
+++ b/src/fleet/lease/persisted_votes.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// The persisted form of a voter's votes, and which of them bind it after the set of voters has changed.
 #ifndef LOAD_BALANCER_FLEET_LEASE_PERSISTED_VOTES_H_
 #define LOAD_BALANCER_FLEET_LEASE_PERSISTED_VOTES_H_
--- a/src/fleet/lease/timing.h
+++ b/src/fleet/lease/timing.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// Intervals of the lease protocol, as fractions and multiples of the lease term. docs/leases.md states the
 /// bounds that follow from them.
 #ifndef LOAD_BALANCER_FLEET_LEASE_TIMING_H_
--- a/src/fleet/lease/vote_file.h
+++ b/src/fleet/lease/vote_file.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// A voter's votes in a file, in the checked format of snapshots (docs/recovery.md).
 #ifndef LOAD_BALANCER_FLEET_LEASE_VOTE_FILE_H_
 #define LOAD_BALANCER_FLEET_LEASE_VOTE_FILE_H_
--- a/src/fleet/lease/voter.h
+++ b/src/fleet/lease/voter.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// The voter's side of leases: which requests it grants, and what of its votes survives a restart. Owns no
 /// clock and no file. docs/leases.md argues why two leases are never live at once.
 #ifndef LOAD_BALANCER_FLEET_LEASE_VOTER_H_
--- a/src/fleet/lease/voter_set.h
+++ b/src/fleet/lease/voter_set.h
@@ -1,5 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
-/// @file
+//
+/// \file
 /// A digest of the set of voters, by which members check that they have the same configuration.
 #ifndef LOAD_BALANCER_FLEET_LEASE_VOTER_SET_H_
 #define LOAD_BALANCER_FLEET_LEASE_VOTER_SET_H_
--- a/src/fleet/membership/callbacks.h
+++ b/src/fleet/membership/callbacks.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member as another one sees it, and what goes out of membership.
+/// \file
+/// The interface through which membership sends messages and reports changes.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_CALLBACKS_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_CALLBACKS_H_
 
@@ -8,31 +9,25 @@
 #include <string_view>
 
 #include "base/time.h"
+#include "fleet/membership/member.h"
 #include "fleet/wire/message.h"
 
 namespace load_balancer::fleet {
 
-struct Member {
-  Update last;   // the claim that holds
-  Time since{};  // of its state
-};
-
-inline bool Present(MemberState state) {
-  return state == MemberState::kAlive || state == MemberState::kSuspect;
-}
-
-// Called from within the calls of Membership, and must not call back.
-class MembershipOutlet {
+/// Called from within the functions of Membership; must not call back into it.
+class MembershipCallbacks {
  public:
-  virtual ~MembershipOutlet() = default;
+  virtual ~MembershipCallbacks() = default;
   virtual void Send(const Udp::endpoint& to, const Message& message) = 0;
-  // A member's state is new (this member's included); `before` is nothing for one that was not known, and
-  // `why` is one word or a name.
-  virtual void Changed(const Member& member, std::optional<MemberState> before, std::string_view why) = 0;
-  // This process stood still for so long.
-  virtual void Stalled(Span late) = 0;
-  // Another process has this one's name at a newer incarnation: this one is silent from now on.
-  virtual void Displaced(const Udp::endpoint& by) = 0;
+  /// A member's state or incarnation has changed; this member's, too. `before` is nothing for a member that
+  /// was unknown; `reason` is one word or the name of the member that reported it.
+  virtual void OnMemberChanged(const Member& member, std::optional<MemberState> before,
+                               std::string_view reason) = 0;
+  /// This process did not run for so long.
+  virtual void OnStalled(Span stalled_for) = 0;
+  /// A process with this one's name and a newer incarnation has joined from `address`. This member is silent
+  /// from now on.
+  virtual void OnDisplaced(const Udp::endpoint& address) = 0;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/membership/gossip_queue.cpp
+++ b/src/fleet/membership/gossip_queue.cpp
@@ -6,17 +6,21 @@
 
 namespace load_balancer::fleet {
 
-void News::PassOn(const std::string& receiver, int most, const std::function<bool(const Update&)>& take) {
-  std::vector<Item*> fresh;
-  for (auto& [name, item] : by_name_)
-    if (name != receiver) fresh.push_back(&item);
-  std::stable_sort(fresh.begin(), fresh.end(),
-                   [](const Item* a, const Item* b) { return a->transmits < b->transmits; });
-  for (Item* item : fresh) {
-    if (!take(item->update)) break;
-    ++item->transmits;
+void GossipQueue::Transmit(const std::string& receiver, int max_transmissions,
+                           const std::function<bool(const Update&)>& accept) {
+  std::vector<QueuedUpdate*> candidates;
+  for (auto& [name, queued] : by_member_)
+    if (name != receiver) candidates.push_back(&queued);
+  std::stable_sort(candidates.begin(), candidates.end(), [](const QueuedUpdate* a, const QueuedUpdate* b) {
+    return a->transmissions < b->transmissions;
+  });
+  for (QueuedUpdate* queued : candidates) {
+    if (!accept(queued->update)) break;
+    ++queued->transmissions;
   }
-  std::erase_if(by_name_, [most](const auto& entry) { return entry.second.transmits >= most; });
+  std::erase_if(by_member_, [max_transmissions](const auto& entry) {
+    return entry.second.transmissions >= max_transmissions;
+  });
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/membership/gossip_queue.h
+++ b/src/fleet/membership/gossip_queue.h
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Claims that a member passes on with whatever it sends, each so many times.
+/// \file
+/// SWIM's dissemination: updates that a member piggybacks on the messages it sends, each a bounded number of
+/// times.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_GOSSIP_QUEUE_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_GOSSIP_QUEUE_H_
 
@@ -12,21 +14,22 @@
 
 namespace load_balancer::fleet {
 
-class News {
+class GossipQueue {
  public:
-  // In place of what was to be said of the member before.
-  void Spread(const Update& update) { by_name_[update.name] = {update, 0}; }
-  // Offers what is not about `receiver`, what has been passed on least first, until `take` is false. What has
-  // then been passed on `most` times is dropped.
-  void PassOn(const std::string& receiver, int most, const std::function<bool(const Update&)>& take);
+  /// Queues an update in place of an earlier one about the same member.
+  void Add(const Update& update) { by_member_[update.name] = {update, 0}; }
+  /// Offers updates about other members than `receiver`, the least transmitted first, until `accept` returns
+  /// false, and counts those accepted as transmitted. Drops updates transmitted `max_transmissions` times.
+  void Transmit(const std::string& receiver, int max_transmissions,
+                const std::function<bool(const Update&)>& accept);
 
  private:
-  struct Item {
+  struct QueuedUpdate {
     Update update;
-    int transmits = 0;
+    int transmissions = 0;
   };
 
-  std::map<std::string, Item> by_name_;
+  std::map<std::string, QueuedUpdate> by_member_;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/membership/indirect_probes.cpp
+++ b/src/fleet/membership/indirect_probes.cpp
@@ -5,17 +5,17 @@
 
 namespace load_balancer::fleet {
 
-std::optional<Errand> Errands::End(std::uint64_t sequence) {
-  const auto found = open_.find(sequence);
-  if (found == open_.end()) return std::nullopt;
-  const Errand ended = found->second;
-  open_.erase(found);
-  return ended;
+std::optional<IndirectProbe> IndirectProbes::Finish(std::uint64_t sequence) {
+  const auto found = by_sequence_.find(sequence);
+  if (found == by_sequence_.end()) return std::nullopt;
+  const IndirectProbe finished = found->second;
+  by_sequence_.erase(found);
+  return finished;
 }
 
-std::vector<Errand> Errands::EndOverdue(Time now) {
-  std::vector<Errand> overdue;
-  std::erase_if(open_, [&](const auto& entry) {
+std::vector<IndirectProbe> IndirectProbes::FinishOverdue(Time now) {
+  std::vector<IndirectProbe> overdue;
+  std::erase_if(by_sequence_, [&](const auto& entry) {
     if (now < entry.second.nack_at) return false;
     overdue.push_back(entry.second);
     return true;
@@ -23,9 +23,9 @@
   return overdue;
 }
 
-Time Errands::Next() const {
+Time IndirectProbes::NextNack() const {
   Time next = Time::max();
-  for (const auto& [sequence, errand] : open_) next = std::min(next, errand.nack_at);
+  for (const auto& [sequence, probe] : by_sequence_) next = std::min(next, probe.nack_at);
   return next;
 }
 
--- a/src/fleet/membership/indirect_probes.h
+++ b/src/fleet/membership/indirect_probes.h
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Pings on behalf of other members: SWIM's indirect probes, and Lifeguard's nack for what is overdue.
+/// \file
+/// Probes that this member makes at the request of others: SWIM's ping-req, and Lifeguard's nack, which tells
+/// a requester that the target did not answer but this member did.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_INDIRECT_PROBES_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_INDIRECT_PROBES_H_
 
@@ -14,29 +16,29 @@
 
 namespace load_balancer::fleet {
 
-struct Errand {
+struct IndirectProbe {
   Udp::endpoint requester;
-  std::uint64_t sequence = 0;  // the requester's
+  std::uint64_t requester_sequence = 0;  ///< The number of the requester's probe, which the answer repeats.
   Time nack_at{};
 };
 
-class Errands {
+class IndirectProbes {
  public:
-  bool full() const { return open_.size() >= kMost; }
-  // `sequence` is this member's own.
-  void Begin(std::uint64_t sequence, const Errand& errand) { open_[sequence] = errand; }
-  // Ends it; nothing if there is none.
-  std::optional<Errand> End(std::uint64_t sequence);
-  // Ends those whose nack is due.
-  std::vector<Errand> EndOverdue(Time now);
-  void Clear() { open_.clear(); }
-  // When the next nack is due; Time::max(): there is none.
-  Time Next() const;
+  bool is_full() const { return by_sequence_.size() >= kMaxProbes; }
+  /// `sequence` numbers this member's own ping.
+  void Begin(std::uint64_t sequence, const IndirectProbe& probe) { by_sequence_[sequence] = probe; }
+  /// Removes and returns the probe with that ping; nothing if there is none.
+  std::optional<IndirectProbe> Finish(std::uint64_t sequence);
+  /// Removes and returns the probes whose nack is due.
+  std::vector<IndirectProbe> FinishOverdue(Time now);
+  void Clear() { by_sequence_.clear(); }
+  /// When the next nack is due; Time::max() if none will be.
+  Time NextNack() const;
 
  private:
-  static constexpr std::size_t kMost = 256;
+  static constexpr std::size_t kMaxProbes = 256;
 
-  std::map<std::uint64_t, Errand> open_;
+  std::map<std::uint64_t, IndirectProbe> by_sequence_;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/membership/local_health.h
+++ b/src/fleet/membership/local_health.h
@@ -1,6 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Lifeguard's local health: a member that hears little itself gives others more time.
+/// \file
+/// Lifeguard's local health multiplier (Dadgar, Phillips, Currey, 2018): a member that misses answers,
+/// perhaps by its own fault, gives others more time.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_LOCAL_HEALTH_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_LOCAL_HEALTH_H_
 
@@ -10,12 +12,14 @@
 
 namespace load_balancer::fleet {
 
-class Health {
+class LocalHealth {
  public:
-  void Worsen(int by) { score_ = std::min(kMostHealth, score_ + by); }
+  void Worsen(int by) { score_ = std::min(kMaxHealthScore, score_ + by); }
   void Improve() { score_ = std::max(0, score_ - 1); }
-  int score() const { return score_; }  // 0: well
-  Span Scaled(Span span) const { return span * (score_ + 1); }
+  /// From 0, healthy, to kMaxHealthScore.
+  int score() const { return score_; }
+  /// An interval or timeout lengthened by the score.
+  Span Scale(Span span) const { return span * (score_ + 1); }
 
  private:
   int score_ = 0;
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -8,104 +8,118 @@
 namespace {
 
 using Kind = Message::Kind;
+using SampleFrom = MemberTable::SampleFrom;
+using UpdateSource = MembershipView::UpdateSource;
 
-constexpr std::size_t kMostSeedsAsked = 16;  // at a time, while no other member is known
+constexpr std::size_t kMaxSeedsAsked = 16;  // at a time, while no other member is known
 
 }  // namespace
 
-Membership::Membership(MembershipOptions options, Time now, Outlet& outlet)
+Membership::Membership(MembershipOptions options, Time now, Callbacks& callbacks)
     : options_(std::move(options)),
-      outlet_(outlet),
+      callbacks_(callbacks),
       random_(options_.seed),
-      claims_(options_, now, outlet, health_),
-      mailer_(options_, claims_, outlet),
-      probes_(options_, now, claims_, mailer_, health_, random_),
+      view_(options_, now, callbacks, health_),
+      sender_(options_, view_, callbacks),
+      probes_(options_, now, view_, sender_, health_, random_),
       next_sync_(now + options_.sync_interval) {}
 
 Time Membership::Next() const {
-  if (claims_.silent()) return Time::max();
-  return std::min({next_sync_, probes_.Next(), claims_.suspicions().Next()});
+  if (view_.is_silent()) return Time::max();
+  return std::min({next_sync_, probes_.Next(), view_.suspicions().NextExpiry()});
 }
 
 void Membership::Tick(Time now) {
-  if (claims_.silent()) return;
-  AbsorbStall(now);
+  if (view_.is_silent()) return;
+  HandleStall(now);
   probes_.Continue(now);
-  claims_.EndSuspicions(now);
-  if (probes_.due(now)) {
+  view_.DeclareExpiredDead(now);
+  if (probes_.is_interval_over(now)) {
     probes_.End(now);
     if (present() == 1) Join();
     probes_.Begin(now);
-    claims_.Forget(now);
+    view_.ForgetAbsent(now);
   }
   if (now >= next_sync_) Sync(now);
 }
 
-// Whoever stood still has heard nobody, and must not blame others for it.
-void Membership::AbsorbStall(Time now) {
-  const Span late = now - Next();
-  if (late < options_.probe_interval) return;
+// A process that did not run has heard nobody and must not blame others for it.
+void Membership::HandleStall(Time now) {
+  const Span stalled_for = now - Next();
+  if (stalled_for < options_.probe_interval) return;
   probes_.Clear();
   probes_.Restart(now);
-  claims_.suspicions().Delay(late);
+  view_.suspicions().Postpone(stalled_for);
   health_.Worsen(1);
-  outlet_.Stalled(late);
+  callbacks_.OnStalled(stalled_for);
 }
 
-// With one that is present, for what got lost on the way; with one that is not, so that a cut that healed is
-// seen; and with a seed that is not known, as when both sides have forgotten each other.
+// With a present member, for updates that were lost; with a dead one, so that a healed partition is noticed;
+// and with an unknown seed, in case both sides of a partition have forgotten each other.
 void Membership::Sync(Time now) {
   next_sync_ = now + options_.sync_interval;
-  for (const bool present : {true, false})
-    for (const Member* member : claims_.table().Sample(1, present, "", random_))
-      mailer_.AskForTable(member->last.address);
+  SyncWithSample(SampleFrom::kPresent);
+  SyncWithSample(SampleFrom::kDead);
+  SyncWithUnknownSeed();
+}
+
+void Membership::SyncWithSample(SampleFrom from) {
+  for (const Member* member : view_.table().Sample(1, from, "", random_))
+    sender_.RequestTable(member->last.address);
+}
+
+void Membership::SyncWithUnknownSeed() {
   if (options_.seeds.empty()) return;
   const auto& seed = options_.seeds[random_() % options_.seeds.size()];
-  const bool known = std::any_of(others().begin(), others().end(), [&seed](const auto& other) {
-    return Present(other.second.last.state) && other.second.last.address == seed;
+  const bool is_known = std::any_of(others().begin(), others().end(), [&seed](const auto& other) {
+    return IsPresent(other.second.last.state) && other.second.last.address == seed;
   });
-  if (!known && seed != options_.address) mailer_.AskForTable(seed);
+  if (!is_known && seed != options_.address) sender_.RequestTable(seed);
 }
 
 void Membership::Join() {
   std::size_t asked = 0;
-  for (const auto& seed : options_.seeds)
-    if (seed != options_.address && ++asked <= kMostSeedsAsked) mailer_.AskForTable(seed);
+  for (const auto& seed : options_.seeds) {
+    if (seed == options_.address) continue;
+    if (++asked > kMaxSeedsAsked) return;
+    sender_.RequestTable(seed);
+  }
 }
 
-void Membership::Outlive(Time now, std::uint64_t incarnation) {
-  if (incarnation >= self().last.incarnation) claims_.Refute(now, incarnation);
+void Membership::RaiseIncarnation(Time now, std::uint64_t earlier_incarnation) {
+  if (earlier_incarnation >= self().last.incarnation) view_.Refute(now, earlier_incarnation);
 }
 
 void Membership::Leave(Time now) {
-  if (claims_.silent()) return;
-  claims_.Leave(now);
-  for (const Member* member : claims_.table().Sample(kLeaveFanout, true, "", random_))
-    mailer_.SendWithNews(member->last.address, member->last.name, mailer_.Make(Kind::kAck, 0));
+  if (view_.is_silent()) return;
+  view_.Leave(now);
+  for (const Member* member : view_.table().Sample(kLeaveFanout, SampleFrom::kPresent, "", random_))
+    sender_.SendWithGossip(member->last.address, member->last.name, sender_.MakeMessage(Kind::kAck, 0));
   probes_.Clear();
-  claims_.suspicions().Clear();
+  view_.suspicions().Clear();
 }
 
 void Membership::Rejoin(Time now) {
-  if (!claims_.silent() || claims_.displaced()) return;
-  claims_.Rejoin(now);
+  if (!view_.is_silent() || view_.is_displaced()) return;
+  view_.Rejoin(now);
   probes_.Restart(now);
   next_sync_ = now;
 }
 
 void Membership::Receive(Time now, const Message& message) {
-  if (claims_.silent()) return;
-  const std::uint64_t before = self().last.incarnation;
-  claims_.Apply(now, message.sender, message.sender.name, false);
+  if (view_.is_silent()) return;
+  const std::uint64_t incarnation_before = self().last.incarnation;
+  view_.Apply(now, message.sender, message.sender.name, UpdateSource::kGossip);
   if (message.sender.name == options_.name) return;
+  const UpdateSource source = message.kind == Kind::kSync ? UpdateSource::kTable : UpdateSource::kGossip;
   for (const Update& update : message.updates) {
-    if (claims_.silent()) return;
-    claims_.Apply(now, update, message.sender.name, message.kind == Kind::kSync);
+    if (view_.is_silent()) return;
+    view_.Apply(now, update, message.sender.name, source);
   }
-  if (claims_.silent()) return;
-  // Who accuses this member has the refutation at once; a ping's answer carries it anyway.
-  if (self().last.incarnation != before && message.kind != Kind::kPing)
-    mailer_.SendWithNews(message.sender.address, message.sender.name, mailer_.Make(Kind::kAck, 0));
+  if (view_.is_silent()) return;
+  // The accuser gets the refutation at once; the answer to a ping carries it anyway.
+  if (self().last.incarnation != incarnation_before && message.kind != Kind::kPing)
+    sender_.SendWithGossip(message.sender.address, message.sender.name, sender_.MakeMessage(Kind::kAck, 0));
   Dispatch(now, message);
 }
 
@@ -116,7 +130,7 @@
     case Kind::kPing:
       return probes_.OnPing(message);
     case Kind::kPingReq:
-      return probes_.OnPingReq(now, message);
+      return probes_.OnPingRequest(now, message);
     case Kind::kAck:
       return probes_.OnAck(message);
     case Kind::kNack:
@@ -132,18 +146,17 @@
 
 void Membership::OnSync(const Message& message) {
   if (!message.wants_reply) return;
-  if (message.range) return mailer_.SendLacking(message);
-  if (message.member_buckets)
-    return mailer_.SendUnlike(message.sender.address, *message.member_buckets, random_());
-  // Of an older member.
-  if (!message.updates.empty()) return mailer_.SendTable(message.sender.address, false);
-  if (message.member_digest != claims_.table().Digest(self().last))
-    mailer_.SendTable(message.sender.address, true);
+  const Udp::endpoint& from = message.sender.address;
+  if (message.range) return sender_.SendMissing(message);
+  if (message.member_buckets) return sender_.SendDifferences(from, *message.member_buckets, random_());
+  // A member of an older version sends its whole table, or the digest of it.
+  if (!message.updates.empty()) return sender_.SendTable(from, false);
+  if (message.member_digest != view_.table().Digest(self().last)) sender_.SendTable(from, true);
 }
 
-std::vector<Udp::endpoint> Membership::Sample(std::size_t most) {
+std::vector<Udp::endpoint> Membership::Sample(std::size_t max_count) {
   std::vector<Udp::endpoint> addresses;
-  for (const Member* member : claims_.table().Sample(most, true, "", random_))
+  for (const Member* member : view_.table().Sample(max_count, SampleFrom::kPresent, "", random_))
     addresses.push_back(member->last.address);
   return addresses;
 }
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -1,8 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Who is present: SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style Process Group
-// Membership Protocol", 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey, 2018). Owns no
-// socket and no clock: time and messages come in, messages and changes go out. Bounds are in docs/fleet.md.
+/// \file
+/// Membership of a fleet: SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style
+/// Process Group Membership Protocol", 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey:
+/// "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018). Owns no socket and no
+/// clock: time and messages come in, messages and changes go out. docs/fleet.md states the bounds.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBERSHIP_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBERSHIP_H_
 
@@ -22,46 +24,50 @@
 
 class Membership {
  public:
-  using Outlet = MembershipOutlet;
+  using Callbacks = MembershipCallbacks;
 
-  Membership(MembershipOptions options, Time now, Outlet& outlet);
+  /// `callbacks` must outlive this.
+  Membership(MembershipOptions options, Time now, Callbacks& callbacks);
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
   void Receive(Time now, const Message& message);
-  // What is due by now. To be called at Next() or soon after.
+  /// Does what is due. To be called at Next() or soon after.
   void Tick(Time now);
   Time Next() const;
 
-  // Raises this member's incarnation to at least this.
-  void Outlive(Time now, std::uint64_t incarnation);
-  // Announces that this member goes; it is silent from then on, but for Rejoin.
+  /// Raises this member's incarnation above one that it had in an earlier life of the process.
+  void RaiseIncarnation(Time now, std::uint64_t earlier_incarnation);
+  /// Announces that this member leaves. It is silent from then on, until Rejoin.
   void Leave(Time now);
   void Rejoin(Time now);
 
-  const Member& self() const { return claims_.self(); }
-  // By name, this member not among them.
-  const std::map<std::string, Member>& others() const { return claims_.table().all(); }
-  // Alive or suspect, this member included unless it has left.
-  std::size_t present() const { return claims_.present(); }
+  const Member& self() const { return view_.self(); }
+  /// The other members, by name.
+  const std::map<std::string, Member>& others() const { return view_.table().all(); }
+  /// The number of members that are alive or suspect, this one included unless it has left.
+  std::size_t present() const { return view_.CountPresent(); }
+  /// Lifeguard's local health score; 0 is healthy.
   int health() const { return health_.score(); }
   const MembershipOptions& options() const { return options_; }
-  // Up to `most` other members that are present, at random.
-  std::vector<Udp::endpoint> Sample(std::size_t most);
+  /// Addresses of up to `max_count` other members that are present, at random.
+  std::vector<Udp::endpoint> Sample(std::size_t max_count);
 
  private:
-  void AbsorbStall(Time now);
+  void HandleStall(Time now);
   void Dispatch(Time now, const Message& message);
   void OnSync(const Message& message);
   void Sync(Time now);
+  void SyncWithSample(MemberTable::SampleFrom from);
+  void SyncWithUnknownSeed();
   void Join();
 
   const MembershipOptions options_;
-  Outlet& outlet_;
+  Callbacks& callbacks_;
   std::mt19937_64 random_;
-  Health health_;
-  Claims claims_;
-  Mailer mailer_;
+  LocalHealth health_;
+  MembershipView view_;
+  MessageSender sender_;
   Probes probes_;
   Time next_sync_;
 };
--- a/src/fleet/membership/probes.cpp
+++ b/src/fleet/membership/probes.cpp
@@ -9,129 +9,142 @@
 
 using Kind = Message::Kind;
 
-constexpr std::size_t kMostSuspectsAsked = 8;  // beside the probe's own target, per interval
-constexpr std::size_t kAskedByFleet = 8;       // pings that a suspect gets per interval, in the mean
+constexpr std::size_t kMaxSuspectsPinged = 8;  // by each member per interval, beside its target
+constexpr std::size_t kPingsPerSuspect = 8;    // from the whole fleet per interval, in the mean
+constexpr int kMaxRefills = 2;                 // of the round, in the search for a target
 
 }  // namespace
 
 Time Probes::Next() const {
-  Time next = std::min(next_, errands_.Next());
-  if (probe_ && !probe_->acked)
-    next = std::min(next, probe_->asked_others ? probe_->ends_at : probe_->indirect_at);
+  Time next = std::min(next_interval_, indirect_probes_.NextNack());
+  if (probe_ && !probe_->is_acked)
+    next = std::min(next, probe_->is_indirect ? probe_->ends_at : probe_->indirect_at);
   return next;
 }
 
 void Probes::Continue(Time now) {
-  if (probe_ && !probe_->acked && !probe_->asked_others && now >= probe_->indirect_at) AskOthers();
-  for (const Errand& overdue : errands_.EndOverdue(now))
-    mailer_.Send(overdue.requester, mailer_.Make(Kind::kNack, overdue.sequence));
+  const bool is_unanswered = probe_ && !probe_->is_acked && !probe_->is_indirect;
+  if (is_unanswered && now >= probe_->indirect_at) RequestIndirectProbes();
+  for (const IndirectProbe& overdue : indirect_probes_.FinishOverdue(now))
+    sender_.Send(overdue.requester, sender_.MakeMessage(Kind::kNack, overdue.requester_sequence));
 }
 
 void Probes::End(Time now) {
   if (!probe_) return;
   const Probe ended = *std::exchange(probe_, std::nullopt);
-  const Member* target = claims_.table().Find(ended.target);
-  if (ended.acked || !target || !Present(target->last.state)) return;
-  health_.Worsen(SilentHelpers(ended));
-  claims_.Suspect(now, ended.target, options_.name);
+  const Member* target = view_.table().Find(ended.target);
+  if (ended.is_acked || !target || !IsPresent(target->last.state)) return;
+  health_.Worsen(HealthPenalty(ended));
+  view_.Suspect(now, ended.target, options_.name);
 }
 
-// A helper that says nothing speaks against this member's own health, unless it may be gone itself; without
-// helpers the failure does.
-int Probes::SilentHelpers(const Probe& probe) const {
-  if (!probe.had_helpers) return 1;
-  return static_cast<int>(std::count_if(probe.helpers.begin(), probe.helpers.end(), [this](const auto& name) {
-    const Member* helper = claims_.table().Find(name);
+// Lifeguard: a helper that sends not even a nack speaks against this member's own health, unless the helper
+// may have failed itself. Without helpers the failed probe does.
+int Probes::HealthPenalty(const Probe& failed) const {
+  if (!failed.had_helpers) return 1;
+  const auto is_alive = [this](const std::string& name) {
+    const Member* helper = view_.table().Find(name);
     return helper && helper->last.state == MemberState::kAlive;
-  }));
+  };
+  return static_cast<int>(
+      std::count_if(failed.silent_helpers.begin(), failed.silent_helpers.end(), is_alive));
 }
 
 void Probes::Begin(Time now) {
-  next_ = now + health_.Scaled(options_.probe_interval);
+  const Span interval = health_.Scale(options_.probe_interval);
+  next_interval_ = now + interval;
   PingSuspects();
   const auto target = NextTarget();
   if (!target) return;
-  probe_ = Probe{*target, ++last_sequence_, now + health_.Scaled(options_.probe_interval) / 2, next_};
-  mailer_.Ping(claims_.table().Find(*target)->last, probe_->sequence);
+  probe_ = Probe{*target, ++last_sequence_, now + interval / 2, next_interval_};
+  sender_.SendPing(view_.table().Find(*target)->last, probe_->sequence);
 }
 
-// The direct way once more, and others' ways.
-void Probes::AskOthers() {
-  probe_->asked_others = true;
-  const Member* target = claims_.table().Find(probe_->target);
+// Pings the target once more as well.
+void Probes::RequestIndirectProbes() {
+  probe_->is_indirect = true;
+  const Member* target = view_.table().Find(probe_->target);
   if (!target) return;
-  mailer_.Ping(target->last, probe_->sequence);
-  const auto helpers = claims_.table().Sample(static_cast<std::size_t>(options_.indirect_probes), true,
-                                              probe_->target, random_);
+  sender_.SendPing(target->last, probe_->sequence);
+  const auto max_helpers = static_cast<std::size_t>(options_.indirect_probes);
+  const auto helpers =
+      view_.table().Sample(max_helpers, MemberTable::SampleFrom::kPresent, probe_->target, random_);
   probe_->had_helpers = !helpers.empty();
   for (const Member* helper : helpers) {
-    probe_->helpers.insert(helper->last.name);
-    Message message = mailer_.Make(Kind::kPingReq, probe_->sequence);
+    probe_->silent_helpers.insert(helper->last.name);
+    Message message = sender_.MakeMessage(Kind::kPingReq, probe_->sequence);
     message.target = probe_->target;
     message.target_address = target->last.address;
-    mailer_.SendWithNews(helper->last.address, helper->last.name, std::move(message));
+    sender_.SendWithGossip(helper->last.address, helper->last.name, std::move(message));
   }
 }
 
-// Each ping tells the suspect what it is accused of, and brings its refutation back. All members hold the
-// suspicion: some of them ask, not each.
+// Each ping tells the suspect of its suspicion and brings back its refutation. All members hold the
+// suspicion, so each pings with a probability that bounds the pings of the whole fleet.
 void Probes::PingSuspects() {
-  std::uniform_int_distribution<std::size_t> one_of(0, claims_.present() - 1);
-  for (const std::string& name : claims_.suspicions().First(kMostSuspectsAsked))
-    if (one_of(random_) < kAskedByFleet) mailer_.Ping(claims_.table().Find(name)->last, ++last_sequence_);
+  std::uniform_int_distribution<std::size_t> any_member(0, view_.CountPresent() - 1);
+  for (const std::string& name : view_.suspicions().FirstSuspects(kMaxSuspectsPinged))
+    if (any_member(random_) < kPingsPerSuspect)
+      sender_.SendPing(view_.table().Find(name)->last, ++last_sequence_);
 }
 
-// Round the members in an order that is shuffled anew for each round: within 2n - 1 probes each one's turn
-// comes.
+// Goes round the members in an order that is shuffled for each round (SWIM, section 4.3), so that each member
+// is probed within 2n - 1 intervals.
 std::optional<std::string> Probes::NextTarget() {
-  const MemberTable& table = claims_.table();
-  for (int refilled = 0; refilled < 2;) {
+  for (int refills = 0; refills < kMaxRefills;) {
     if (round_.empty()) {
-      ++refilled;
-      for (const auto& [name, member] : table.all())
-        if (Present(member.last.state)) round_.push_back(name);
-      std::shuffle(round_.begin(), round_.end(), random_);
+      ++refills;
+      RefillRound();
       if (round_.empty()) return std::nullopt;
     }
     std::string name = std::move(round_.back());
     round_.pop_back();
-    const Member* found = table.Find(name);
-    if (found && Present(found->last.state)) return name;
+    const Member* member = view_.table().Find(name);
+    if (member && IsPresent(member->last.state)) return name;
   }
   return std::nullopt;
 }
 
+void Probes::RefillRound() {
+  for (const auto& [name, member] : view_.table().all())
+    if (IsPresent(member.last.state)) round_.push_back(name);
+  std::shuffle(round_.begin(), round_.end(), random_);
+}
+
 void Probes::OnPing(const Message& message) {
-  if (message.target != options_.name) return;  // who had this address before
-  mailer_.SendWithNews(message.sender.address, message.sender.name,
-                       mailer_.Make(Kind::kAck, message.sequence));
+  // Meant for a process that had this address before.
+  if (message.target != options_.name) return;
+  sender_.SendWithGossip(message.sender.address, message.sender.name,
+                         sender_.MakeMessage(Kind::kAck, message.sequence));
 }
 
-void Probes::OnPingReq(Time now, const Message& message) {
-  if (message.target == options_.name || errands_.full()) return;
-  errands_.Begin(++last_sequence_,
-                 {message.sender.address, message.sequence, now + options_.probe_interval * 2 / 5});
+void Probes::OnPingRequest(Time now, const Message& message) {
+  if (message.target == options_.name || indirect_probes_.is_full()) return;
+  const Time nack_at = now + options_.probe_interval * 2 / 5;
+  ++last_sequence_;
+  indirect_probes_.Begin(last_sequence_, {message.sender.address, message.sequence, nack_at});
   Update target;
   target.name = message.target;
   target.address = message.target_address;
-  mailer_.Ping(target, last_sequence_);
+  sender_.SendPing(target, last_sequence_);
 }
 
 void Probes::OnAck(const Message& message) {
-  if (const auto done = errands_.End(message.sequence))
-    mailer_.SendWithNews(done->requester, "", mailer_.Make(Kind::kAck, done->sequence));
-  if (!probe_ || probe_->sequence != message.sequence || probe_->acked) return;
-  probe_->acked = true;
+  if (const auto finished = indirect_probes_.Finish(message.sequence))
+    sender_.SendWithGossip(finished->requester, "",
+                           sender_.MakeMessage(Kind::kAck, finished->requester_sequence));
+  if (!probe_ || probe_->sequence != message.sequence || probe_->is_acked) return;
+  probe_->is_acked = true;
   health_.Improve();
 }
 
 void Probes::OnNack(const Message& message) {
-  if (probe_ && probe_->sequence == message.sequence) probe_->helpers.erase(message.sender.name);
+  if (probe_ && probe_->sequence == message.sequence) probe_->silent_helpers.erase(message.sender.name);
 }
 
 void Probes::Clear() {
   probe_.reset();
-  errands_.Clear();
+  indirect_probes_.Clear();
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/membership/probes.h
+++ b/src/fleet/membership/probes.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// SWIM's probes: each interval one member, directly and then by way of others; and the pings that others ask
-// this member for.
+/// \file
+/// SWIM's failure detector: in each interval one member is pinged, directly and then through other members.
+/// Answers the pings of others and makes the indirect ones that they request.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_PROBES_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_PROBES_H_
 
@@ -19,53 +20,64 @@
 
 class Probes {
  public:
-  // All of these outlive this.
-  Probes(const MembershipOptions& options, Time now, Claims& claims, Mailer& mailer, Health& health,
-         std::mt19937_64& random)
-      : options_(options), claims_(claims), mailer_(mailer), health_(health), random_(random), next_(now) {}
+  /// All arguments but `now` must outlive this.
+  Probes(const MembershipOptions& options, Time now, MembershipView& view, MessageSender& sender,
+         LocalHealth& health, std::mt19937_64& random)
+      : options_(options),
+        view_(view),
+        sender_(sender),
+        health_(health),
+        random_(random),
+        next_interval_(now) {}
 
-  // Others' ways to a target that has not answered, and the nacks that are due.
+  /// Requests indirect probes of a target that has not answered, and sends the nacks that are due.
   void Continue(Time now);
-  // Whether an interval is over: then End and Begin are to be called.
-  bool due(Time now) const { return now >= next_; }
+  /// Whether an interval is over. Then End and Begin are to be called.
+  bool is_interval_over(Time now) const { return now >= next_interval_; }
+  /// Ends the probe of the interval, and suspects its target if it has not answered.
   void End(Time now);
+  /// Begins an interval with a ping of the next target.
   void Begin(Time now);
-  // When something is due next.
+  /// When something is due next.
   Time Next() const;
 
   void OnPing(const Message& message);
-  void OnPingReq(Time now, const Message& message);
+  void OnPingRequest(Time now, const Message& message);
   void OnAck(const Message& message);
   void OnNack(const Message& message);
 
-  // Gives up what is under way; Restart begins an interval.
+  /// Abandons all probes. Restart begins an interval.
   void Clear();
-  void Restart(Time now) { next_ = now; }
+  void Restart(Time now) { next_interval_ = now; }
 
  private:
   struct Probe {
     std::string target;
     std::uint64_t sequence = 0;
-    Time indirect_at{}, ends_at{};
-    bool acked = false, asked_others = false, had_helpers = false;
-    std::set<std::string> helpers{};  // that were asked and have not answered
+    Time indirect_at{};
+    Time ends_at{};
+    bool is_acked = false;
+    bool is_indirect = false;  // helpers were looked for
+    bool had_helpers = false;
+    std::set<std::string> silent_helpers{};  // that were asked to ping and have sent no nack
   };
 
-  void AskOthers();
-  int SilentHelpers(const Probe& probe) const;
+  void RequestIndirectProbes();
+  int HealthPenalty(const Probe& failed) const;
   void PingSuspects();
   std::optional<std::string> NextTarget();
+  void RefillRound();
 
   const MembershipOptions& options_;
-  Claims& claims_;
-  Mailer& mailer_;
-  Health& health_;
+  MembershipView& view_;
+  MessageSender& sender_;
+  LocalHealth& health_;
   std::mt19937_64& random_;
-  Errands errands_;
-  std::vector<std::string> round_;  // whom to probe yet, from the back
+  IndirectProbes indirect_probes_;
+  std::vector<std::string> round_;  // targets left in this round, taken from the back
   std::optional<Probe> probe_;
   std::uint64_t last_sequence_ = 0;
-  Time next_;
+  Time next_interval_;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/membership/suspicions.cpp
+++ b/src/fleet/membership/suspicions.cpp
@@ -7,65 +7,68 @@
 namespace load_balancer::fleet {
 namespace {
 
-// From the longest towards the shortest with each confirmation.
-Span Lasts(Span shortest, Span longest, int wanted, int confirmed) {
-  if (wanted <= 0) return shortest;
-  const double share = std::log(confirmed + 1.0) / std::log(wanted + 1.0);
-  const auto span = longest - std::chrono::duration_cast<Span>((longest - shortest) * share);
-  return std::max(span, shortest);
+// Lifeguard's timeout: from the longest towards the shortest, by the logarithm of the confirmations.
+Span TimeoutAfter(int confirmations, int wanted_confirmations, Span min_timeout, Span max_timeout) {
+  if (wanted_confirmations <= 0) return min_timeout;
+  const double fraction = std::log(confirmations + 1.0) / std::log(wanted_confirmations + 1.0);
+  const auto timeout = max_timeout - std::chrono::duration_cast<Span>((max_timeout - min_timeout) * fraction);
+  return std::max(timeout, min_timeout);
 }
 
 }  // namespace
 
-void Suspicions::Begin(Time now, const Update& update, Span shortest, std::size_t present) {
+void Suspicions::Begin(Time now, const Update& update, Span min_timeout, std::size_t present_members) {
   Suspicion suspicion;
-  suspicion.began = now;
-  suspicion.shortest = shortest;
-  suspicion.longest = shortest * kLongestSuspicion;
-  // Those who could confirm: neither the suspect nor the accuser.
-  suspicion.wanted = std::min(kConfirmations, static_cast<int>(present) - 2);
+  suspicion.began_at = now;
+  suspicion.min_timeout = min_timeout;
+  suspicion.max_timeout = min_timeout * kSuspicionTimeoutRatio;
+  // All but the suspect and its accuser could confirm.
+  suspicion.wanted_confirmations = std::min(kMaxConfirmations, static_cast<int>(present_members) - 2);
   suspicion.accusers.insert(update.accuser);
-  suspicion.ends = now + Lasts(suspicion.shortest, suspicion.longest, suspicion.wanted, 0);
-  open_[update.name] = std::move(suspicion);
+  suspicion.expires_at =
+      now + TimeoutAfter(0, suspicion.wanted_confirmations, suspicion.min_timeout, suspicion.max_timeout);
+  by_member_[update.name] = std::move(suspicion);
 }
 
 bool Suspicions::Confirm(const Update& update) {
-  const auto found = open_.find(update.name);
-  if (found == open_.end()) return false;
+  const auto found = by_member_.find(update.name);
+  if (found == by_member_.end()) return false;
   Suspicion& suspicion = found->second;
-  const int confirmed = static_cast<int>(suspicion.accusers.size()) - 1;
-  if (confirmed >= suspicion.wanted || !suspicion.accusers.insert(update.accuser).second) return false;
-  suspicion.ends =
-      suspicion.began + Lasts(suspicion.shortest, suspicion.longest, suspicion.wanted, confirmed + 1);
+  const int confirmations = static_cast<int>(suspicion.accusers.size()) - 1;
+  if (confirmations >= suspicion.wanted_confirmations) return false;
+  const bool is_new_accuser = suspicion.accusers.insert(update.accuser).second;
+  if (!is_new_accuser) return false;
+  suspicion.expires_at = suspicion.began_at + TimeoutAfter(confirmations + 1, suspicion.wanted_confirmations,
+                                                           suspicion.min_timeout, suspicion.max_timeout);
   return true;
 }
 
-void Suspicions::Delay(Span late) {
-  for (auto& [name, suspicion] : open_) {
-    suspicion.began += late;
-    suspicion.ends += late;
+void Suspicions::Postpone(Span stalled_for) {
+  for (auto& [name, suspicion] : by_member_) {
+    suspicion.began_at += stalled_for;
+    suspicion.expires_at += stalled_for;
   }
 }
 
-std::vector<std::string> Suspicions::First(std::size_t most) const {
+std::vector<std::string> Suspicions::FirstSuspects(std::size_t max_count) const {
   std::vector<std::string> names;
-  for (const auto& [name, suspicion] : open_) {
-    if (names.size() >= most) break;
+  for (const auto& [name, suspicion] : by_member_) {
+    if (names.size() >= max_count) break;
     names.push_back(name);
   }
   return names;
 }
 
-std::vector<std::string> Suspicions::Over(Time now) const {
+std::vector<std::string> Suspicions::ExpiredSuspects(Time now) const {
   std::vector<std::string> names;
-  for (const auto& [name, suspicion] : open_)
-    if (now >= suspicion.ends) names.push_back(name);
+  for (const auto& [name, suspicion] : by_member_)
+    if (now >= suspicion.expires_at) names.push_back(name);
   return names;
 }
 
-Time Suspicions::Next() const {
+Time Suspicions::NextExpiry() const {
   Time next = Time::max();
-  for (const auto& [name, suspicion] : open_) next = std::min(next, suspicion.ends);
+  for (const auto& [name, suspicion] : by_member_) next = std::min(next, suspicion.expires_at);
   return next;
 }
 
--- a/src/fleet/membership/table.cpp
+++ b/src/fleet/membership/table.cpp
@@ -13,6 +13,10 @@
   return XXH64(update.name.data(), update.name.size(), update.incarnation);
 }
 
+bool IsSampled(MemberState state, MemberTable::SampleFrom from) {
+  return from == MemberTable::SampleFrom::kPresent ? IsPresent(state) : state == MemberState::kDead;
+}
+
 }  // namespace
 
 Member* MemberTable::Find(const std::string& name) {
@@ -27,44 +31,43 @@
 
 Member& MemberTable::Add(const Update& update, Time now) { return members_[update.name] = {update, now}; }
 
-std::size_t MemberTable::present() const {
+std::size_t MemberTable::CountPresent() const {
   const auto count = std::count_if(members_.begin(), members_.end(),
-                                   [](const auto& each) { return Present(each.second.last.state); });
+                                   [](const auto& entry) { return IsPresent(entry.second.last.state); });
   return static_cast<std::size_t>(count);
 }
 
-std::vector<const Member*> MemberTable::Sample(std::size_t most, bool present, const std::string& but,
-                                               std::mt19937_64& random) const {
-  std::vector<const Member*> all, some;
-  for (const auto& [name, member] : members_) {
-    const bool fits = present ? Present(member.last.state) : member.last.state == MemberState::kDead;
-    if (fits && name != but) all.push_back(&member);
-  }
-  std::sample(all.begin(), all.end(), std::back_inserter(some), most, random);
-  return some;
+std::vector<const Member*> MemberTable::Sample(std::size_t max_count, SampleFrom from,
+                                               const std::string& excluded, std::mt19937_64& random) const {
+  std::vector<const Member*> candidates;
+  for (const auto& [name, member] : members_)
+    if (IsSampled(member.last.state, from) && name != excluded) candidates.push_back(&member);
+  std::vector<const Member*> sample;
+  std::sample(candidates.begin(), candidates.end(), std::back_inserter(sample), max_count, random);
+  return sample;
 }
 
 std::uint64_t MemberTable::Digest(const Update& self) const {
-  // A sum: the same in whatever order.
+  // A sum, so that the order of members does not matter.
   std::uint64_t digest = HashContent(self);
   for (const auto& [name, member] : members_)
-    if (Present(member.last.state)) digest += HashContent(member.last);
+    if (IsPresent(member.last.state)) digest += HashContent(member.last);
   return digest;
 }
 
-BucketDigests MemberTable::Digests(const Update& self, std::size_t count) const {
+BucketDigests MemberTable::DigestByBucket(const Update& self, std::size_t count) const {
   BucketDigests digests(count);
   digests.Add(HashOf(self.name), HashContent(self));
   for (const auto& [name, member] : members_)
-    if (Present(member.last.state)) digests.Add(HashOf(name), HashContent(member.last));
+    if (IsPresent(member.last.state)) digests.Add(HashOf(name), HashContent(member.last));
   return digests;
 }
 
 std::uint64_t MemberTable::HashOf(const std::string& name) { return XXH64(name.data(), name.size(), 0); }
 
 void MemberTable::Forget(Time now, Span after) {
-  std::erase_if(members_, [&](const auto& each) {
-    return !Present(each.second.last.state) && now - each.second.since >= after;
+  std::erase_if(members_, [&](const auto& entry) {
+    return !IsPresent(entry.second.last.state) && now - entry.second.since >= after;
   });
 }
 
--- a/src/fleet/membership/view.cpp
+++ b/src/fleet/membership/view.cpp
@@ -7,111 +7,117 @@
 
 using State = MemberState;
 
-Claims::Claims(const MembershipOptions& options, Time now, MembershipOutlet& outlet, Health& health)
-    : options_(options), outlet_(outlet), health_(health) {
+MembershipView::MembershipView(const MembershipOptions& options, Time now, MembershipCallbacks& callbacks,
+                               LocalHealth& health)
+    : options_(options), callbacks_(callbacks), health_(health) {
   self_.last = {options_.name, options_.address, State::kAlive, options_.incarnation, ""};
   self_.since = now;
-  news_.Spread(self_.last);
+  gossip_.Add(self_.last);
 }
 
-void Claims::Apply(Time now, Update update, std::string_view from, bool of_table) {
+void MembershipView::Apply(Time now, Update update, std::string_view sender, UpdateSource source) {
   if (update.name == options_.name) return ApplyToSelf(now, update);
   Member* member = table_.Find(update.name);
-  if (!member) return ApplyNew(now, update, from);
-  if (of_table && update.state == State::kDead && Present(member->last.state)) {
+  if (!member) return ApplyToUnknown(now, update, sender);
+  const Update& current = member->last;
+  if (source == UpdateSource::kTable && update.state == State::kDead && IsPresent(current.state)) {
     update.state = State::kSuspect;
-    update.accuser = from;
+    update.accuser = sender;
   }
-  if (update.state == State::kSuspect && member->last.state == State::kSuspect &&
-      update.incarnation == member->last.incarnation)
-    return Confirm(update);
-  if (Overrides(update, member->last)) Set(now, *member, update, from);
+  const bool are_both_suspicions = update.state == State::kSuspect && current.state == State::kSuspect;
+  if (are_both_suspicions && update.incarnation == current.incarnation) return ConfirmSuspicion(update);
+  if (Overrides(update, current)) SetUpdate(now, *member, update, sender);
 }
 
-// Those that are gone are not learnt of: two members would remind each other of them for ever.
-void Claims::ApplyNew(Time now, const Update& update, std::string_view why) {
-  if (!Present(update.state) || table_.full()) return;
-  outlet_.Changed(table_.Add(update, now), std::nullopt, why);
-  news_.Spread(update);
+// Absent members are not added: two members would remind each other of them for ever.
+void MembershipView::ApplyToUnknown(Time now, const Update& update, std::string_view reason) {
+  if (!IsPresent(update.state) || table_.is_full()) return;
+  callbacks_.OnMemberChanged(table_.Add(update, now), std::nullopt, reason);
+  gossip_.Add(update);
   if (update.state == State::kSuspect) BeginSuspicion(now, update);
 }
 
-void Claims::ApplyToSelf(Time now, const Update& update) {
+void MembershipView::ApplyToSelf(Time now, const Update& update) {
   if (update.incarnation < self_.last.incarnation) return;
-  if (update.state == State::kAlive) {
-    if (update.incarnation == self_.last.incarnation && update.address == self_.last.address) return;
-    if (update.address != self_.last.address && update.incarnation > self_.last.incarnation) {
-      silent_ = displaced_ = true;
-      suspicions_.Clear();
-      return outlet_.Displaced(update.address);
-    }
-  } else {
+  if (update.state != State::kAlive) {
     health_.Worsen(1);
+    return Refute(now, update.incarnation);
+  }
+  const bool is_newer = update.incarnation > self_.last.incarnation;
+  const bool is_own_address = update.address == self_.last.address;
+  if (!is_newer && is_own_address) return;
+  if (is_newer && !is_own_address) {
+    is_silent_ = true;
+    is_displaced_ = true;
+    suspicions_.Clear();
+    return callbacks_.OnDisplaced(update.address);
   }
   Refute(now, update.incarnation);
 }
 
-void Claims::Refute(Time now, std::uint64_t over) {
+void MembershipView::Refute(Time now, std::uint64_t refuted_incarnation) {
   Update alive = self_.last;
   alive.state = State::kAlive;
-  alive.incarnation = over + 1;
-  Set(now, self_, alive, "refuting");
+  alive.incarnation = refuted_incarnation + 1;
+  SetUpdate(now, self_, alive, "refuting");
 }
 
-void Claims::Set(Time now, Member& member, const Update& update, std::string_view why) {
+void MembershipView::SetUpdate(Time now, Member& member, const Update& update, std::string_view reason) {
   const State before = member.last.state;
-  const bool renewed = update.incarnation != member.last.incarnation;
+  const bool is_new_incarnation = update.incarnation != member.last.incarnation;
   member.last = update;
-  if (before != update.state || renewed) {
+  if (before != update.state || is_new_incarnation) {
     member.since = now;
-    outlet_.Changed(member, before, why);
+    callbacks_.OnMemberChanged(member, before, reason);
   }
-  news_.Spread(update);
+  gossip_.Add(update);
   suspicions_.End(update.name);
   if (update.state == State::kSuspect) BeginSuspicion(now, update);
 }
 
-void Claims::Suspect(Time now, const std::string& name, const std::string& accuser) {
+void MembershipView::Suspect(Time now, const std::string& name, const std::string& accuser) {
   Member* member = table_.Find(name);
-  if (!member || !Present(member->last.state)) return;
+  if (!member || !IsPresent(member->last.state)) return;
   Update update = member->last;
   update.state = State::kSuspect;
   update.accuser = accuser;
-  if (member->last.state == State::kSuspect) return Confirm(update);
-  Set(now, *member, update, accuser);
+  if (member->last.state == State::kSuspect) return ConfirmSuspicion(update);
+  SetUpdate(now, *member, update, accuser);
 }
 
-void Claims::BeginSuspicion(Time now, const Update& update) {
-  suspicions_.Begin(now, update, ShortestSuspicion(options_, present()), present());
+void MembershipView::BeginSuspicion(Time now, const Update& update) {
+  const std::size_t present = CountPresent();
+  suspicions_.Begin(now, update, MinSuspicionTimeout(options_, present), present);
 }
 
-void Claims::Confirm(const Update& update) {
-  if (suspicions_.Confirm(update)) news_.Spread(update);  // so that the others count this accuser, too
+// A confirmation is gossiped so that the others count its accuser, too.
+void MembershipView::ConfirmSuspicion(const Update& update) {
+  if (suspicions_.Confirm(update)) gossip_.Add(update);
 }
 
-void Claims::EndSuspicions(Time now) {
-  for (const std::string& name : suspicions_.Over(now)) {
+void MembershipView::DeclareExpiredDead(Time now) {
+  for (const std::string& name : suspicions_.ExpiredSuspects(now)) {
     Member& member = *table_.Find(name);
     Update dead = member.last;
     dead.state = State::kDead;
     dead.accuser.clear();
-    Set(now, member, dead, "unrefuted");
+    SetUpdate(now, member, dead, "unrefuted");
   }
 }
 
-void Claims::Leave(Time now) {
+void MembershipView::Leave(Time now) {
   Update left = self_.last;
   left.state = State::kLeft;
-  Set(now, self_, left, "leaving");
-  silent_ = true;
+  SetUpdate(now, self_, left, "leaving");
+  is_silent_ = true;
 }
 
-void Claims::Rejoin(Time now) {
-  silent_ = false;
-  Update back = self_.last;
-  back.state = State::kAlive;
-  ++back.incarnation;
-  Set(now, self_, back, "rejoining");
+void MembershipView::Rejoin(Time now) {
+  is_silent_ = false;
+  Update alive = self_.last;
+  alive.state = State::kAlive;
+  ++alive.incarnation;
+  SetUpdate(now, self_, alive, "rejoining");
   for (const auto& [name, member] : table_.all())
     if (member.last.state == State::kSuspect) BeginSuspicion(now, member.last);
 }
--- a/src/fleet/membership/view.h
+++ b/src/fleet/membership/view.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which claim about each member holds, this member included: SWIM's order of claims, suspicions and their
-// end, and the refutation of what is said of this member.
+/// \file
+/// A member's view of the fleet: SWIM's precedence of updates, suspicions and their end, and the refutation
+/// of what others say of this member.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_VIEW_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_VIEW_H_
 
@@ -17,53 +18,65 @@
 
 namespace load_balancer::fleet {
 
-// Whether the claim holds against one that is held: the higher incarnation, and of equal ones the graver
-// claim; what is dead or has left is taken back by a newer incarnation alone.
-inline bool Overrides(const Update& update, const Update& held) {
-  if (update.incarnation != held.incarnation) return update.incarnation > held.incarnation;
-  return update.state > held.state;
+/// SWIM's precedence: whether `update` replaces `current`. The higher incarnation wins, and of equal ones the
+/// graver state, so that a member that is dead or has left comes back with a new incarnation alone.
+inline bool Overrides(const Update& update, const Update& current) {
+  if (update.incarnation != current.incarnation) return update.incarnation > current.incarnation;
+  return update.state > current.state;
 }
 
-class Claims {
+class MembershipView {
  public:
-  // All of these outlive this.
-  Claims(const MembershipOptions& options, Time now, MembershipOutlet& outlet, Health& health);
+  /// How an update came.
+  enum class UpdateSource {
+    kGossip,  ///< Piggybacked, or about the sender itself.
+    kTable,   ///< In a table exchange, which may be old: a death is taken as a suspicion.
+  };
 
-  // A claim from a message of `from`; of a table one that a member is dead is a suspicion only.
-  void Apply(Time now, Update update, std::string_view from, bool of_table);
+  /// All arguments but `now` must outlive this.
+  MembershipView(const MembershipOptions& options, Time now, MembershipCallbacks& callbacks,
+                 LocalHealth& health);
+
+  /// Applies an update from a message of the member `sender`.
+  void Apply(Time now, Update update, std::string_view sender, UpdateSource source);
+  /// Suspects a member on behalf of `accuser`.
   void Suspect(Time now, const std::string& name, const std::string& accuser);
-  void EndSuspicions(Time now);
-  // This member is alive whatever was said of it up to that incarnation.
-  void Refute(Time now, std::uint64_t over);
+  /// Declares the suspects dead whose timeout is over.
+  void DeclareExpiredDead(Time now);
+  /// Announces that this member is alive, whatever was said of it up to `refuted_incarnation`.
+  void Refute(Time now, std::uint64_t refuted_incarnation);
   void Leave(Time now);
   void Rejoin(Time now);
-  void Forget(Time now) { table_.Forget(now, options_.forget_after); }
+  /// Removes members that have been dead or left for long.
+  void ForgetAbsent(Time now) { table_.Forget(now, options_.forget_after); }
 
   const Member& self() const { return self_; }
   const MemberTable& table() const { return table_; }
-  bool silent() const { return silent_; }  // left or displaced
-  bool displaced() const { return displaced_; }
-  // Alive or suspect, this member included unless it is silent.
-  std::size_t present() const { return table_.present() + (silent_ ? 0 : 1); }
+  /// Whether this member has left or was displaced.
+  bool is_silent() const { return is_silent_; }
+  bool is_displaced() const { return is_displaced_; }
+  /// The number of members that are alive or suspect, this one included unless it is silent.
+  std::size_t CountPresent() const { return table_.CountPresent() + (is_silent_ ? 0 : 1); }
   Suspicions& suspicions() { return suspicions_; }
   const Suspicions& suspicions() const { return suspicions_; }
-  News& news() { return news_; }
+  GossipQueue& gossip() { return gossip_; }
 
  private:
   void ApplyToSelf(Time now, const Update& update);
-  void ApplyNew(Time now, const Update& update, std::string_view why);
-  void Set(Time now, Member& member, const Update& update, std::string_view why);
-  void Confirm(const Update& update);
+  void ApplyToUnknown(Time now, const Update& update, std::string_view reason);
+  void SetUpdate(Time now, Member& member, const Update& update, std::string_view reason);
+  void ConfirmSuspicion(const Update& update);
   void BeginSuspicion(Time now, const Update& update);
 
   const MembershipOptions& options_;
-  MembershipOutlet& outlet_;
-  Health& health_;
+  MembershipCallbacks& callbacks_;
+  LocalHealth& health_;
   Member self_;
   MemberTable table_;
   Suspicions suspicions_;
-  News news_;
-  bool silent_ = false, displaced_ = false;
+  GossipQueue gossip_;
+  bool is_silent_ = false;
+  bool is_displaced_ = false;
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -20,11 +20,11 @@
   settled_ = false;
   Update();
   const auto began = Steady::now();
-  settle_.expires_after(section_.probe_interval * MostTransmits(membership_->options(), 9));
+  settle_.expires_after(section_.probe_interval * MaxTransmissions(membership_->options(), 9));
   settle_.async_wait([this, began](const boost::system::error_code& cancelled) {
     if (cancelled || !membership_) return;
     const auto needed =
-        section_.probe_interval * MostTransmits(membership_->options(), membership_->present());
+        section_.probe_interval * MaxTransmissions(membership_->options(), membership_->present());
     if (Steady::now() - began < needed) return Settle();
     settled_ = true;
     Update();
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -67,7 +67,7 @@
                                     " bind=" + FormatEndpoint(section_.bind) +
                                     " advertise=" + FormatEndpoint(section_.advertise));
   membership_.emplace(OptionsOf(section_, name_, seed_), Steady::now(),
-                      static_cast<Membership::Outlet&>(*this));
+                      static_cast<Membership::Callbacks&>(*this));
   state_.Join(&*membership_);
   share_.Join(&*membership_);
   if (away_) membership_->Leave(Steady::now());
@@ -95,7 +95,7 @@
 
 void Node::Restore(const Kept& kept) {
   kept_ = kept;
-  if (membership_) membership_->Outlive(Steady::now(), kept.incarnation);
+  if (membership_) membership_->RaiseIncarnation(Steady::now(), kept.incarnation);
   if (!leases_) return;
   for (const auto& [duty, token] : kept.tokens) leases_->RaiseLargestToken(duty, token);
 }
@@ -139,7 +139,7 @@
   transport_.Send(to, whole);
 }
 
-void Node::Changed(const Member& member, std::optional<MemberState> before, std::string_view why) {
+void Node::OnMemberChanged(const Member& member, std::optional<MemberState> before, std::string_view why) {
   const Update& last = member.last;
   std::string line = "member=" + last.name + " state=" + std::string(Name(last.state)) +
                      " was=" + std::string(before ? Name(*before) : "unknown") +
@@ -149,13 +149,13 @@
   share_.Update();
 }
 
-void Node::Stalled(Span late) {
+void Node::OnStalled(Span late) {
   log::Warn(options_.component,
             Failure(kStalled, "stalled for " + std::to_string(std::lround(Seconds(late) * 1000)) + " ms"));
   share_.Settle();  // the others may have taken this one's share meanwhile
 }
 
-void Node::Displaced(const Udp::endpoint& by) {
+void Node::OnDisplaced(const Udp::endpoint& by) {
   log::Error(options_.component, Failure(kDisplaced, "displaced by=" + FormatEndpoint(by)));
   share_.Unsettle();
   if (leases_) leases_->Release(Steady::now());
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -43,7 +43,7 @@
 };
 
 class Node : private Transport::Host,
-             private Membership::Outlet,
+             private Membership::Callbacks,
              private StateExchange::Host,
              private Leases::Callbacks {
  public:
@@ -109,9 +109,10 @@
   void OnMessage(const Message& message) override;
 
   void Send(const Udp::endpoint& to, const Message& message) override;
-  void Changed(const Member& member, std::optional<MemberState> before, std::string_view why) override;
-  void Stalled(Span late) override;
-  void Displaced(const Udp::endpoint& by) override;
+  void OnMemberChanged(const Member& member, std::optional<MemberState> before,
+                       std::string_view why) override;
+  void OnStalled(Span late) override;
+  void OnDisplaced(const Udp::endpoint& by) override;
 
   void OnFact(const FencedValue& fact) override;
 
--- a/src/fleet/state/gossip.cpp
+++ b/src/fleet/state/gossip.cpp
@@ -130,7 +130,7 @@
   std::size_t bytes_left = RemainingBytes(fleet_, *message);
   for (const Update& update : message->updates) bytes_left -= std::min(bytes_left, EncodedSize(update));
   auto entries =
-      state_.PackPiggyback(now, bytes_left, MostTransmits(membership_->options(), membership_->present()));
+      state_.PackPiggyback(now, bytes_left, MaxTransmissions(membership_->options(), membership_->present()));
   if (!entries.empty()) message->state = std::move(entries);
 }
 
--- a/tests/compatibility/fleet_datagrams.cpp
+++ b/tests/compatibility/fleet_datagrams.cpp
@@ -67,7 +67,7 @@
   return {{"kind", "key"}, {"key", site.key}, {"server", site.server}};
 }
 
-json FieldsOf(const fleet::DutyFact& fact) {
+json FieldsOf(const fleet::FencedValue& fact) {
   return {{"kind", "duty fact"}, {"duty", fact.duty},   {"key", fact.key},
           {"token", fact.token}, {"until", fact.until}, {"value", fact.value}};
 }
@@ -132,7 +132,7 @@
                               {1764600000123U << 16 | 5, "n1"}};
   const fleet::Entry key{fleet::KeySite{0xfedcba9876543210U, "server-2"}, {1764600000124U << 16, "n2"}};
   const fleet::Entry fact{
-      fleet::DutyFact{
+      fleet::FencedValue{
           "discovery", "list/1", 1764600000125, 1764600009000, {{"id", "server-3"}, {"size", 2.5}}},
       {1764600000126U << 16 | 65535, "n3"}};
   return json::array({fleet::Pack(ejection), fleet::Pack(key), fleet::Pack(fact)});
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -196,7 +196,7 @@
 }
 
 // One member alone, whose messages go nowhere but here.
-struct Lone : fl::Membership::Outlet {
+struct Lone : fl::Membership::Callbacks {
   Lone() : now(std::chrono::hours(1)), membership(Options(), now, *this) {}
   static fl::MembershipOptions Options() {
     fl::MembershipOptions options;
@@ -211,9 +211,9 @@
     EXPECT_LE(fl::Encode("f", message).size(), fl::kMaxDatagramBytes);
     sent.push_back(message);
   }
-  void Changed(const fl::Member&, std::optional<fl::MemberState>, std::string_view) override {}
-  void Stalled(load_balancer::Span) override {}
-  void Displaced(const Udp::endpoint&) override { displaced = true; }
+  void OnMemberChanged(const fl::Member&, std::optional<fl::MemberState>, std::string_view) override {}
+  void OnStalled(load_balancer::Span) override {}
+  void OnDisplaced(const Udp::endpoint&) override { displaced = true; }
   void Hear(fl::Update claim, Message::Kind kind = Message::Kind::kAck) {
     Message message;
     message.kind = kind;
@@ -251,7 +251,7 @@
   Lone lone;
   for (const char* name : {"n3", "n4", "n5", "n6"})
     lone.Hear({name, Lone::At(3), fl::MemberState::kAlive, 1, ""});
-  const auto shortest = fl::ShortestSuspicion(Lone::Options(), 6);
+  const auto shortest = fl::MinSuspicionTimeout(Lone::Options(), 6);
   for (const char* accuser : {"n2", "n4", "n5", "n6"})
     lone.Hear({"n3", Lone::At(3), fl::MemberState::kSuspect, 1, accuser});
   // Ticked as often as is due, as a process does that does not stand still.
@@ -289,7 +289,7 @@
       if (update.state == fl::MemberState::kAlive && message.kind != Message::Kind::kSync)
         ++passed[update.name];
   EXPECT_FALSE(passed.empty());
-  for (const auto& [name, times] : passed) EXPECT_LE(times, fl::MostTransmits(Lone::Options(), 101)) << name;
+  for (const auto& [name, times] : passed) EXPECT_LE(times, fl::MaxTransmissions(Lone::Options(), 101)) << name;
 }
 
 }  // namespace
