--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -31,7 +31,7 @@
       gossip_(options_.section, host.Name(), static_cast<fleet::SharedState::Host&>(*this),
               static_cast<fleet::StateGossip::MessageSender&>(*this)),
       budget_(options_.section.max_bytes_per_second, host.Now()),
-      membership_(OptionsOf(options_, host), host.Now(), static_cast<fleet::Membership::Outlet&>(*this)),
+      membership_(OptionsOf(options_, host), host.Now(), static_cast<fleet::Membership::Callbacks&>(*this)),
       votes_(host.Disk(), options_.pool, options_.section.seeds) {
   gossip_.Join(&membership_);
   if (options_.section.lease_term.count() > 0) StartLeases();
@@ -41,9 +41,9 @@
   fleet::LeaseOptions of = fleet::LeaseOptionsOf(options_.section, options_.duties, options_.seed);
   of.holder = Holder();
   of.address = host_.Address();
-  of.votes = votes_.Load().value();
-  of.store = &votes_;
-  leases_.emplace(std::move(of), host_.Now(), static_cast<fleet::Leases::Outlet&>(*this));
+  of.stored_votes = votes_.Load().value();
+  of.vote_store = &votes_;
+  leases_.emplace(std::move(of), host_.Now(), static_cast<fleet::Leases::Callbacks&>(*this));
 }
 
 // The name and a mark of this life.
@@ -73,15 +73,15 @@
 }
 
 void PoolMember::Publish(const std::string& duty, const std::string& key, nlohmann::json value, Span lasts) {
-  if (const auto guard = Guard(duty)) Publish(*guard, key, std::move(value), lasts);
+  if (const auto proof = ProveLease(duty)) Publish(*proof, key, std::move(value), lasts);
 }
 
-bool PoolMember::Publish(const fleet::LeaseGuard& guard, const std::string& key, nlohmann::json value,
+bool PoolMember::Publish(const fleet::LeaseProof& proof, const std::string& key, nlohmann::json value,
                          Span lasts) {
-  if (!guard.Holds(host_.Now())) return false;
+  if (!proof.IsValid(host_.Now())) return false;
   const fleet::UnixMs now = host_.Wall();
   const fleet::UnixMs until = now + static_cast<fleet::UnixMs>(Milliseconds(lasts).count());
-  gossip_.Announce(now, fleet::FencedValue{guard.duty(), key, guard.token(), until, std::move(value)});
+  gossip_.Announce(now, fleet::FencedValue{proof.lease_name(), key, proof.token(), until, std::move(value)});
   return true;
 }
 
@@ -105,11 +105,11 @@
 }
 
 bool PoolMember::Holds(const std::string& duty) const {
-  return leases_ && leases_->role(host_.Now(), duty) == fleet::Role::kHolder;
+  return leases_ && leases_->status(host_.Now(), duty) == fleet::LeaseStatus::kHolder;
 }
 
-std::optional<fleet::LeaseGuard> PoolMember::Guard(const std::string& duty) const {
-  return leases_ ? leases_->Guard(host_.Now(), duty) : std::nullopt;
+std::optional<fleet::LeaseProof> PoolMember::ProveLease(const std::string& duty) const {
+  return leases_ ? leases_->ProveLease(host_.Now(), duty) : std::nullopt;
 }
 
 // Holders are named as "name/life".
@@ -138,12 +138,12 @@
   return size;
 }
 
-void PoolMember::Changed(const fleet::Member& member, std::optional<fleet::MemberState> before,
-                         std::string_view) {
+void PoolMember::OnMemberChanged(const fleet::Member& member, std::optional<fleet::MemberState> before,
+                                 std::string_view) {
   if (options_.observer) options_.observer->OnChanged(*this, member, before);
 }
 
-void PoolMember::Displaced(const Endpoint&) {
+void PoolMember::OnDisplaced(const Endpoint&) {
   if (leases_) leases_->Release(host_.Now());
 }
 
@@ -156,7 +156,7 @@
   if (!leases_) return;
   const auto announcement = fleet::ReadLeaseAnnouncement(fenced, options_.section.lease_term);
   if (!announcement) return;
-  leases_->Hear(host_.Now(), fenced.duty, announcement->holder, fenced.token, announcement->left);
+  leases_->ObserveHolder(host_.Now(), fenced.duty, announcement->holder, fenced.token, announcement->left);
 }
 
 void PoolMember::Send(const Endpoint& to, const fleet::LeaseMessage& lease) {
@@ -167,10 +167,10 @@
   Send(to, message);
 }
 
-void PoolMember::OnRole(const std::string& duty, fleet::Role role, fleet::Token token, Span left,
-                        std::string_view) {
-  if (options_.observer) options_.observer->OnRole(*this, duty, role, token, left);
-  if (role != fleet::Role::kHolder) return;
+void PoolMember::OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status, fleet::FencingToken token,
+                               Span left, std::string_view) {
+  if (options_.observer) options_.observer->OnLeaseStatus(*this, duty, status, token, left);
+  if (status != fleet::LeaseStatus::kHolder) return;
   const fleet::LeaseAnnouncement announcement{Holder(), Milliseconds(left)};
   Publish(duty, fleet::AnnouncementKey(duty), ToJson(announcement), left);
 }
--- a/src/fleet/node/fleet_listener.h
+++ b/src/fleet/node/fleet_listener.h
@@ -26,7 +26,7 @@
   /// The whole table and state of a peer have been received for the first time.
   virtual void OnJoined() = 0;
   /// The role of this process in a duty has changed or was renewed.
-  virtual void OnRole(const std::string& duty, Role role) = 0;
+  virtual void OnLeaseStatus(const std::string& duty, LeaseStatus status) = 0;
   /// The lease holder of a duty has published a value.
   virtual void OnFencedValue(const FencedValue& fenced) = 0;
 };
--- a/src/fleet/node/lease_participant.cpp
+++ b/src/fleet/node/lease_participant.cpp
@@ -29,7 +29,7 @@
   LeaseOptions options = LeaseOptionsOf(section_, options_.duties, seed_);
   options.holder = holder_;
   LoadVotes(&options);
-  leases_.emplace(std::move(options), Steady::now(), static_cast<Leases::Outlet&>(*this));
+  leases_.emplace(std::move(options), Steady::now(), static_cast<Leases::Callbacks&>(*this));
 }
 
 void LeaseParticipant::LoadVotes(LeaseOptions* options) {
@@ -37,13 +37,13 @@
   std::vector<std::string> voters;
   for (const Udp::endpoint& voter : options->voters) voters.push_back(FormatEndpoint(voter));
   vote_file_ = std::make_unique<VoteFile>(options_.votes, name_, std::move(voters));
-  options->store = vote_file_.get();
+  options->vote_store = vote_file_.get();
   auto loaded = vote_file_->Load();
   if (loaded) {
-    options->votes = std::move(*loaded);
+    options->stored_votes = std::move(*loaded);
     return;
   }
-  options->may_vote = &loaded.error().kind() != &kVotersLeapt;
+  options->may_vote = &loaded.error().kind() != &kVoterSetLeap;
   log::Error(options_.component, loaded.error());
 }
 
@@ -69,20 +69,21 @@
   if (fenced.key != AnnouncementKey(fenced.duty)) return false;
   const auto announcement = ReadLeaseAnnouncement(fenced, section_.lease_term);
   if (leases_ && announcement)
-    leases_->Hear(Steady::now(), fenced.duty, announcement->holder, fenced.token, announcement->left);
+    leases_->ObserveHolder(Steady::now(), fenced.duty, announcement->holder, fenced.token,
+                           announcement->left);
   return true;
 }
 
-std::map<std::string, Token> LeaseParticipant::HighestTokens() const {
-  std::map<std::string, Token> tokens;
+std::map<std::string, FencingToken> LeaseParticipant::HighestTokens() const {
+  std::map<std::string, FencingToken> tokens;
   if (!leases_) return tokens;
-  for (const auto& [duty, kind] : options_.duties) tokens[duty] = leases_->largest(duty);
+  for (const auto& [duty, kind] : options_.duties) tokens[duty] = leases_->largest_token(duty);
   return tokens;
 }
 
-void LeaseParticipant::RaiseTokens(const std::map<std::string, Token>& tokens) {
+void LeaseParticipant::RaiseTokens(const std::map<std::string, FencingToken>& tokens) {
   if (!leases_) return;
-  for (const auto& [duty, token] : tokens) leases_->Outgrow(duty, token);
+  for (const auto& [duty, token] : tokens) leases_->RaiseLargestToken(duty, token);
 }
 
 void LeaseParticipant::Send(const Udp::endpoint& to, const LeaseMessage& message) {
@@ -91,41 +92,41 @@
 
 void LeaseParticipant::OnFailure(const Failure& failure) { log::Error(options_.component, failure); }
 
-void LeaseParticipant::OnRole(const std::string& duty, Role role, Token token, Span left,
-                              std::string_view why) {
+void LeaseParticipant::OnLeaseStatus(const std::string& duty, LeaseStatus status, FencingToken token,
+                                     Span left, std::string_view why) {
   const auto left_ms = std::chrono::duration_cast<milliseconds>(left);
   log::Info(options_.component, fmt::format("lease duty={} role={} token={} left_ms={} why={}", duty,
-                                            Name(role), token, left_ms.count(), why));
-  listener_.OnRole(duty, role);
-  const auto guard = Guard(duty);
-  if (!guard) return;
-  const auto published = host_.Publish(*guard, AnnouncementKey(duty), ToJson({holder_, left_ms}), left);
+                                            Name(status), token, left_ms.count(), why));
+  listener_.OnLeaseStatus(duty, status);
+  const auto proof = ProveLease(duty);
+  if (!proof) return;
+  const auto published = host_.Publish(*proof, AnnouncementKey(duty), ToJson({holder_, left_ms}), left);
   if (!published) log::Warn(options_.component, published.error());
 }
 
 bool LeaseParticipant::IsExclusive(const std::string& duty) const {
-  return std::any_of(options_.duties.begin(), options_.duties.end(), [&duty](const DutySpec& spec) {
-    return spec.name == duty && spec.kind == DutyKind::kExclusive;
+  return std::any_of(options_.duties.begin(), options_.duties.end(), [&duty](const LeasedRole& spec) {
+    return spec.name == duty && spec.kind == LeasedRoleKind::kExclusive;
   });
 }
 
 bool LeaseParticipant::IsResponsibleFor(const std::string& duty) const {
   // Before Start, too, an exclusive duty needs a lease.
   if (!leases_) return !has_leases() || !IsExclusive(duty);
-  const Role role = leases_->role(Steady::now(), duty);
-  return role == Role::kHolder || role == Role::kAlone;
+  const LeaseStatus status = leases_->status(Steady::now(), duty);
+  return status == LeaseStatus::kHolder || status == LeaseStatus::kStandalone;
 }
 
-std::optional<LeaseGuard> LeaseParticipant::Guard(const std::string& duty) const {
-  return leases_ ? leases_->Guard(Steady::now(), duty) : std::nullopt;
+std::optional<LeaseProof> LeaseParticipant::ProveLease(const std::string& duty) const {
+  return leases_ ? leases_->ProveLease(Steady::now(), duty) : std::nullopt;
 }
 
 bool LeaseParticipant::IsFollowerOf(const std::string& duty) const {
-  return leases_ && leases_->role(Steady::now(), duty) == Role::kFollower;
+  return leases_ && leases_->status(Steady::now(), duty) == LeaseStatus::kFollower;
 }
 
-Token LeaseParticipant::HeldToken(const std::string& duty) const {
-  const bool is_holder = leases_ && leases_->role(Steady::now(), duty) == Role::kHolder;
+FencingToken LeaseParticipant::HeldToken(const std::string& duty) const {
+  const bool is_holder = leases_ && leases_->status(Steady::now(), duty) == LeaseStatus::kHolder;
   return is_holder ? leases_->token(duty) : 0;
 }
 
@@ -143,11 +144,12 @@
   return line;
 }
 
-std::string LeaseParticipant::DescribeDuty(const std::string& duty, DutyKind kind) const {
+std::string LeaseParticipant::DescribeDuty(const std::string& duty, LeasedRoleKind kind) const {
   const Time now = Steady::now();
   const std::string holder = leases_->holder(duty).empty() ? "-" : leases_->holder(duty);
-  return fmt::format("{} {} holder={} token={} left={:.1f}s kind={}", duty, Name(leases_->role(now, duty)),
-                     holder, leases_->token(duty), Seconds(leases_->left(now, duty)).count(), Name(kind));
+  return fmt::format("{} {} holder={} token={} left={:.1f}s kind={}", duty, Name(leases_->status(now, duty)),
+                     holder, leases_->token(duty), Seconds(leases_->remaining(now, duty)).count(),
+                     Name(kind));
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/lease_participant.h
+++ b/src/fleet/node/lease_participant.h
@@ -22,15 +22,15 @@
 
 namespace load_balancer::fleet {
 
-class LeaseParticipant : private Leases::Outlet {
+class LeaseParticipant : private Leases::Callbacks {
  public:
   /// Called from within the calls below.
   class Host {
    public:
     virtual ~Host() = default;
     virtual void SendLease(const Udp::endpoint& to, const LeaseMessage& message) = 0;
-    /// Publishes a value under a lease for `lifetime`. Fails with kPastDeadline.
-    virtual Result<void> Publish(const LeaseGuard& guard, const std::string& key, nlohmann::json value,
+    /// Publishes a value under a lease for `lifetime`. Fails with kLeaseExpired.
+    virtual Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                                  Span lifetime) = 0;
   };
 
@@ -56,26 +56,27 @@
   bool ReceiveAnnouncement(const FencedValue& fenced);
 
   /// The highest token known of each duty; empty before Start.
-  std::map<std::string, Token> HighestTokens() const;
+  std::map<std::string, FencingToken> HighestTokens() const;
   /// Makes the next tokens higher than these.
-  void RaiseTokens(const std::map<std::string, Token>& tokens);
+  void RaiseTokens(const std::map<std::string, FencingToken>& tokens);
 
   /// See the functions of the same names in Node.
   bool IsResponsibleFor(const std::string& duty) const;
-  std::optional<LeaseGuard> Guard(const std::string& duty) const;
+  std::optional<LeaseProof> ProveLease(const std::string& duty) const;
   bool IsFollowerOf(const std::string& duty) const;
-  Token HeldToken(const std::string& duty) const;
+  FencingToken HeldToken(const std::string& duty) const;
   std::string HolderOf(const std::string& duty) const;
   std::string Describe() const;
 
  private:
   void Send(const Udp::endpoint& to, const LeaseMessage& message) override;
-  void OnRole(const std::string& duty, Role role, Token token, Span left, std::string_view why) override;
+  void OnLeaseStatus(const std::string& duty, LeaseStatus status, FencingToken token, Span left,
+                     std::string_view why) override;
   void OnFailure(const Failure& failure) override;
 
   void LoadVotes(LeaseOptions* options);
   bool IsExclusive(const std::string& duty) const;
-  std::string DescribeDuty(const std::string& duty, DutyKind kind) const;
+  std::string DescribeDuty(const std::string& duty, LeasedRoleKind kind) const;
 
   const FleetSection& section_;
   const std::string& name_;
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -28,11 +28,11 @@
   Update();
   const auto began = Steady::now();
   settle_timer_.expires_after(section_.probe_interval *
-                              MostTransmits(membership_->options(), kAssumedMembers));
+                              MaxTransmissions(membership_->options(), kAssumedMembers));
   settle_timer_.async_wait([this, began](const boost::system::error_code& cancelled) {
     if (cancelled || !membership_) return;
     const auto dissemination_time =
-        section_.probe_interval * MostTransmits(membership_->options(), membership_->present());
+        section_.probe_interval * MaxTransmissions(membership_->options(), membership_->present());
     if (Steady::now() - began < dissemination_time) return Settle();
     is_settled_ = true;
     Update();
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -58,7 +58,7 @@
             fmt::format("joining fleet={} member={} bind={} advertise={}", section_.name, name_,
                         FormatEndpoint(section_.bind), FormatEndpoint(section_.advertise)));
   membership_.emplace(MembershipOptionsOf(section_, name_, UnixMilliseconds(), seed_), Steady::now(),
-                      static_cast<Membership::Outlet&>(*this));
+                      static_cast<Membership::Callbacks&>(*this));
   state_.Join(&*membership_);
   limit_share_.Join(&*membership_);
   if (has_left_) membership_->Leave(Steady::now());
@@ -91,16 +91,16 @@
 
 void Node::Restore(const SavedState& saved) {
   saved_ = saved;
-  if (membership_) membership_->Outlive(Steady::now(), saved.incarnation);
+  if (membership_) membership_->RaiseIncarnation(Steady::now(), saved.incarnation);
   leases_.RaiseTokens(saved.tokens);
 }
 
-Result<void> Node::Publish(const LeaseGuard& guard, const std::string& key, nlohmann::json value,
+Result<void> Node::Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                            Span lifetime) {
-  if (!guard.Holds(Steady::now())) return tl::unexpected(Failure(kPastDeadline, key));
+  if (!proof.IsValid(Steady::now())) return tl::unexpected(Failure(kLeaseExpired, key));
   const auto lifetime_ms = std::chrono::duration_cast<std::chrono::milliseconds>(lifetime).count();
   const UnixMs until = UnixMilliseconds() + static_cast<UnixMs>(lifetime_ms);
-  state_.Announce(FencedValue{guard.duty(), key, guard.token(), until, std::move(value)});
+  state_.Announce(FencedValue{proof.lease_name(), key, proof.token(), until, std::move(value)});
   return {};
 }
 
@@ -155,7 +155,7 @@
   transport_.Send(to, complete);
 }
 
-void Node::Changed(const Member& member, std::optional<MemberState> before, std::string_view why) {
+void Node::OnMemberChanged(const Member& member, std::optional<MemberState> before, std::string_view why) {
   const Update& last = member.last;
   log::Info(options_.component, fmt::format("member={} state={} was={} incarnation={} address={} by={}",
                                             last.name, Name(last.state), before ? Name(*before) : "unknown",
@@ -163,13 +163,13 @@
   limit_share_.Update();
 }
 
-void Node::Stalled(Span late) {
+void Node::OnStalled(Span late) {
   const long late_ms = std::lround(Seconds(late).count() * 1000);
   log::Warn(options_.component, Failure(kStalled, fmt::format("stalled for {} ms", late_ms)));
   limit_share_.Settle();  // the other members may have taken this one's share meanwhile
 }
 
-void Node::Displaced(const Udp::endpoint& by) {
+void Node::OnDisplaced(const Udp::endpoint& by) {
   log::Error(options_.component, Failure(kDisplaced, "displaced by=" + FormatEndpoint(by)));
   limit_share_.Unsettle();
   leases_.Release();
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -28,7 +28,7 @@
 namespace load_balancer::fleet {
 
 class Node : private Transport::Host,
-             private Membership::Outlet,
+             private Membership::Callbacks,
              private StateExchange::Host,
              private LeaseParticipant::Host {
  public:
@@ -46,7 +46,7 @@
   /// What a process hands on to its next incarnation, so that its claims and tokens are newer.
   struct SavedState {
     std::uint64_t incarnation = 0;
-    std::map<std::string, Token> tokens;  ///< by duty
+    std::map<std::string, FencingToken> tokens;  ///< by duty
   };
   SavedState Save() const;
   /// To be called before the event loop runs.
@@ -60,16 +60,16 @@
   /// for the lease of an available duty.
   bool IsResponsibleFor(const std::string& duty) const { return leases_.IsResponsibleFor(duty); }
   /// The right to act for the duty; nothing unless this process holds its lease.
-  std::optional<LeaseGuard> Guard(const std::string& duty) const { return leases_.Guard(duty); }
+  std::optional<LeaseProof> ProveLease(const std::string& duty) const { return leases_.ProveLease(duty); }
   /// Whether duties have leases; without leases each process performs each duty.
   bool has_leases() const { return leases_.has_leases(); }
   /// Whether another member is known to hold the duty's lease.
   bool IsFollowerOf(const std::string& duty) const { return leases_.IsFollowerOf(duty); }
   /// The token of the duty's lease if this process holds it; 0 otherwise.
-  Token HeldToken(const std::string& duty) const { return leases_.HeldToken(duty); }
+  FencingToken HeldToken(const std::string& duty) const { return leases_.HeldToken(duty); }
   std::string HolderOf(const std::string& duty) const { return leases_.HolderOf(duty); }
-  /// Publishes a value of the guard's duty for `lifetime`, under its token. Fails with kPastDeadline.
-  Result<void> Publish(const LeaseGuard& guard, const std::string& key, nlohmann::json value,
+  /// Publishes a value of the proof's duty for `lifetime`, under its token. Fails with kLeaseExpired.
+  Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                        Span lifetime) override;
 
   /// Sends a payload to the subscriber of the channel at a member; one without subscriber drops it, and it
@@ -95,9 +95,10 @@
   void OnMessage(const Message& message) override;
 
   void Send(const Udp::endpoint& to, const Message& message) override;
-  void Changed(const Member& member, std::optional<MemberState> before, std::string_view why) override;
-  void Stalled(Span late) override;
-  void Displaced(const Udp::endpoint& by) override;
+  void OnMemberChanged(const Member& member, std::optional<MemberState> before,
+                       std::string_view why) override;
+  void OnStalled(Span late) override;
+  void OnDisplaced(const Udp::endpoint& by) override;
 
   void OnFencedValue(const FencedValue& fenced) override;
 
--- a/src/fleet/node/node_options.h
+++ b/src/fleet/node/node_options.h
@@ -17,13 +17,13 @@
 inline constexpr char kMaintenanceDuty[] = "maintenance";
 
 /// Without a quorum every member watches discovery, and none changes the maintenance set.
-inline std::vector<DutySpec> SiteDuties() {
-  return {{kDiscoveryDuty, DutyKind::kAvailable}, {kMaintenanceDuty, DutyKind::kExclusive}};
+inline std::vector<LeasedRole> SiteLeasedRoles() {
+  return {{kDiscoveryDuty, LeasedRoleKind::kAvailable}, {kMaintenanceDuty, LeasedRoleKind::kExclusive}};
 }
 
 struct NodeOptions {
-  std::string component = "fleet";              ///< the name in log lines
-  std::vector<DutySpec> duties = SiteDuties();  ///< leased where the section has a lease term
+  std::string component = "fleet";                     ///< the name in log lines
+  std::vector<LeasedRole> duties = SiteLeasedRoles();  ///< leased where the section has a lease term
   std::string votes;  ///< the file that keeps this voter's votes; empty: they are in memory only
 };
 
--- a/src/fleet/node/section_options.cpp
+++ b/src/fleet/node/section_options.cpp
@@ -21,14 +21,14 @@
   return options;
 }
 
-LeaseOptions LeaseOptionsOf(const FleetSection& section, const std::vector<DutySpec>& duties,
+LeaseOptions LeaseOptionsOf(const FleetSection& section, const std::vector<LeasedRole>& duties,
                             std::uint64_t seed) {
   LeaseOptions options;
   options.address = section.advertise;
   options.voters = section.seeds;
   options.term = section.lease_term;
   options.drift = section.lease_drift;
-  options.duties = duties;
+  options.leased_roles = duties;
   options.seed = seed;
   return options;
 }
--- a/src/fleet/node/section_options.h
+++ b/src/fleet/node/section_options.h
@@ -20,7 +20,7 @@
                                       std::uint64_t incarnation, std::uint64_t seed);
 
 /// The seeds are the voters. The holder's name and the stored votes are left to the caller.
-LeaseOptions LeaseOptionsOf(const FleetSection& section, const std::vector<DutySpec>& duties,
+LeaseOptions LeaseOptionsOf(const FleetSection& section, const std::vector<LeasedRole>& duties,
                             std::uint64_t seed);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/wire/decode.cpp
+++ b/src/fleet/wire/decode.cpp
@@ -57,19 +57,19 @@
 
 LeaseMessage ReadLease(const json& value) {
   LeaseMessage lease;
-  lease.verb = ReadEnum<LeaseMessage::Verb>(value.at(0), kLeaseVerbs);
-  lease.duty = ReadName(value.at(1));
+  lease.type = ReadEnum<LeaseMessage::Type>(value.at(0), kLeaseMessageTypes);
+  lease.lease_name = ReadName(value.at(1));
   lease.token = ReadUnsigned(value.at(2));
   lease.holder = value.at(3).get<std::string>();
   if (lease.holder.empty() || lease.holder.size() > 2 * kMaxNameBytes) throw std::invalid_argument("holder");
-  lease.left_ms = ReadUnsigned(value.at(4));
-  lease.asked = ReadUnsigned(value.at(5));
+  lease.retry_after_ms = ReadUnsigned(value.at(4));
+  lease.requested_token = ReadUnsigned(value.at(5));
   if (value.size() <= kLeaseFields) return lease;  // of a version without numbers of requests
-  lease.request = ReadUnsigned(value.at(6));
+  lease.request_number = ReadUnsigned(value.at(6));
   lease.term_ms = ReadUnsigned(value.at(7));
   lease.drift_ms = ReadUnsigned(value.at(8));
-  lease.voters = ReadUnsigned(value.at(9));
-  lease.why = ReadEnum<LeaseMessage::Why>(value.at(10), kLeaseReasons);
+  lease.voter_set_hash = ReadUnsigned(value.at(9));
+  lease.denial_reason = ReadEnum<LeaseMessage::DenialReason>(value.at(10), kDenialReasons);
   return lease;
 }
 
--- a/src/fleet/wire/encode.cpp
+++ b/src/fleet/wire/encode.cpp
@@ -35,9 +35,9 @@
 json Pack(const BucketDigests& digests) { return json::binary(digests.Pack()); }
 
 json Pack(const LeaseMessage& lease) {
-  return json::array({static_cast<unsigned>(lease.verb), lease.duty, lease.token, lease.holder, lease.left_ms,
-                      lease.asked, lease.request, lease.term_ms, lease.drift_ms, lease.voters,
-                      static_cast<unsigned>(lease.why)});
+  return json::array({static_cast<unsigned>(lease.type), lease.lease_name, lease.token, lease.holder,
+                      lease.retry_after_ms, lease.requested_token, lease.request_number, lease.term_ms,
+                      lease.drift_ms, lease.voter_set_hash, static_cast<unsigned>(lease.denial_reason)});
 }
 
 void PackSyncFields(const Message& message, json* root) {
--- a/src/fleet/wire/encoded_size.cpp
+++ b/src/fleet/wire/encoded_size.cpp
@@ -23,7 +23,7 @@
 }
 
 std::size_t EncodedSize(const LeaseMessage& lease) {
-  return kLeaseBytes + lease.duty.size() + lease.holder.size();
+  return kLeaseBytes + lease.lease_name.size() + lease.holder.size();
 }
 
 }  // namespace
--- a/src/proxy/fleet_link/fleet_link.h
+++ b/src/proxy/fleet_link/fleet_link.h
@@ -50,7 +50,7 @@
   void OnKeyAffinity(const fleet::KeyAffinity& affinity, fleet::UnixMs written) override;
   void OnLimitShare(int max_in_flight) override;
   void OnJoined() override;
-  void OnRole(const std::string& duty, fleet::Role role) override;
+  void OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status) override;
   void OnFencedValue(const fleet::FencedValue& fenced) override;
 
   ModuleDriver& module_;
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -20,7 +20,7 @@
   void OnKeyAffinity(const load_balancer::fleet::KeyAffinity&, load_balancer::fleet::UnixMs) override {}
   void OnLimitShare(int) override {}
   void OnJoined() override {}
-  void OnRole(const std::string&, load_balancer::fleet::Role) override {}
+  void OnLeaseStatus(const std::string&, load_balancer::fleet::LeaseStatus) override {}
   void OnFencedValue(const load_balancer::fleet::FencedValue&) override {}
 };
 
--- a/tests/fleet/payload_test.cpp
+++ b/tests/fleet/payload_test.cpp
@@ -64,15 +64,15 @@
     message.target_address = kLongestAddress;
     message.member_digest = message.state_digest = message.sequence = ~0ull;
     if (message.kind == Message::Kind::kLease)
-      message.lease = fl::LeaseMessage{.duty = std::string(fl::kMaxNameBytes, 'd'),
+      message.lease = fl::LeaseMessage{.lease_name = std::string(fl::kMaxNameBytes, 'd'),
                                        .token = ~0ull,
                                        .holder = std::string(2 * fl::kMaxNameBytes, 'h'),
-                                       .left_ms = ~0ull,
-                                       .asked = ~0ull,
-                                       .request = ~0ull,
+                                       .retry_after_ms = ~0ull,
+                                       .requested_token = ~0ull,
+                                       .request_number = ~0ull,
                                        .term_ms = ~0ull,
                                        .drift_ms = ~0ull,
-                                       .voters = ~0ull};
+                                       .voter_set_hash = ~0ull};
     if (message.kind == Message::Kind::kSync) {
       message.member_buckets = fl::BucketDigests(fl::kMaxBuckets);
       message.range = fl::DigestRange{{fl::kMaxBuckets, ~0u}, ~0ull, ~0ull, true};
@@ -91,7 +91,7 @@
   void OnKeyAffinity(const fl::KeyAffinity&, fl::UnixMs) override {}
   void OnLimitShare(int) override {}
   void OnJoined() override {}
-  void OnRole(const std::string&, fl::Role) override {}
+  void OnLeaseStatus(const std::string&, fl::LeaseStatus) override {}
   void OnFencedValue(const fl::FencedValue&) override {}
 };
 
