--- a/tests/compatibility/configuration_fields.cpp
+++ b/tests/compatibility/configuration_fields.cpp
@@ -83,15 +83,15 @@
           {"advertise", Text(fleet.advertise)},
           {"retransmit_multiplier", fleet.retransmit_multiplier},
           {"sync_interval", fleet.sync_interval.count()},
-          {"forget", fleet.forget.count()},
-          {"most_bytes_per_second", fleet.most_bytes_per_second},
-          {"share_verdicts", fleet.share_verdicts},
+          {"forget", fleet.forget_after.count()},
+          {"most_bytes_per_second", fleet.max_bytes_per_second},
+          {"share_verdicts", fleet.share_ejections},
           {"server_limit", fleet.server_limit},
           {"affinity_entries", fleet.affinity_entries},
           {"affinity_ttl", fleet.affinity_ttl.count()},
           {"lease_term", fleet.lease_term.count()},
           {"lease_drift", fleet.lease_drift.count()},
-          {"most_skew", fleet.most_skew.count()}};
+          {"most_skew", fleet.max_clock_skew.count()}};
 }
 
 json FieldsOf(const state::StateSection& state) {
@@ -114,7 +114,7 @@
                  {"sync_interval", sites.sync_interval.count()},
                  {"lease_term", sites.lease_term.count()},
                  {"lease_drift", sites.lease_drift.count()},
-                 {"most_bytes_per_second", sites.most_bytes_per_second}};
+                 {"most_bytes_per_second", sites.max_bytes_per_second}};
   for (const auto& [site, gateways] : sites.gateways)
     for (const auto& [name, addresses] : gateways)
       fields["gateways"][site][name] = {{"pool", Text(addresses.pool)}, {"clients", Text(addresses.clients)}};
--- a/tests/compatibility/fleet_datagrams.cpp
+++ b/tests/compatibility/fleet_datagrams.cpp
@@ -7,6 +7,7 @@
 
 #include "fleet/lease/message.h"
 #include "fleet/state/entry.h"
+#include "fleet/state/entry_codec.h"
 #include "fleet/sync/bucket_digests.h"
 #include "fleet/wire/codec.h"
 #include "fleet/wire/message.h"
@@ -27,7 +28,7 @@
 
 json FieldsOf(const fleet::Update& update) {
   return {{"name", update.name},
-          {"address", fleet::Text(update.address)},
+          {"address", fleet::FormatEndpoint(update.address)},
           {"state", static_cast<int>(update.state)},
           {"incarnation", update.incarnation},
           {"accuser", update.accuser}};
@@ -47,33 +48,33 @@
           {"why", static_cast<int>(lease.why)}};
 }
 
-json FieldsOf(const fleet::Slice& slice) {
-  return {{"count", slice.count},
-          {"buckets", slice.buckets.to_string()},
-          {"from", slice.from},
-          {"to", slice.to},
-          {"more", slice.more}};
+json FieldsOf(const fleet::DigestRange& range) {
+  return {{"count", range.buckets.count},
+          {"buckets", range.buckets.indices.to_string()},
+          {"first", range.first},
+          {"last", range.last},
+          {"is_truncated", range.is_truncated}};
 }
 
-json FieldsOf(const fleet::Verdict& verdict) {
+json FieldsOf(const fleet::Ejection& ejection) {
   return {{"kind", "ejection"},
-          {"server", verdict.server},
-          {"until", verdict.until},
-          {"failures", verdict.failures},
-          {"attempts", verdict.attempts}};
+          {"server", ejection.server},
+          {"until", ejection.until},
+          {"failures", ejection.failures},
+          {"attempts", ejection.attempts}};
 }
 
-json FieldsOf(const fleet::KeySite& site) {
-  return {{"kind", "key"}, {"key", site.key}, {"server", site.server}};
+json FieldsOf(const fleet::KeyAffinity& affinity) {
+  return {{"kind", "key"}, {"key", affinity.key}, {"server", affinity.server}};
 }
 
-json FieldsOf(const fleet::DutyFact& fact) {
-  return {{"kind", "duty fact"}, {"duty", fact.duty},   {"key", fact.key},
-          {"token", fact.token}, {"until", fact.until}, {"value", fact.value}};
+json FieldsOf(const fleet::FencedValue& fenced) {
+  return {{"kind", "duty fact"},   {"duty", fenced.duty},   {"key", fenced.key},
+          {"token", fenced.token}, {"until", fenced.until}, {"value", fenced.value}};
 }
 
 json FieldsOf(const fleet::Entry& entry) {
-  json fields = std::visit([](const auto& fact) { return FieldsOf(fact); }, entry.fact);
+  json fields = std::visit([](const auto& content) { return FieldsOf(content); }, entry.content);
   fields["stamp"] = entry.version.stamp;
   fields["origin"] = entry.version.origin;
   return fields;
@@ -84,26 +85,30 @@
                  {"sender", FieldsOf(message.sender)},
                  {"sequence", message.sequence},
                  {"target", message.target},
-                 {"target_address", fleet::Text(message.target_address)},
-                 {"reply", message.reply},
+                 {"target_address", fleet::FormatEndpoint(message.target_address)},
+                 {"reply", message.wants_reply},
                  {"updates", json::array()},
                  {"state", json::array()},
-                 {"table", message.table},
-                 {"digest", message.digest},
+                 {"table", message.member_digest},
+                 {"digest", message.state_digest},
                  {"channel", message.channel},
                  {"payload", message.payload}};
   for (const fleet::Update& update : message.updates) fields["updates"].push_back(FieldsOf(update));
-  for (const json& packed : message.state) fields["state"].push_back(FieldsOf(fleet::Unpack(packed)));
-  if (message.buckets) fields["buckets"] = message.buckets->Pack();
+  for (const json& packed : message.state) {
+    const auto entry = fleet::Unpack(packed);
+    if (!entry) throw std::runtime_error("an entry is malformed");
+    fields["state"].push_back(FieldsOf(*entry));
+  }
+  if (message.member_buckets) fields["buckets"] = message.member_buckets->Pack();
   if (message.state_buckets) fields["state_buckets"] = message.state_buckets->Pack();
-  if (message.slice) fields["slice"] = FieldsOf(*message.slice);
+  if (message.range) fields["slice"] = FieldsOf(*message.range);
   if (message.lease) fields["lease"] = FieldsOf(*message.lease);
   return fields;
 }
 
 json Decoded(const Bytes& bytes) {
   const auto message = fleet::Decode(kFleet, bytes);
-  if (const auto* drop = std::get_if<fleet::Drop>(&message))
+  if (const auto* drop = std::get_if<fleet::DropReason>(&message))
     throw std::runtime_error("dropped: " + std::string(fleet::Name(*drop)));
   return FieldsOf(std::get<Message>(message));
 }
@@ -128,31 +133,31 @@
 }
 
 json EntriesOfAllKinds() {
-  const fleet::Entry ejection{fleet::Verdict{"server-1", 1764600005000, 12, 40},
+  const fleet::Entry ejection{fleet::Ejection{"server-1", 1764600005000, 12, 40},
                               {1764600000123U << 16 | 5, "n1"}};
-  const fleet::Entry key{fleet::KeySite{0xfedcba9876543210U, "server-2"}, {1764600000124U << 16, "n2"}};
+  const fleet::Entry key{fleet::KeyAffinity{0xfedcba9876543210U, "server-2"}, {1764600000124U << 16, "n2"}};
   const fleet::Entry fact{
-      fleet::DutyFact{
+      fleet::FencedValue{
           "discovery", "list/1", 1764600000125, 1764600009000, {{"id", "server-3"}, {"size", 2.5}}},
       {1764600000126U << 16 | 65535, "n3"}};
   return json::array({fleet::Pack(ejection), fleet::Pack(key), fleet::Pack(fact)});
 }
 
-fleet::Buckets BucketsOf(std::size_t count) {
-  fleet::Buckets buckets(count);
+fleet::BucketDigests BucketsOf(std::size_t count) {
+  fleet::BucketDigests buckets(count);
   constexpr std::uint64_t kStride = 0x1357924680abcdefU;
   for (std::uint64_t i = 1; i <= 2 * count; ++i) buckets.Add(i * kStride, i * 0x9e3779b9U);
   return buckets;
 }
 
-fleet::Slice SliceOfFewBuckets() {
-  fleet::Slice slice;
-  slice.count = 16;
-  for (const std::size_t bucket : {0U, 3U, 9U, 15U}) slice.buckets.set(bucket);
-  slice.from = 0x8000000000000001U;
-  slice.to = 0x7fffffffffffffffU;
-  slice.more = true;
-  return slice;
+fleet::DigestRange RangeOfFewBuckets() {
+  fleet::DigestRange range;
+  range.buckets.count = 16;
+  for (const std::size_t bucket : {0U, 3U, 9U, 15U}) range.buckets.indices.set(bucket);
+  range.first = 0x8000000000000001U;
+  range.last = 0x7fffffffffffffffU;
+  range.is_truncated = true;
+  return range;
 }
 
 std::vector<GoldenCase> ProbeCases() {
@@ -172,19 +177,19 @@
 
 std::vector<GoldenCase> SyncCases() {
   Message request = MessageOf(Message::Kind::kSync);
-  request.reply = true;
-  request.table = 0x0123456789abcdefU;
-  request.digest = 0xfedcba9876543210U;
-  request.buckets = BucketsOf(8);
+  request.wants_reply = true;
+  request.member_digest = 0x0123456789abcdefU;
+  request.state_digest = 0xfedcba9876543210U;
+  request.member_buckets = BucketsOf(8);
   request.state_buckets = BucketsOf(32);
-  Message slice = MessageOf(Message::Kind::kSync);
-  slice.updates = UpdatesOfAllStates();
-  slice.slice = SliceOfFewBuckets();
+  Message range = MessageOf(Message::Kind::kSync);
+  range.updates = UpdatesOfAllStates();
+  range.range = RangeOfFewBuckets();
   Message state = MessageOf(Message::Kind::kState);
-  state.reply = true;
+  state.wants_reply = true;
   state.state = EntriesOfAllKinds();
-  state.slice = SliceOfFewBuckets();
-  return {CaseOf("sync_request", request), CaseOf("sync_slice", slice), CaseOf("state", state)};
+  state.range = RangeOfFewBuckets();
+  return {CaseOf("sync_request", request), CaseOf("sync_slice", range), CaseOf("state", state)};
 }
 
 LeaseMessage LeaseOf(LeaseMessage::Verb verb) {
--- a/tests/compatibility/golden_test.cpp
+++ b/tests/compatibility/golden_test.cpp
@@ -109,10 +109,12 @@
   return false;
 }
 
-// The keys that the first cell of a table's row names; ".b" after "a.c" stands for "a.b".
+// The keys that the first cell of a table's row names; ".b" after "a.c" stands for "a.b". Of a key that was
+// renamed, "`new` (formerly `old`)", the former name.
 std::vector<std::string> KeysOfRow(const std::string& row) {
+  static const std::regex kRenamed("`[^`]+` \\(formerly (`[^`]+`)\\)");
   static const std::regex kQuoted("`([^`]+)`");
-  const std::string cell = row.substr(0, row.find(" | "));
+  const std::string cell = std::regex_replace(row.substr(0, row.find(" | ")), kRenamed, "$1");
   std::vector<std::string> keys;
   for (std::sregex_iterator each(cell.begin(), cell.end(), kQuoted), end; each != end; ++each) {
     std::string key = (*each)[1];
