--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -17,9 +17,9 @@
 
 #include "base/error/failure.h"
 #include "fleet/lease/guard.h"
-#include "quota/floors.h"
 #include "quota/messages.h"
 #include "quota/partner_allocator.h"
+#include "quota/reserved_minimums.h"
 
 namespace load_balancer::quota {
 
--- a/src/quota/commitments.h
+++ b/src/quota/commitments.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "base/time.h"
-#include "quota/floors.h"
 #include "quota/messages.h"
+#include "quota/reserved_minimums.h"
 
 namespace load_balancer::quota {
 
--- a/src/quota/demand.cpp
+++ b/src/quota/demand_estimator.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "quota/demand.h"
+#include "quota/demand_estimator.h"
 
 #include <cmath>
 
--- a/src/quota/demand.h
+++ b/src/quota/demand_estimator.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // How much of a partner's traffic comes to one gateway now.
-#ifndef LOAD_BALANCER_QUOTA_DEMAND_H_
-#define LOAD_BALANCER_QUOTA_DEMAND_H_
+#ifndef LOAD_BALANCER_QUOTA_DEMAND_ESTIMATOR_H_
+#define LOAD_BALANCER_QUOTA_DEMAND_ESTIMATOR_H_
 
 #include <algorithm>
 #include <array>
@@ -80,4 +80,4 @@
 
 }  // namespace load_balancer::quota
 
-#endif  // LOAD_BALANCER_QUOTA_DEMAND_H_
+#endif  // LOAD_BALANCER_QUOTA_DEMAND_ESTIMATOR_H_
--- a/src/quota/partner_account.h
+++ b/src/quota/partner_account.h
@@ -11,7 +11,7 @@
 #include "quota/amount.h"
 #include "quota/bucket.h"
 #include "quota/budget.h"
-#include "quota/demand.h"
+#include "quota/demand_estimator.h"
 #include "quota/messages.h"
 
 namespace load_balancer::quota {
--- a/src/quota/floors.cpp
+++ b/src/quota/reserved_minimums.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "quota/floors.h"
+#include "quota/reserved_minimums.h"
 
 namespace load_balancer::quota {
 
--- a/src/quota/floors.h
+++ b/src/quota/reserved_minimums.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The floors of one partner's budget, gateway by gateway.
-#ifndef LOAD_BALANCER_QUOTA_FLOORS_H_
-#define LOAD_BALANCER_QUOTA_FLOORS_H_
+#ifndef LOAD_BALANCER_QUOTA_RESERVED_MINIMUMS_H_
+#define LOAD_BALANCER_QUOTA_RESERVED_MINIMUMS_H_
 
 #include <cstdint>
 #include <map>
@@ -70,4 +70,4 @@
 
 }  // namespace load_balancer::quota
 
-#endif  // LOAD_BALANCER_QUOTA_FLOORS_H_
+#endif  // LOAD_BALANCER_QUOTA_RESERVED_MINIMUMS_H_
--- a/tests/quota/bucket_test.cpp
+++ b/tests/quota/bucket_test.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "quota/budget.h"
-#include "quota/demand.h"
+#include "quota/demand_estimator.h"
 
 namespace load_balancer::quota {
 namespace {
