--- a/model/quota/gateways.cpp
+++ b/model/quota/gateways.cpp
@@ -14,15 +14,16 @@
 
 struct Wire {
   std::size_t allocator = 0;
-  std::variant<quota::Request, quota::Answer, fleet::LeaseMessage> message;
+  std::variant<quota::AllocationRequest, quota::AllocationResponse, fleet::LeaseMessage> message;
 };
 
 // About what it takes as MessagePack.
-std::size_t BytesOf(const quota::Request& request) {
-  return 60 + 40 * request.asks.size() + 30 * request.acks.size();
+std::size_t BytesOf(const quota::AllocationRequest& request) {
+  return 60 + 40 * request.grant_requests.size() + 30 * request.acks.size();
 }
-std::size_t BytesOf(const quota::Answer& answer) {
-  return 60 + 40 * answer.grants.size() + 16 * answer.calls.size() + 30 * answer.floors.size();
+std::size_t BytesOf(const quota::AllocationResponse& response) {
+  return 60 + 40 * response.grants.size() + 16 * response.recalls.size() +
+         30 * response.reserved_minimums.size();
 }
 
 }  // namespace
@@ -33,19 +34,20 @@
       : all_(all),
         host_(host),
         number_(number),
-        life_(++all.lives_),
-        random_(all.options_.seed * 1'000'003 + life_),
+        incarnation_(++all.incarnations_),
+        random_(all.options_.seed * 1'000'003 + incarnation_),
         site_(number / all.options_.per_site),
-        spender_(all.options_.greed, all.options_.seed * 7919 + life_, host.Now(),
+        spender_(all.options_.greed, all.options_.seed * 7919 + incarnation_, host.Now(),
                  [this](const std::string& partner, double units, bool inside, bool ran) {
                    Count(partner, units, inside, ran);
                  }),
-        leases_(host, life_, number, all.voters_, all.options_.allocators, all.options_.timings, all.holders_,
+        leases_(host, incarnation_, number, all.voters_, all.options_.allocators, all.options_.timings,
+                all.holders_,
                 [&host](const Endpoint& to, const fleet::LeaseMessage& message) {
                   host.Send(to, Wire{0, message}, kLeaseBytes);
                 }),
         next_draw_(host.Now()) {
-    accounts_.push_back(NewAccount(life_));
+    accounts_.push_back(NewAccount(incarnation_));
     for (std::size_t i = 0; i < all.options_.allocators; ++i)
       allocators_.emplace_back(
           quota::AllocatorOptions{i, all.options_.allocators, all.layout_, all.options_.timings},
@@ -56,9 +58,9 @@
   void Receive(const Packet& packet) override {
     const auto& wire = std::any_cast<const Wire&>(*packet.content);
     const Time now = host_.Now();
-    if (const auto* answer = std::get_if<quota::Answer>(&wire.message)) {
+    if (const auto* response = std::get_if<quota::AllocationResponse>(&wire.message)) {
       quota::AccountActions actions;
-      account().Receive(now, wire.allocator, *answer, &actions);
+      account().OnResponse(now, wire.allocator, *response, &actions);
       return Act(actions);
     }
     if (const auto* lease = std::get_if<fleet::LeaseMessage>(&wire.message))
@@ -69,15 +71,15 @@
     if (auto held = leases_.Guard(wire.allocator)) guard.emplace(std::move(*held));
     if (!guard || stepping_down_) return;
     quota::AllocatorActions actions;
-    allocators_[wire.allocator].Receive(now, *guard, all_.names_[from->second],
-                                        std::get<quota::Request>(wire.message), &actions);
+    allocators_[wire.allocator].OnRequest(now, *guard, all_.names_[from->second],
+                                          std::get<quota::AllocationRequest>(wire.message), &actions);
     Act(wire.allocator, actions);
   }
 
   void Tick() override {
     const Time now = host_.Now();
     leases_.Tick();
-    if (stepping_down_ && now >= OutUntil(now)) {
+    if (stepping_down_ && now >= GrantsExpireAt(now)) {
       stepping_down_ = false;
       leases_.GiveBack();
     }
@@ -97,23 +99,23 @@
     const Time now = host_.Now();
     Time next = std::min(
         {leases_.Next(), all_.options_.greed.on ? spender_.Next() : next_draw_, accounts_.back()->Next()});
-    if (stepping_down_) next = std::min(next, OutUntil(now));
+    if (stepping_down_) next = std::min(next, GrantsExpireAt(now));
     if (at_ < arrivals_.size()) next = std::min(next, arrivals_[at_].at);
     for (std::size_t i = 0; i < allocators_.size(); ++i)
       if (Guard(i)) next = std::min(next, allocators_[i].Next());
     return next;
   }
 
-  void Renew(std::shared_ptr<const quota::Budgets> budgets) {
-    for (quota::Allocator& allocator : allocators_) allocator.Renew(budgets);
+  void UpdateBudgets(std::shared_ptr<const quota::Budgets> budgets) {
+    for (quota::Allocator& allocator : allocators_) allocator.UpdateBudgets(budgets);
     quota::AccountActions actions;
-    account().Renew(host_.Now(), std::move(budgets), &actions);
+    account().UpdateBudgets(host_.Now(), std::move(budgets), &actions);
     Act(actions);
   }
 
   void HandOver() {
     account().Retire(host_.Now());
-    accounts_.push_back(NewAccount(++all_.lives_));
+    accounts_.push_back(NewAccount(++all_.incarnations_));
   }
 
   void StepDown() { stepping_down_ = true; }
@@ -131,24 +133,26 @@
   bool Chance(double share) { return share > 0 && std::uniform_real_distribution<>(0, 1)(random_) < share; }
 
   quota::Account& account() { return *accounts_.back(); }
-  std::unique_ptr<quota::Account> NewAccount(std::uint64_t life) {
+  std::unique_ptr<quota::Account> NewAccount(std::uint64_t incarnation) {
     const GatewaysOptions& options = all_.options_;
     return std::make_unique<quota::Account>(
-        quota::AccountOptions{SiteName(site_), options.per_site, life, options.allocators, options.timings},
+        quota::AccountOptions{SiteName(site_), options.per_site, incarnation, options.allocators,
+                              options.timings},
         all_.files_[number_], host_.Now());
   }
   std::optional<fleet::LeaseGuard> Guard(std::size_t allocator) const {
     return stepping_down_ ? std::nullopt : leases_.Guard(allocator);
   }
-  Time OutUntil(Time now) const {
+  Time GrantsExpireAt(Time now) const {
     Time latest = now;
-    for (const quota::Allocator& allocator : allocators_) latest = std::max(latest, allocator.OutUntil(now));
+    for (const quota::Allocator& allocator : allocators_)
+      latest = std::max(latest, allocator.GrantsExpireAt(now));
     return latest;
   }
 
   void Count(const std::string& partner, double units, bool inside, bool counts) {
-    all_.Count(number_, partner, host_.True(), static_cast<quota::Milli>(std::ceil(units * quota::kOne)),
-               inside, counts);
+    all_.Count(number_, partner, host_.True(),
+               static_cast<quota::MilliUnits>(std::ceil(units * quota::kUnit)), inside, counts);
   }
 
   void Serve(Time now) {
@@ -164,11 +168,11 @@
   void ServeClients(Time now) {
     for (; at_ < arrivals_.size() && arrivals_[at_].at <= now; ++at_) {
       const Arrival& arrival = arrivals_[at_];
-      const quota::Charged charged = account().Charge(now, *arrival.partner, arrival.units);
-      const bool inside = charged.verdict == quota::Verdict::kInside;
+      const quota::ChargeResult charged = account().Charge(now, *arrival.partner, arrival.units);
+      const bool inside = charged.verdict == quota::ChargeVerdict::kWithinBudget;
       const bool credited = inside && Chance(all_.options_.credited);
       Count(*arrival.partner, arrival.units, inside, !credited);
-      if (credited) account().Credit(now, charged.ticket);
+      if (credited) account().Credit(now, charged.receipt);
     }
     if (now < next_draw_) return;
     // What came while the machine stood still comes at once.
@@ -199,11 +203,11 @@
 
   void Act(std::size_t allocator, const quota::AllocatorActions& actions) {
     for (const quota::AllocatorAction& action : actions) {
-      const auto* send = std::get_if<quota::SendAnswer>(&action);
+      const auto* send = std::get_if<quota::SendResponse>(&action);
       if (!send) continue;
       const auto to = static_cast<std::size_t>(
           std::find(all_.names_.begin(), all_.names_.end(), send->gateway) - all_.names_.begin());
-      Post(to, Wire{allocator, send->answer}, BytesOf(send->answer));
+      Post(to, Wire{allocator, send->response}, BytesOf(send->response));
     }
   }
 
@@ -221,7 +225,7 @@
   Gateways& all_;
   Host& host_;
   const std::size_t number_;
-  const std::uint64_t life_;
+  const std::uint64_t incarnation_;
   std::mt19937_64 random_;
   const std::size_t site_;
   std::vector<std::unique_ptr<quota::Account>> accounts_;  // the last one has the gateway's address
@@ -256,8 +260,8 @@
   }
   for (std::size_t site = 0; site < options.sites; ++site)
     voters_.push_back(addresses_[site * options.per_site]);
-  const double apart = options.clocks_apart * std::chrono::duration<double>(options.timings.drift) /
-                       std::chrono::duration<double>(options.timings.term);
+  const double apart = options.clocks_apart * std::chrono::duration<double>(options.timings.clock_drift) /
+                       std::chrono::duration<double>(options.timings.lease_term);
   for (std::size_t i = 0; i < count; ++i) {
     MachineClock clock;
     // The ends of the range are where a margin that is missing shows.
@@ -278,7 +282,8 @@
 
 void Gateways::SetBudgets(std::size_t gateway, std::shared_ptr<const quota::Budgets> budgets) {
   files_[gateway] = budgets;
-  if (auto* program = static_cast<Program*>(world_.program(gateway))) program->Renew(std::move(budgets));
+  if (auto* program = static_cast<Program*>(world_.program(gateway)))
+    program->UpdateBudgets(std::move(budgets));
 }
 
 void Gateways::HandOver(std::size_t gateway) {
@@ -298,7 +303,7 @@
   }
 }
 
-void Gateways::Count(std::size_t gateway, const std::string& partner, Moment at, quota::Milli cost,
+void Gateways::Count(std::size_t gateway, const std::string& partner, Moment at, quota::MilliUnits cost,
                      bool inside, bool counts) {
   Tally& tally = tallies_.at(partner);
   ++tally.asked[gateway];
--- a/model/quota/gateways.h
+++ b/model/quota/gateways.h
@@ -40,7 +40,7 @@
   std::vector<std::uint64_t> asked, inside;  // of each gateway
   std::uint64_t refused_in_error = 0;        // that an all-knowing gate would have let through
   std::uint64_t possible = 0;                // that it would have let through in all
-  quota::Milli spent = 0, possible_spent = 0;
+  quota::MilliUnits spent = 0, possible_spent = 0;
 };
 
 // Programs are on machines 0 to size() - 1, in the order of the sites.
@@ -74,7 +74,7 @@
  private:
   class Program;
   friend class Program;
-  void Count(std::size_t gateway, const std::string& partner, Moment at, quota::Milli cost, bool inside,
+  void Count(std::size_t gateway, const std::string& partner, Moment at, quota::MilliUnits cost, bool inside,
              bool counts);
 
   const GatewaysOptions options_;
@@ -82,14 +82,14 @@
   std::vector<std::string> names_;
   std::vector<Endpoint> addresses_;
   std::map<Endpoint, std::size_t> by_address_;
-  quota::Layout layout_;
+  quota::SiteLayout layout_;
   std::vector<std::shared_ptr<const quota::Budgets>> files_;
   std::vector<std::map<std::string, double>> loads_;
   std::vector<Endpoint> voters_;
   Holders holders_;
   std::map<std::string, Tally> tallies_;
   std::map<std::string, Window> ideal_;
-  std::uint64_t lives_ = 0;
+  std::uint64_t incarnations_ = 0;
   bool saving_ = false;
 };
 
--- a/model/quota/lease_member.h
+++ b/model/quota/lease_member.h
@@ -13,6 +13,7 @@
 #include "fleet/lease/leases.h"
 #include "model/program.h"
 #include "quota/budget.h"
+#include "quota/duty.h"
 
 namespace load_balancer::model {
 
@@ -42,17 +43,13 @@
 class LeaseMember final : private fleet::Leases::Outlet {
  public:
   using Post = std::function<void(const Endpoint&, const fleet::LeaseMessage&)>;
-  LeaseMember(Host& host, std::uint64_t life, std::size_t machine, const std::vector<Endpoint>& voters,
+  LeaseMember(Host& host, std::uint64_t incarnation, std::size_t machine, const std::vector<Endpoint>& voters,
               std::size_t duties, const quota::Timings& timings, Holders& holders, Post post)
       : host_(host),
         machine_(machine),
         holders_(holders),
         post_(std::move(post)),
-        leases_(Options(host, life, voters, duties, timings), host.Now(), *this) {}
-
-  static std::string Duty(std::size_t index) {
-    return std::string("treasurer/").append(std::to_string(index));
-  }
+        leases_(Options(host, incarnation, voters, duties, timings), host.Now(), *this) {}
 
   void Receive(const Endpoint& from, const fleet::LeaseMessage& message) {
     leases_.Receive(host_.Now(), from, message);
@@ -67,20 +64,22 @@
     leases_.Resume(host_.Now());
   }
   std::optional<fleet::LeaseGuard> Guard(std::size_t duty) const {
-    return leases_.Guard(host_.Now(), Duty(duty));
+    return leases_.Guard(host_.Now(), quota::AllocatorDuty(duty));
   }
 
  private:
-  static fleet::LeaseOptions Options(Host& host, std::uint64_t life, const std::vector<Endpoint>& voters,
-                                     std::size_t duties, const quota::Timings& timings) {
+  static fleet::LeaseOptions Options(Host& host, std::uint64_t incarnation,
+                                     const std::vector<Endpoint>& voters, std::size_t duties,
+                                     const quota::Timings& timings) {
     fleet::LeaseOptions options;
-    options.holder = host.Name() + "/" + std::to_string(life);
+    options.holder = host.Name() + "/" + std::to_string(incarnation);
     options.address = host.Address();
     options.voters = voters;
-    options.term = std::chrono::floor<std::chrono::milliseconds>(timings.term);
-    options.drift = std::chrono::ceil<std::chrono::milliseconds>(timings.drift);
-    options.seed = life;
-    for (std::size_t i = 0; i < duties; ++i) options.duties.push_back({Duty(i), fleet::DutyKind::kExclusive});
+    options.term = std::chrono::floor<std::chrono::milliseconds>(timings.lease_term);
+    options.drift = std::chrono::ceil<std::chrono::milliseconds>(timings.clock_drift);
+    options.seed = incarnation;
+    for (std::size_t i = 0; i < duties; ++i)
+      options.duties.push_back({quota::AllocatorDuty(i), fleet::DutyKind::kExclusive});
     return options;
   }
 
--- a/model/quota/ledger_check.h
+++ b/model/quota/ledger_check.h
@@ -16,7 +16,7 @@
 
 struct Admission {
   Moment at;
-  quota::Milli cost = 0;
+  quota::MilliUnits cost = 0;
 };
 
 struct Overspend {
@@ -28,13 +28,14 @@
 // that starts full, by exact arithmetic.
 class Window {
  public:
-  Window(quota::Milli rate, quota::Milli burst) : rate_(rate), depth_(burst * kFine), level_(depth_) {}
+  Window(quota::MilliUnits rate, quota::MilliUnits burst)
+      : rate_(rate), depth_(burst * kFine), level_(depth_) {}
 
   // Units that the admission is over by; it counts either way.
   double Admit(const Admission& admission) {
     Fill(admission.at);
     level_ -= admission.cost * kFine;
-    return level_ < 0 ? static_cast<double>(-level_) / (static_cast<double>(kFine) * quota::kOne) : 0;
+    return level_ < 0 ? static_cast<double>(-level_) / (static_cast<double>(kFine) * quota::kUnit) : 0;
   }
   // Whether it would have been within.
   bool Offer(const Admission& admission) {
@@ -52,14 +53,14 @@
     last_ = at;
   }
 
-  quota::Milli rate_;
+  quota::MilliUnits rate_;
   std::int64_t depth_, level_;
   Moment last_{0};
 };
 
 // The largest overspend over all windows that begin and end with an admission; `admissions` in their order.
-inline std::optional<Overspend> FindOverspend(const std::vector<Admission>& admissions, quota::Milli rate,
-                                              quota::Milli burst) {
+inline std::optional<Overspend> FindOverspend(const std::vector<Admission>& admissions,
+                                              quota::MilliUnits rate, quota::MilliUnits burst) {
   Window window(rate, burst);
   std::optional<Overspend> worst;
   for (const Admission& admission : admissions) {
@@ -71,11 +72,11 @@
   double sum = 0, most = 0;
   for (auto it = admissions.rbegin(); it != admissions.rend(); ++it) {
     if (it->at > worst->to) continue;
-    sum += static_cast<double>(it->cost) / quota::kOne;
+    sum += static_cast<double>(it->cost) / quota::kUnit;
     const double allowed =
         (static_cast<double>(rate) * std::chrono::duration<double>(worst->to - it->at).count() +
          static_cast<double>(burst)) /
-        quota::kOne;
+        quota::kUnit;
     if (sum - allowed <= most) continue;
     most = sum - allowed;
     worst->from = it->at;
--- a/model/quota/mutants/any_order.partner_account.sed
+++ b/model/quota/mutants/any_order.partner_account.sed
@@ -1,2 +1,2 @@
-# A grant that comes late replaces a newer one.
-s/if (id <= id_ || /if (id == id_ || /
+# A grant that arrives late replaces a newer one.
+s/if (id <= grant_id_ || /if (id == grant_id_ || /
--- a/model/quota/mutants/any_revision.allocator.sed
+++ b/model/quota/mutants/any_revision.allocator.sed
@@ -1,2 +1,2 @@
-# A gateway has the same file, whatever it tells.
-s/const bool same = request\.revision == .*/const bool same = request.revision > 0;/
+# A gateway counts as having the same file, whatever it reports.
+s/const bool is_current = request\.revision == .*/const bool is_current = request.revision > 0;/
--- a/model/quota/mutants/counts_from_receipt.account.sed
+++ b/model/quota/mutants/counts_from_receipt.account.sed
@@ -1,2 +1,2 @@
-# A grant lasts from its receipt.
-s/asked->second + std::min/now + std::min/
+# A grant's lifetime counts from its receipt.
+s/const Time expires_at = requested_at->second + lifetime;/const Time expires_at = now + lifetime;/
--- a/model/quota/mutants/credits_all.bucket.sed
+++ b/model/quota/mutants/credits_all.bucket.sed
@@ -1,2 +1,2 @@
-# A credit puts back all of its charge.
-s/) most = std::min(most, Room(g));/) {}/
+# A credit returns all of its charge.
+s/credit = std::min(credit, MinHeadroom(period));//
--- a/model/quota/mutants/forgets_early.commitments.sed
+++ b/model/quota/mutants/forgets_early.commitments.sed
@@ -1,2 +1,2 @@
-# A grant is forgotten a slot before it has ended.
-s/grant\.until <= now;/grant.until <= now + slot_;/
+# A grant is forgotten a slot before it has expired.
+s/grant\.expires_at <= now;/grant.expires_at <= now + slot_;/
--- a/model/quota/mutants/guard_not_asked.allocator.sed
+++ b/model/quota/mutants/guard_not_checked.allocator.sed
@@ -1,2 +1,2 @@
-# The guard is not asked.
+# The guard is not checked.
 s/^  if (!guard\.Holds(now)) return;//
--- a/model/quota/mutants/late_acknowledgement.commitments.sed
+++ b/model/quota/mutants/late_acknowledgement.commitments.sed
@@ -1,2 +1,2 @@
 # An acknowledgement ends newer grants, too.
-s/grant\.life == life && grant\.id < id;/grant.life == life \&\& grant.id != id;/
+s/grant\.incarnation == incarnation && grant\.id < id;/grant.incarnation == incarnation \&\& grant.id != id;/
--- a/model/quota/mutants/lent_from_receipt.commitments.sed
+++ b/model/quota/mutants/lent_from_receipt.commitments.sed
@@ -1,2 +1,2 @@
-# A floor is away until the grant has ended for certain.
-s/taken->sent + away - apart_/taken->until + 0 * away/
+# A reserved minimum is lent until the grant has certainly expired.
+s/taken->sent_at + lent_for - max_clock_difference_/taken->expires_at + 0 * lent_for/
--- a/model/quota/mutants/no_margin.partner_allocator.sed
+++ b/model/quota/mutants/no_margin.partner_allocator.sed
@@ -1,2 +1,2 @@
-# A grant has ended when its life is over by the allocator's clock.
-s/until = asker\.at + life + timings_->Apart()/until = asker.at + life/
+# A grant has expired when its lifetime is over by the allocator's clock.
+s/expires_at = received + lifetime + margin/expires_at = received + lifetime/
--- a/model/quota/mutants/nothing_out.commitments.sed
+++ b/model/quota/mutants/nothing_out.commitments.sed
@@ -1,2 +1,2 @@
-# No grant is out when the lease is to be given back.
-/^Time Commitments::LastEnd/,/^}/{/held\.grants) now/d;/gateway, held/d}
+# No grant is outstanding when the lease is to be released.
+/^Time Commitments::LastExpiry/,/^}/{/commitment\.grants)/d;/gateway, commitment/d}
--- /dev/null
+++ b/model/quota/mutants/one_slot.grant_planner.sed
@@ -0,0 +1,2 @@
+# Only the first slot of a grant is checked.
+s/if (begin >= max_end) break;/if (begin > first_slot_) break;/
--- a/model/quota/mutants/renewal_refills.bucket.sed
+++ b/model/quota/mutants/renewal_refills.bucket.sed
@@ -1,2 +1,2 @@
-# A bucket is full whenever its part changes.
+# A bucket is full whenever its allocation changes.
 s/^  level_ = std::min(level_, depth_);/  level_ = level_ > 0 ? depth_ : 0;/
--- a/model/quota/mutants/starts_full.bucket.sed
+++ b/model/quota/mutants/starts_full.bucket.sed
@@ -1,2 +1,2 @@
 # A bucket that had no depth is full as soon as it has one.
-s/^  depth_ = part\.depth \* kFine;/  if (depth_ == 0) level_ = part.depth * kFine;\n&/
+s/^  depth_ = allocation\.depth \* kFineUnits;/  if (depth_ == 0) level_ = allocation.depth * kFineUnits;\n&/
--- a/model/quota/scale/crowd.cpp
+++ b/model/quota/scale/crowd.cpp
@@ -4,6 +4,8 @@
 #include <utility>
 #include <variant>
 
+#include "quota/message_codec.h"
+
 namespace load_balancer::model::scale {
 namespace {
 
@@ -16,16 +18,20 @@
 
 struct Wire {
   std::size_t allocator = 0;
-  std::variant<quota::Request, quota::Answer, fleet::LeaseMessage> message;
+  std::variant<quota::AllocationRequest, quota::AllocationResponse, fleet::LeaseMessage> message;
 };
 
 template <typename Message>
 std::size_t BytesOf(std::size_t allocator, const Message& message) {
-  return kEnvelope + json::to_msgpack(json{{"t", allocator}, {"q", quota::ToJson(message)}}).size();
+  return kEnvelope + json::to_msgpack(json{{quota::kAllocatorKey, allocator},
+                                           {quota::kRequestKey, quota::ToJson(message)}})
+                         .size();
+}
+std::size_t EntriesOf(const quota::AllocationRequest& request) {
+  return request.grant_requests.size() + request.acks.size();
 }
-std::size_t EntriesOf(const quota::Request& request) { return request.asks.size() + request.acks.size(); }
-std::size_t EntriesOf(const quota::Answer& answer) {
-  return answer.grants.size() + answer.calls.size() + answer.floors.size();
+std::size_t EntriesOf(const quota::AllocationResponse& response) {
+  return response.grants.size() + response.recalls.size() + response.reserved_minimums.size();
 }
 
 }  // namespace
@@ -36,12 +42,12 @@
       : all_(all),
         host_(host),
         number_(number),
-        life_(++all.lives_),
-        account_({SiteName(all.SiteOf(number)), all.options_.per_site, life_, all.options_.allocators,
+        incarnation_(++all.incarnations_),
+        account_({SiteName(all.SiteOf(number)), all.options_.per_site, incarnation_, all.options_.allocators,
                   all.options_.timings},
                  all.budgets_, host.Now()) {
     if (!all.candidate_[number]) return;
-    leases_.emplace(host, life_, number, all.voters_, all.options_.allocators, all.options_.timings,
+    leases_.emplace(host, incarnation_, number, all.voters_, all.options_.allocators, all.options_.timings,
                     all.holders_, [&host](const Endpoint& to, const fleet::LeaseMessage& message) {
                       host.Send(to, Wire{0, message}, kLeaseBytes);
                     });
@@ -54,19 +60,19 @@
   void Receive(const Packet& packet) override {
     Serve();
     const auto& wire = std::any_cast<const Wire&>(*packet.content);
-    if (const auto* answer = std::get_if<quota::Answer>(&wire.message)) {
+    if (const auto* response = std::get_if<quota::AllocationResponse>(&wire.message)) {
       const double begin = all_.Processor();
       quota::AccountActions actions;
-      account_.Receive(host_.Now(), wire.allocator, *answer, &actions);
+      account_.OnResponse(host_.Now(), wire.allocator, *response, &actions);
       Act(actions);
       all_.Timed(begin, &all_.gateway_costs_.rest_s);
-    } else if (const auto* request = std::get_if<quota::Request>(&wire.message)) {
+    } else if (const auto* request = std::get_if<quota::AllocationRequest>(&wire.message)) {
       const auto guard = leases_ ? leases_->Guard(wire.allocator) : std::nullopt;
       if (!guard) return;
       const double begin = all_.Processor();
       quota::AllocatorActions actions;
-      allocators_[wire.allocator].Receive(host_.Now(), *guard, all_.names_[all_.by_address_.at(packet.from)],
-                                          *request, &actions);
+      allocators_[wire.allocator].OnRequest(
+          host_.Now(), *guard, all_.names_[all_.by_address_.at(packet.from)], *request, &actions);
       Act(wire.allocator, actions);
       all_.Timed(begin, &all_.allocator_costs_.rest_s);
     } else if (leases_) {
@@ -112,11 +118,11 @@
       const Time at = all_.clocks_[number_].At(arrival->at);
       const bool timed = ++all_.gateway_costs_.charges % kTimedCharges == 0;
       const double begin = timed ? all_.Processor() : 0;
-      const quota::Charged charged = account_.Charge(at, all_.partners_[arrival->partner], 1);
+      const quota::ChargeResult charged = account_.Charge(at, all_.partners_[arrival->partner], 1);
       if (timed)
         all_.gateway_costs_.charges_s += (all_.Processor() - begin) * static_cast<double>(kTimedCharges);
-      all_.offered_[arrival->partner].push_back(
-          {arrival->at, static_cast<std::uint32_t>(number_), charged.verdict == quota::Verdict::kInside});
+      all_.offered_[arrival->partner].push_back({arrival->at, static_cast<std::uint32_t>(number_),
+                                                 charged.verdict == quota::ChargeVerdict::kWithinBudget});
     }
   }
 
@@ -138,14 +144,14 @@
 
   void Act(std::size_t allocator, const quota::AllocatorActions& actions) {
     for (const quota::AllocatorAction& action : actions)
-      if (const auto* send = std::get_if<quota::SendAnswer>(&action))
-        Send(all_.by_name_.at(send->gateway), allocator, send->answer, &all_.allocator_costs_);
+      if (const auto* send = std::get_if<quota::SendResponse>(&action))
+        Send(all_.by_name_.at(send->gateway), allocator, send->response, &all_.allocator_costs_);
   }
 
   Crowd& all_;
   Host& host_;
   const std::size_t number_;
-  const std::uint64_t life_;
+  const std::uint64_t incarnation_;
   quota::Account account_;
   std::vector<quota::Allocator> allocators_;
   std::optional<LeaseMember> leases_;
@@ -179,8 +185,8 @@
   wide.least = options.wide_least;
   wide.most = options.wide_most;
   world_.network().SetWide(wide);
-  const double apart = options.clocks_apart * std::chrono::duration<double>(options.timings.drift) /
-                       std::chrono::duration<double>(options.timings.term);
+  const double apart = options.clocks_apart * std::chrono::duration<double>(options.timings.clock_drift) /
+                       std::chrono::duration<double>(options.timings.lease_term);
   for (std::size_t i = 0; i < count; ++i) {
     MachineClock clock;
     clock.rate = 1 + apart * std::uniform_real_distribution<>(-1, 1)(world_.random());
--- a/model/quota/scale/crowd.h
+++ b/model/quota/scale/crowd.h
@@ -42,7 +42,7 @@
 // Of all gateways, or of all allocators, together.
 struct Costs {
   std::uint64_t messages = 0, bytes = 0;  // sent
-  std::uint64_t entries = 0;              // asks, acks, grants, calls and floors in them
+  std::uint64_t entries = 0;  // grant requests, acks, grants, recalls and reserved minimums in them
   std::uint64_t charges = 0;
   double charges_s = 0, rest_s = 0;  // processor time in the classes: charging; all else
 };
@@ -90,7 +90,7 @@
   std::vector<Endpoint> addresses_;
   std::map<Endpoint, std::size_t> by_address_;
   std::map<std::string, std::size_t> by_name_;
-  quota::Layout layout_;
+  quota::SiteLayout layout_;
   std::vector<MachineClock> clocks_;
   std::vector<Endpoint> voters_;
   std::vector<bool> candidate_;
@@ -99,7 +99,7 @@
   std::vector<std::vector<Offered>> offered_;
   Costs gateway_costs_, allocator_costs_;
   double clock_s_ = 0;
-  std::uint64_t lives_ = 0;
+  std::uint64_t incarnations_ = 0;
 };
 
 }  // namespace load_balancer::model::scale
--- a/model/quota/scale/judges.h
+++ b/model/quota/scale/judges.h
@@ -19,15 +19,15 @@
 class StaticDivision {
  public:
   StaticDivision(const quota::Budget& budget, std::size_t gateways)
-      : rate_(budget.rate / static_cast<quota::Milli>(gateways)),
-        burst_(budget.burst / static_cast<quota::Milli>(gateways)) {}
+      : rate_(budget.rate / static_cast<quota::MilliUnits>(gateways)),
+        burst_(budget.burst / static_cast<quota::MilliUnits>(gateways)) {}
   bool Offer(std::size_t gateway, Moment at) {
     if (rate_ <= 0) return false;
-    return windows_.try_emplace(gateway, rate_, burst_).first->second.Offer({at, quota::kOne});
+    return windows_.try_emplace(gateway, rate_, burst_).first->second.Offer({at, quota::kUnit});
   }
 
  private:
-  quota::Milli rate_, burst_;
+  quota::MilliUnits rate_, burst_;
   std::map<std::size_t, Window> windows_;
 };
 
@@ -45,7 +45,7 @@
       window_.Admit({at, budget_.burst});
     }
     holder_ = holder;
-    return window_.Offer({at, quota::kOne});
+    return window_.Offer({at, quota::kUnit});
   }
 
  private:
--- a/model/quota/scale/run.cpp
+++ b/model/quota/scale/run.cpp
@@ -11,8 +11,8 @@
 namespace load_balancer::model::scale {
 namespace {
 
-using quota::kOne;
-using quota::Milli;
+using quota::kUnit;
+using quota::MilliUnits;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -26,14 +26,15 @@
   budgets->revision = 1;
   for (std::size_t i = 0; i < options.partners; ++i) {
     quota::Budget& budget = budgets->partners[PartnerName(i)];
-    budget.rate = std::llround(options.per_s * static_cast<double>(options.active)) * kOne;
+    budget.rate = std::llround(options.per_s * static_cast<double>(options.active)) * kUnit;
     budget.burst = std::llround(static_cast<double>(budget.rate) * options.burst_s);
-    const auto floor = static_cast<Milli>(static_cast<double>(budget.rate) * options.floors /
-                                          static_cast<double>(options.sites));
-    std::map<std::string, Milli> floors;
-    for (std::size_t site = 0; site < options.sites; ++site) floors[Crowd::SiteName(site)] = floor;
-    budget.floors = floors;
-    if (quota::FloorOf(budget, Crowd::SiteName(0), options.per_site).depth < kOne) budget.floors.clear();
+    const auto minimum = static_cast<MilliUnits>(
+        static_cast<double>(budget.rate) * options.reserved_minimums / static_cast<double>(options.sites));
+    std::map<std::string, MilliUnits> minimums;
+    for (std::size_t site = 0; site < options.sites; ++site) minimums[Crowd::SiteName(site)] = minimum;
+    budget.reserved_minimums = minimums;
+    if (quota::ReservedMinimumOf(budget, Crowd::SiteName(0), options.per_site).depth < kUnit)
+      budget.reserved_minimums.clear();
   }
   return budgets;
 }
@@ -52,7 +53,7 @@
     std::array<double, kWays> got{};
   };
 
-  Milli rate;
+  MilliUnits rate;
   Window exact, ideal;
   StaticDivision divided;
   CentralCounter central;
@@ -125,7 +126,7 @@
         if (i % parts == part % parts) at.push_back(all[i]);
       double weights = 0;
       for (std::size_t i = 0; i < at.size(); ++i) weights += Weight(i);
-      const double demand = options_.demand[p % 2] * static_cast<double>(accounts_[p].rate) / kOne;
+      const double demand = options_.demand[p % 2] * static_cast<double>(accounts_[p].rate) / kUnit;
       for (std::size_t i = 0; i < at.size(); ++i)
         crowd_.clients(at[i]).Add(p, demand * Weight(i) / weights, from, until, random_());
     }
@@ -160,8 +161,8 @@
       through[kProduct] = one.inside;
       through[kStatic] = kept.divided.Offer(one.gateway, one.at);
       through[kCentral] = kept.central.Offer(one.at, reached ? holder : std::nullopt);
-      through[kIdeal] = kept.ideal.Offer({one.at, kOne});
-      if (one.inside) figures_.over = std::max(figures_.over, kept.exact.Admit({one.at, kOne}));
+      through[kIdeal] = kept.ideal.Offer({one.at, kUnit});
+      if (one.inside) figures_.over = std::max(figures_.over, kept.exact.Admit({one.at, kUnit}));
       if (!counting || !kept.counts) continue;
       Kept::Count& count = kept.by_gateway[one.gateway];
       ++count.asked;
@@ -191,7 +192,7 @@
     double weights = 0;
     for (const Kept& kept : accounts_) {
       if (!kept.counts) continue;
-      figures_.budget += static_cast<double>(kept.rate) / kOne;
+      figures_.budget += static_cast<double>(kept.rate) / kUnit;
       std::vector<double> demands;
       for (const auto& [gateway, count] : kept.by_gateway) demands.push_back(count.asked);
       const double asked = std::accumulate(demands.begin(), demands.end(), 0.0);
--- a/model/quota/scale/run.h
+++ b/model/quota/scale/run.h
@@ -25,7 +25,7 @@
   std::size_t active = 9;                  // gateways that a partner has traffic at
   double per_s = 20;                       // of a partner's budget for each of these
   double burst_s = 2;                      // of the budget's rate
-  double floors = 0.3;                     // of the budget, where a gateway's part is one request or more
+  double reserved_minimums = 0.3;          // of the budget, where a gateway's part is one request or more
   std::array<double, 2> demand{1.5, 0.7};  // of the budget, of every other partner
   Moment warm = std::chrono::seconds(12);
   Moment counted = std::chrono::seconds(20);
--- a/model/quota/scenario.cpp
+++ b/model/quota/scenario.cpp
@@ -8,7 +8,7 @@
 
 using quota::Budget;
 using quota::Budgets;
-using quota::kOne;
+using quota::kUnit;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -26,36 +26,37 @@
   options_.per_site = Chance(60) ? 1 : Draw<std::size_t>(2, 3);
   options_.allocators = Draw<std::size_t>(1, 2);
   // From grants much shorter than the leases to grants as long as they may be.
-  options_.timings.grant_life =
+  options_.timings.max_grant_lifetime =
       milliseconds(std::vector{500, 1000, 2000, 2700, 2790}[Draw<std::size_t>(0, 4)]);
-  options_.timings.ask = options_.timings.grant_life / Draw(4, 10);
+  options_.timings.request_interval = options_.timings.max_grant_lifetime / Draw(4, 10);
   options_.greed.on = true;
   options_.greed.probe = Chance(50) ? 1 : 2;
   options_.greed.credited = Chance(25) ? 0.3 : 0;
   options_.late = std::vector<double>{0, 0, 0.1, 0.4}[Draw<std::size_t>(0, 3)];
   options_.again = std::vector<double>{0, 0.3, 0.8}[Draw<std::size_t>(0, 2)];
-  options_.latest = options_.timings.grant_life * Draw(1, 15) / 10;
+  options_.latest = options_.timings.max_grant_lifetime * Draw(1, 15) / 10;
   partners_ = {"isar"};
   if (Chance(20)) partners_.emplace_back("lech");
-  rate_ = 1000 * kOne;
+  rate_ = 1000 * kUnit;
   // The smaller the burst, the less of an overspend hides in it.
   burst_ = rate_ * Draw(10, 60) / 1000;
   DrawFiles();
 }
 
-// Floors are none, or up to all of the budget, with most of it anywhere.
+// Reserved minimums are none, or up to all of the budget, with most of it anywhere.
 Budget Scenario::DrawBudget() {
   Budget budget;
   budget.rate = rate_;
   budget.burst = burst_;
   if (Chance(25)) return budget;
-  Milli left = budget.rate * (Chance(50) ? 10 : Draw(2, 10)) / 10;
+  MilliUnits left = budget.rate * (Chance(50) ? 10 : Draw(2, 10)) / 10;
   std::vector<std::size_t> sites{0, 1, 2};
   std::shuffle(sites.begin(), sites.end(), random_);
   for (const std::size_t site : sites) {
-    const Milli floor = site == sites.back() ? left : Draw<Milli>(site == sites.front() ? left / 2 : 0, left);
-    budget.floors[Gateways::SiteName(site)] = floor;
-    left -= floor;
+    const MilliUnits minimum =
+        site == sites.back() ? left : Draw<MilliUnits>(site == sites.front() ? left / 2 : 0, left);
+    budget.reserved_minimums[Gateways::SiteName(site)] = minimum;
+    left -= minimum;
   }
   return budget;
 }
@@ -69,7 +70,7 @@
     for (const std::string& partner : partners_)
       if (revision != 2 || !drops) budgets->partners[partner] = DrawBudget();
     files_.push_back(std::move(budgets));
-    if (Chance(30)) rate_ = Draw<Milli>(500, 1500) * kOne;
+    if (Chance(30)) rate_ = Draw<MilliUnits>(500, 1500) * kUnit;
     if (Chance(30)) burst_ = rate_ * Draw(10, 60) / 1000;
   }
   // The third file may come before all have the second.
@@ -101,16 +102,16 @@
   // Arrange.
   if (!Reloads(seed_)) options.kinds.insert(options.kinds.end(), {kCrash, kCrashNoDisk, kCrash, kCrash});
   std::vector<Fault> faults = DrawFaults(seed_, options);
-  // One gateway after the other is alone for about a grant's life: what it has is not renewed.
+  // One gateway after the other is alone for about a grant's lifetime: what it has is not renewed.
   std::mt19937_64 random(seed_);
   const auto draw = [&random](Moment low, Moment high) {
     return Moment(std::uniform_int_distribution<Moment::rep>(low.count(), high.count())(random));
   };
-  const Moment life = options_.timings.grant_life;
+  const Moment lifetime = options_.timings.max_grant_lifetime;
   for (Moment at = kSettled; seed_ % 2 == 0 && at < kRun;) {
-    const Moment lasts = draw(life / 2, life * 2);
+    const Moment lasts = draw(lifetime / 2, lifetime * 2);
     faults.push_back({at, lasts, kPartition, {static_cast<std::size_t>(random() % options.machines)}, 0});
-    at += draw(life, life * 2 + seconds(1));
+    at += draw(lifetime, lifetime * 2 + seconds(1));
   }
   if (!RestartsAll(seed_)) return faults;
   Fault all{seconds(8), milliseconds(100), kCrash, {}, 0};
--- a/model/quota/scenario.h
+++ b/model/quota/scenario.h
@@ -33,7 +33,7 @@
   void Arrange(Gateways& gateways);
 
  private:
-  using Milli = quota::Milli;
+  using MilliUnits = quota::MilliUnits;
   template <typename Whole>
   Whole Draw(Whole low, Whole high) {
     return std::uniform_int_distribution<Whole>(low, high)(random_);
@@ -50,7 +50,7 @@
   std::mt19937_64 random_;
   GatewaysOptions options_;
   std::vector<std::string> partners_;
-  Milli rate_ = 0, burst_ = 0;  // of each partner, if they stay as they are
+  MilliUnits rate_ = 0, burst_ = 0;  // of each partner, if they stay as they are
   std::vector<std::shared_ptr<const quota::Budgets>> files_;
   std::vector<std::vector<Moment>> reloads_;  // of each file but the first, by gateway
   Moment reloaded_{0};
--- a/model/quota/search.cpp
+++ b/model/quota/search.cpp
@@ -9,10 +9,10 @@
 namespace load_balancer::model {
 namespace {
 
-using quota::Milli;
+using quota::MilliUnits;
 
 struct Bound {
-  Milli rate = 0, burst = 0;
+  MilliUnits rate = 0, burst = 0;
 };
 
 // The larger of all files, as the partner has it in each.
@@ -41,7 +41,7 @@
 std::optional<QuotaFinding> CheckLater(std::uint64_t seed, const Scenario& scenario,
                                        const std::string& partner, const std::vector<Admission>& admitted) {
   const quota::Timings& timings = scenario.options().timings;
-  const Moment held = scenario.reloaded() + timings.grant_life + timings.drift;
+  const Moment held = scenario.reloaded() + timings.max_grant_lifetime + timings.clock_drift;
   std::vector<Admission> later;
   for (const Admission& admission : admitted)
     if (admission.at >= held) later.push_back(admission);
--- a/model/quota/spender.h
+++ b/model/quota/spender.h
@@ -44,7 +44,7 @@
   struct Unproven {
     Time at;
     quota::Account* account;
-    quota::Ticket ticket;
+    quota::ChargeReceipt receipt;
   };
   const Greed greed_;
   std::mt19937_64 random_;
--- a/model/system/checks.cpp
+++ b/model/system/checks.cpp
@@ -55,7 +55,7 @@
   largest = std::max(largest, token);
 }
 
-std::size_t Checks::Admitted(const std::string& partner, Try one, quota::Milli cost) {
+std::size_t Checks::Admitted(const std::string& partner, Try one, quota::MilliUnits cost) {
   auto& charges = charges_[partner];
   charges.push_back({{now(), cost}, one, false});
   return charges.size() - 1;
--- a/model/system/checks.h
+++ b/model/system/checks.h
@@ -37,7 +37,7 @@
   // An act for an exclusive duty of that pool under a lease of this token.
   void Acted(std::size_t machine, std::size_t pool, const std::string& duty, fleet::Token token);
   // A request was charged as inside its budget; returns the charge's number among its partner's.
-  std::size_t Admitted(const std::string& partner, Try one, quota::Milli cost);
+  std::size_t Admitted(const std::string& partner, Try one, quota::MilliUnits cost);
   void Credited(const std::string& partner, std::size_t number);
   // A request got its answer because its partner is over a budget that refuses.
   void OverBudget(Try one) { over_budget_.insert(one); }
--- a/model/system/gateway.cpp
+++ b/model/system/gateway.cpp
@@ -59,7 +59,7 @@
 void SystemGateway::Leave() {
   site().Leave();
   quota_.Pause();
-  leaves_at_ = quota_.OutUntil();
+  leaves_at_ = quota_.GrantsExpireAt();
 }
 
 void SystemGateway::Rejoin() {
@@ -93,12 +93,15 @@
 bool SystemGateway::Admit(Request& request, RequestId id) {
   const std::string& partner = wiring_.tenants.at(static_cast<std::size_t>(request.ask.tenant));
   const Checks::Try one{request.ask.call, request.ask.tried};
-  const quota::Charged charged = quota_.Charge(partner, request.ask.work_ms);
-  if (charged.verdict == quota::Verdict::kInside)
-    charged_[id] = {checks_.Admitted(partner, one, charged.ticket.cost), charged.ticket};
-  if (charged.verdict != quota::Verdict::kUnknown)
-    request.submit.share = charged.verdict == quota::Verdict::kInside ? Share::kInside : Share::kOver;
-  if (charged.verdict != quota::Verdict::kOver || charged.over != quota::Over::kRefuse) return true;
+  const quota::ChargeResult charged = quota_.Charge(partner, request.ask.work_ms);
+  if (charged.verdict == quota::ChargeVerdict::kWithinBudget)
+    charged_[id] = {checks_.Admitted(partner, one, charged.receipt.cost), charged.receipt};
+  if (charged.verdict != quota::ChargeVerdict::kNoBudget)
+    request.submit.share =
+        charged.verdict == quota::ChargeVerdict::kWithinBudget ? Share::kInside : Share::kOver;
+  if (charged.verdict != quota::ChargeVerdict::kOverBudget ||
+      charged.over_limit_action != quota::OverLimitAction::kReject)
+    return true;
   checks_.OverBudget(one);
   const Span most = std::chrono::duration_cast<Span>(options_.settings.max_retry_after);
   Finish(id, Ending::kRefused, std::min(most, charged.retry_after));
@@ -108,8 +111,8 @@
 void SystemGateway::CreditIfNotRun(RequestId id, const Request& request) {
   const auto found = charged_.find(id);
   if (found == charged_.end() || request.attempt_out || request.may_have_run) return;
-  quota_.Credit(found->second.ticket);
-  checks_.Credited(found->second.ticket.partner, found->second.number);
+  quota_.Credit(found->second.receipt);
+  checks_.Credited(found->second.receipt.partner, found->second.number);
   charged_.erase(found);
 }
 
--- a/model/system/gateway.h
+++ b/model/system/gateway.h
@@ -58,7 +58,7 @@
  private:
   struct Charged {
     std::size_t number = 0;  // among the partner's, as the checks count
-    quota::Ticket ticket;
+    quota::ChargeReceipt receipt;
   };
 
   bool OnArrival(RequestId id, Request& request) override;
--- a/model/system/mutants/credit_all.sed
+++ b/model/system/mutants/credit_all.sed
@@ -1,2 +1,2 @@
-# A credit puts back all, whatever was spent since.
-/most = std::min(most, Room(g))/d
+# A credit returns all, whatever was spent since.
+s/credit = std::min(credit, MinHeadroom(period));//
--- a/model/system/quota_side.cpp
+++ b/model/system/quota_side.cpp
@@ -4,15 +4,19 @@
 #include <algorithm>
 #include <utility>
 
+#include "quota/message_codec.h"
+
 namespace load_balancer::model {
 namespace {
 
-constexpr const char *kAllocatorKey = "t", *kRequestKey = "q", *kAnswerKey = "a";
+using quota::kAllocatorKey;
+using quota::kRequestKey;
+using quota::kResponseKey;
 
 quota::AccountOptions OptionsOf(const Wiring& wiring, const PoolMember& pool, const Host& host) {
   const std::string& site = wiring.sites.at(pool.options().site);
-  const auto life = static_cast<std::uint64_t>(host.True().count()) + 1;
-  return {site, wiring.layout.at(site).size(), life, wiring.allocators, wiring.timings};
+  const auto incarnation = static_cast<std::uint64_t>(host.True().count()) + 1;
+  return {site, wiring.layout.at(site).size(), incarnation, wiring.allocators, wiring.timings};
 }
 
 }  // namespace
@@ -29,16 +33,17 @@
                              wiring.budgets);
 }
 
-quota::Charged QuotaSide::Charge(std::string_view partner, double work_ms) {
+quota::ChargeResult QuotaSide::Charge(std::string_view partner, double work_ms) {
   const auto budget = wiring_.budgets->partners.find(partner);
   if (budget == wiring_.budgets->partners.end()) return {};
   return account_.Charge(host_.Now(), partner, budget->second.unit == quota::Unit::kRequests ? 1 : work_ms);
 }
 
-Time QuotaSide::OutUntil() const {
+Time QuotaSide::GrantsExpireAt() const {
   const Time now = host_.Now();
   Time latest = now;
-  for (const quota::Allocator& allocator : allocators_) latest = std::max(latest, allocator.OutUntil(now));
+  for (const quota::Allocator& allocator : allocators_)
+    latest = std::max(latest, allocator.GrantsExpireAt(now));
   return latest;
 }
 
@@ -52,8 +57,8 @@
   const auto allocator = payload.at(kAllocatorKey).get<std::size_t>();
   if (const auto request = payload.find(kRequestKey); request != payload.end())
     TakeRequest(allocator, gateway, *request);
-  if (const auto answer = payload.find(kAnswerKey); answer != payload.end())
-    TakeAnswer(allocator, gateway, *answer);
+  if (const auto response = payload.find(kResponseKey); response != payload.end())
+    TakeResponse(allocator, gateway, *response);
 }
 
 std::optional<fleet::LeaseGuard> QuotaSide::Guard(std::size_t allocator) const {
@@ -63,18 +68,18 @@
 void QuotaSide::TakeRequest(std::size_t allocator, const std::string& gateway, const nlohmann::json& json) {
   const auto guard = Guard(allocator);
   if (!guard) return;
-  const auto request = quota::RequestFromJson(json, gateway);
+  const auto request = quota::AllocationRequestFromJson(json, gateway);
   if (!request) return;
   quota::AllocatorActions actions;
-  allocators_[allocator].Receive(host_.Now(), *guard, gateway, *request, &actions);
+  allocators_[allocator].OnRequest(host_.Now(), *guard, gateway, *request, &actions);
   Do(allocator, actions, *guard);
 }
 
-void QuotaSide::TakeAnswer(std::size_t allocator, const std::string& gateway, const nlohmann::json& json) {
-  const auto answer = quota::AnswerFromJson(json, gateway);
-  if (!answer) return;
+void QuotaSide::TakeResponse(std::size_t allocator, const std::string& gateway, const nlohmann::json& json) {
+  const auto response = quota::AllocationResponseFromJson(json, gateway);
+  if (!response) return;
   quota::AccountActions actions;
-  account_.Receive(host_.Now(), allocator, *answer, &actions);
+  account_.OnResponse(host_.Now(), allocator, *response, &actions);
   Do(actions);
 }
 
@@ -95,9 +100,9 @@
   for (std::size_t i = 0; i < allocators_.size(); ++i) {
     const auto guard = Guard(i);
     if (!guard) continue;
-    quota::AllocatorActions handed_out;
-    allocators_[i].Tick(now, *guard, &handed_out);
-    Do(i, handed_out, *guard);
+    quota::AllocatorActions issued;
+    allocators_[i].Tick(now, *guard, &issued);
+    Do(i, issued, *guard);
   }
 }
 
@@ -111,10 +116,10 @@
 void QuotaSide::Do(std::size_t allocator, const quota::AllocatorActions& actions,
                    const fleet::LeaseGuard& guard) {
   for (const quota::AllocatorAction& action : actions) {
-    const auto* send = std::get_if<quota::SendAnswer>(&action);
+    const auto* send = std::get_if<quota::SendResponse>(&action);
     if (!send) continue;
     checks_.Acted(machine_, kWidePool, guard.duty(), guard.token());
-    Send(send->gateway, {{kAllocatorKey, allocator}, {kAnswerKey, quota::ToJson(send->answer)}});
+    Send(send->gateway, {{kAllocatorKey, allocator}, {kResponseKey, quota::ToJson(send->response)}});
   }
 }
 
--- a/model/system/quota_side.h
+++ b/model/system/quota_side.h
@@ -26,8 +26,8 @@
   // Of the gateway on that machine; all that is given outlives this.
   QuotaSide(Host& host, PoolMember& pool, std::size_t machine, const Wiring& wiring, Checks& checks);
 
-  quota::Charged Charge(std::string_view partner, double work_ms);
-  void Credit(const quota::Ticket& ticket) { account_.Credit(host_.Now(), ticket); }
+  quota::ChargeResult Charge(std::string_view partner, double work_ms);
+  void Credit(const quota::ChargeReceipt& receipt) { account_.Credit(host_.Now(), receipt); }
   void Receive(const std::string& gateway, const nlohmann::json& payload);
   void Tick();
   Time Next() const;
@@ -36,13 +36,13 @@
   void Pause() { paused_ = true; }
   void Resume() { paused_ = false; }
   // No grant that was handed out here is in force from then on.
-  Time OutUntil() const;
+  Time GrantsExpireAt() const;
 
  private:
   std::optional<fleet::LeaseGuard> Guard(std::size_t allocator) const;
   void Send(const std::string& gateway, nlohmann::json payload);
   void TakeRequest(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
-  void TakeAnswer(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
+  void TakeResponse(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
   void Do(const quota::AccountActions& actions);
   void Do(std::size_t allocator, const quota::AllocatorActions& actions, const fleet::LeaseGuard& guard);
 
--- a/model/system/scenario.cpp
+++ b/model/system/scenario.cpp
@@ -11,8 +11,8 @@
 namespace load_balancer::model {
 namespace {
 
-using quota::kOne;
-using quota::Milli;
+using quota::kUnit;
+using quota::MilliUnits;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -51,17 +51,18 @@
   for (std::size_t i = 0; i < kPartners; ++i) {
     quota::Budget& budget = budgets->partners[wiring.tenants[i]];
     budget.unit = i == 1 ? quota::Unit::kWork : quota::Unit::kRequests;
-    budget.over = i == 2 ? quota::Over::kMark : quota::Over::kRefuse;
+    budget.over_limit_action = i == 2 ? quota::OverLimitAction::kMark : quota::OverLimitAction::kReject;
     const double per_s = all / kPartners * dice.Real(0.2, 1) * (i == 1 ? kWork : 1);
-    budget.rate = static_cast<Milli>(per_s) * kOne;
+    budget.rate = static_cast<MilliUnits>(per_s) * kUnit;
     // Small bursts leave an overspend little to hide in.
-    const auto share = static_cast<Milli>(2 + dice.Below(80));
-    const Milli largest = (i == 1 ? static_cast<Milli>(10 * kWork) : 1) * kOne;
-    budget.burst = std::max(budget.rate * share / 100, largest * static_cast<Milli>(wiring.addresses.size()));
+    const auto share = static_cast<MilliUnits>(2 + dice.Below(80));
+    const MilliUnits largest = (i == 1 ? static_cast<MilliUnits>(10 * kWork) : 1) * kUnit;
+    budget.burst =
+        std::max(budget.rate * share / 100, largest * static_cast<MilliUnits>(wiring.addresses.size()));
     if (i == 0) continue;
-    const auto floor = budget.rate * static_cast<Milli>(1 + dice.Below(9)) / 10;
+    const auto minimum = budget.rate * static_cast<MilliUnits>(1 + dice.Below(9)) / 10;
     for (const std::string& site : wiring.sites)
-      budget.floors[site] = floor / static_cast<Milli>(wiring.sites.size());
+      budget.reserved_minimums[site] = minimum / static_cast<MilliUnits>(wiring.sites.size());
   }
   return budgets;
 }
@@ -127,7 +128,7 @@
     federation.wide_duties.push_back({Wiring::AllocatorOf(i), fleet::DutyKind::kExclusive});
   for (const std::string& site : wiring.sites)
     federation.duties.push_back({Wiring::AmbassadorOf(site), fleet::DutyKind::kExclusive});
-  const double bound = std::chrono::duration<double>(wiring.timings.drift) / wiring.timings.term;
+  const double bound = std::chrono::duration<double>(wiring.timings.clock_drift) / wiring.timings.lease_term;
   federation.most_rate_error = ClocksApart(seed) ? bound : kSmallError;
   scene.settings.classes = Classes();
   scene.settings.tenants.assign(wiring.tenants.size(), TenantSettings{kCapacity});
--- a/model/system/wiring.h
+++ b/model/system/wiring.h
@@ -13,6 +13,7 @@
 
 #include "model/program.h"
 #include "quota/budget.h"
+#include "quota/duty.h"
 #include "spill/options.h"
 
 namespace load_balancer::model {
@@ -21,7 +22,7 @@
   std::vector<std::string> sites;             // by number
   std::map<std::string, Endpoint> addresses;  // of each gateway, in all pools
   spill::Directory directory;
-  quota::Layout layout;
+  quota::SiteLayout layout;
   spill::Options spill;
   quota::Timings timings;
   std::size_t allocators = 2;
@@ -29,7 +30,7 @@
   std::vector<std::string> tenants;  // by the settings' numbers
 
   static std::string AmbassadorOf(const std::string& site) { return "ambassador/" + site; }
-  static std::string AllocatorOf(std::size_t number) { return "treasurer/" + std::to_string(number); }
+  static std::string AllocatorOf(std::size_t number) { return quota::AllocatorDuty(number); }
 };
 
 }  // namespace load_balancer::model
--- a/src/proxy/config/across.cpp
+++ b/src/proxy/config/across.cpp
@@ -8,8 +8,8 @@
 namespace load_balancer::proxy {
 namespace {
 
-quota::Layout LayoutOf(const fleet::SitesSection& sites) {
-  quota::Layout layout;
+quota::SiteLayout LayoutOf(const fleet::SitesSection& sites) {
+  quota::SiteLayout layout;
   for (const auto& [site, gateways] : sites.gateways)
     for (const auto& [name, at] : gateways) layout[site].insert(name);
   return layout;
--- a/src/proxy/config/replacement.cpp
+++ b/src/proxy/config/replacement.cpp
@@ -11,6 +11,7 @@
 #include "config/across.h"
 #include "config/reader.h"
 #include "config/settings_check.h"
+#include "quota/key_aliases.h"
 
 namespace load_balancer::proxy {
 namespace {
@@ -90,9 +91,10 @@
   setting("kinds", json::array());
   setting("registryMode", "push");
   fixed(fresh.quota.on == current.quota.on, "quota");
-  fixed(fresh.quota.allocators == current.quota.allocators, "quota.treasurers");
-  fixed(fresh.quota.grant_life == current.quota.grant_life, "quota.draw_ms");
-  fixed(fresh.quota.ask == current.quota.ask, "quota.ask_ms");
+  fixed(fresh.quota.allocators == current.quota.allocators, "quota." + fresh.quota.key_names.allocators);
+  fixed(fresh.quota.max_grant_lifetime == current.quota.max_grant_lifetime,
+        "quota." + fresh.quota.key_names.grant_lifetime);
+  fixed(fresh.quota.request_interval == current.quota.request_interval, "quota.ask_ms");
 }
 
 // As a start would have it, but for what the environment said then: its discovery is as old as the process,
@@ -114,8 +116,11 @@
   if (!fresh.quota.on) return;
   if (fresh.quota.budgets.revision < current.quota.budgets.revision)
     throw BadConfig("quota.revision is smaller than the one in force");
+  const auto partners = [](const json& file) {
+    return quota::WithPresentKeys(file).at("quota").at("partners");
+  };
   if (fresh.quota.budgets.revision == current.quota.budgets.revision &&
-      root.at("quota").at("partners") != current.file->at("quota").at("partners"))
+      partners(root) != partners(*current.file))
     throw BadConfig("quota.partners is another, and quota.revision the same");
 }
 
@@ -124,7 +129,7 @@
 Config Replacement(const json& root, const Config& current) {
   std::vector<std::string> faults;
   const Config fresh = ReadConfig(root, AtReload(root, Text(current.listen)), &faults);
-  AddMissingKeys(*current.file, root, "", &faults);
+  AddMissingKeys(quota::WithPresentKeys(*current.file), quota::WithPresentKeys(root), "", &faults);
   AddFixed(root, fresh, current, &faults);
   if (!faults.empty()) throw BadConfig(std::move(faults));
   CheckRevision(root, fresh, current);
--- a/src/proxy/core/pending.h
+++ b/src/proxy/core/pending.h
@@ -30,8 +30,8 @@
   Steady::time_point due{};
   std::shared_ptr<Responder> responder;  // null once answered
   std::uint64_t key = 0;
-  quota::Ticket ticket;  // of what was charged to its owner's budget
-  Submit submit;         // as the module was told
+  quota::ChargeReceipt charge_receipt;  // of what was charged to its owner's budget
+  Submit submit;                        // as the module was told
   TimePoint came{};
   int attempts = 0;
   bool attempt_out = false;
--- a/src/proxy/federation/federation.cpp
+++ b/src/proxy/federation/federation.cpp
@@ -35,21 +35,21 @@
                                             std::move(connections), buffers, pool_, site, host);
 }
 
-quota::Charged Federation::Charge(std::string_view owner, double work_ms) {
-  return quota_ ? quota_->Charge(owner, work_ms) : quota::Charged{};
+quota::ChargeResult Federation::Charge(std::string_view owner, double work_ms) {
+  return quota_ ? quota_->Charge(owner, work_ms) : quota::ChargeResult{};
 }
 
-void Federation::Credit(const quota::Ticket& ticket) {
-  if (quota_) quota_->Credit(ticket);
+void Federation::Credit(const quota::ChargeReceipt& receipt) {
+  if (quota_) quota_->Credit(receipt);
 }
 
 void Federation::Reconfigure(const Config& config) {
-  if (quota_ && !stopped_) quota_->Renew(config.quota);
+  if (quota_ && !stopped_) quota_->UpdateBudgets(config.quota);
 }
 
 // A lease given back while grants are out would let the next allocator hand them out a second time.
 void Federation::LeaveWhenDone(void (fleet::Node::*leave)()) {
-  leave_timer_.expires_at(quota_ ? quota_->OutUntil() : Steady::now());
+  leave_timer_.expires_at(quota_ ? quota_->GrantsExpireAt() : Steady::now());
   leave_timer_.async_wait([this, leave](const boost::system::error_code& cancelled) {
     if (!cancelled) (pool_.node().*leave)();
   });
--- a/src/proxy/federation/federation.h
+++ b/src/proxy/federation/federation.h
@@ -33,8 +33,8 @@
   const SpillService* spill() const { return spill_.get(); }
 
   // Whether a request that came in here is within its owner's budget; kUnknown without one.
-  quota::Charged Charge(std::string_view owner, double work_ms);
-  void Credit(const quota::Ticket& ticket);
+  quota::ChargeResult Charge(std::string_view owner, double work_ms);
+  void Credit(const quota::ChargeReceipt& receipt);
 
   void Reconfigure(const Config& config);
   // Out of the pool, and back. The leases are kept until what was done under them has ended.
--- a/src/proxy/federation/link.cpp
+++ b/src/proxy/federation/link.cpp
@@ -26,17 +26,20 @@
   if (!federation_ || request.spilled || request.config->tenants.empty()) return true;
   const std::string& owner = request.config->tenants[static_cast<std::size_t>(request.tenant)];
   const auto charged = federation_->Charge(owner, request.has_hint ? request.work_ms : module_.MeanWork());
-  pending->ticket = charged.ticket;
-  if (charged.verdict != quota::Verdict::kUnknown)
-    submit->share = charged.verdict == quota::Verdict::kInside ? Share::kInside : Share::kOver;
-  if (charged.verdict != quota::Verdict::kOver || charged.over != quota::Over::kRefuse) return true;
+  pending->charge_receipt = charged.receipt;
+  if (charged.verdict != quota::ChargeVerdict::kNoBudget)
+    submit->share = charged.verdict == quota::ChargeVerdict::kWithinBudget ? Share::kInside : Share::kOver;
+  if (charged.verdict != quota::ChargeVerdict::kOverBudget ||
+      charged.over_limit_action != quota::OverLimitAction::kReject)
+    return true;
   const Duration most = request.config->settings.max_retry_after;
   responder.OverBudget(std::min(most, Duration(charged.retry_after)));
   return false;
 }
 
 void FederationLink::CreditIfNotRun(const Pending& pending) {
-  if (federation_ && !pending.attempt_out && !pending.may_have_run) federation_->Credit(pending.ticket);
+  if (federation_ && !pending.attempt_out && !pending.may_have_run)
+    federation_->Credit(pending.charge_receipt);
 }
 
 bool FederationLink::Spill(RequestId request, Duration retry_after) {
--- a/src/proxy/federation/quota_service.cpp
+++ b/src/proxy/federation/quota_service.cpp
@@ -8,26 +8,30 @@
 #include <utility>
 
 #include "base/log.h"
+#include "quota/duty.h"
+#include "quota/message_codec.h"
 
 namespace load_balancer::proxy {
 namespace {
 
-using quota::kOne;
-using quota::Milli;
+using quota::kAllocatorKey;
+using quota::kChannel;
+using quota::kRequestKey;
+using quota::kResponseKey;
+using quota::kUnit;
+using quota::MilliUnits;
 using Source = quota::PartnerAccount::Source;
 
-constexpr const char* kChannel = "quota";
-constexpr const char *kAllocatorKey = "t", *kRequestKey = "q", *kAnswerKey = "a";
 constexpr std::chrono::milliseconds kLook{50};  // for the pool's address and for leases that come
 
-double Units(Milli amount) { return static_cast<double>(amount) / static_cast<double>(kOne); }
+double Units(MilliUnits amount) { return static_cast<double>(amount) / static_cast<double>(kUnit); }
 
-// As STATE and the log have it: they call a grant a draw.
+// In STATE and in the log a reserved minimum is called a floor, and a grant a draw.
 const char* Name(Source source) {
   switch (source) {
     case Source::kNone:
       return "none";
-    case Source::kFloor:
+    case Source::kReservedMinimum:
       return "floor";
     case Source::kGrant:
       return "draw";
@@ -35,39 +39,37 @@
   return "";
 }
 
-quota::Layout LayoutOf(const fleet::SitesSection& sites) {
-  quota::Layout layout;
+quota::SiteLayout LayoutOf(const fleet::SitesSection& sites) {
+  quota::SiteLayout layout;
   for (const auto& [site, gateways] : sites.gateways)
     for (const auto& [name, at] : gateways) layout[site].insert(name);
   return layout;
 }
 
 quota::Timings TimingsOf(const fleet::SitesSection& sites, const quota::QuotaSection& section) {
-  return {section.grant_life, section.ask, sites.lease_term, sites.lease_drift};
+  return {section.max_grant_lifetime, section.request_interval, sites.lease_term, sites.lease_drift};
 }
 
 quota::AccountOptions AccountOptionsOf(const fleet::SitesSection& sites, const quota::QuotaSection& section,
-                                       std::uint64_t life) {
-  return {sites.site, sites.gateways.at(sites.site).size(), life, section.allocators,
+                                       std::uint64_t incarnation) {
+  return {sites.site, sites.gateways.at(sites.site).size(), incarnation, section.allocators,
           TimingsOf(sites, section)};
 }
 
 }  // namespace
 
-// The lease's name is an interface of its own, and older than the class.
-std::string QuotaService::DutyOf(std::size_t allocator) { return "treasurer/" + std::to_string(allocator); }
-
 std::vector<std::string> QuotaService::Duties(const quota::QuotaSection& section) {
   std::vector<std::string> duties;
-  for (std::size_t i = 0; section.on && i < section.allocators; ++i) duties.push_back(DutyOf(i));
+  for (std::size_t i = 0; section.on && i < section.allocators; ++i)
+    duties.push_back(quota::AllocatorDuty(i));
   return duties;
 }
 
 QuotaService::QuotaService(boost::asio::io_context& io, const fleet::SitesSection& sites,
-                           const quota::QuotaSection& section, std::uint64_t life, Pool& pool)
+                           const quota::QuotaSection& section, std::uint64_t incarnation, Pool& pool)
     : io_(io),
       pool_(pool),
-      options_(AccountOptionsOf(sites, section, life)),
+      options_(AccountOptionsOf(sites, section, incarnation)),
       budgets_(std::make_shared<const quota::Budgets>(section.budgets)),
       timer_(io) {
   for (std::size_t i = 0; i < section.allocators; ++i)
@@ -85,14 +87,14 @@
   account_.emplace(options_, budgets_, Steady::now());
 }
 
-quota::Charged QuotaService::Charge(std::string_view partner, double work_ms) {
+quota::ChargeResult QuotaService::Charge(std::string_view partner, double work_ms) {
   const auto budget = budgets_->partners.find(partner);
   if (budget == budgets_->partners.end()) return {};
   Begin();
-  quota::Charged charged;
-  charged.verdict = quota::Verdict::kOver;
-  charged.over = budget->second.over;
-  charged.retry_after = options_.timings.grant_life;
+  quota::ChargeResult charged;
+  charged.verdict = quota::ChargeVerdict::kOverBudget;
+  charged.over_limit_action = budget->second.over_limit_action;
+  charged.retry_after = options_.timings.max_grant_lifetime;
   if (account_)
     charged =
         account_->Charge(Steady::now(), partner, budget->second.unit == quota::Unit::kRequests ? 1 : work_ms);
@@ -100,16 +102,16 @@
   return charged;
 }
 
-void QuotaService::Credit(const quota::Ticket& ticket) {
-  if (account_) account_->Credit(Steady::now(), ticket);
+void QuotaService::Credit(const quota::ChargeReceipt& receipt) {
+  if (account_) account_->Credit(Steady::now(), receipt);
 }
 
-void QuotaService::Renew(const quota::QuotaSection& section) {
+void QuotaService::UpdateBudgets(const quota::QuotaSection& section) {
   budgets_ = std::make_shared<const quota::Budgets>(section.budgets);
-  for (quota::Allocator& allocator : allocators_) allocator.Renew(budgets_);
+  for (quota::Allocator& allocator : allocators_) allocator.UpdateBudgets(budgets_);
   if (account_) {
     quota::AccountActions actions;
-    account_->Renew(Steady::now(), budgets_, &actions);
+    account_->UpdateBudgets(Steady::now(), budgets_, &actions);
     Do(actions);
   }
   log::Info("quota",
@@ -128,10 +130,11 @@
   if (account_) account_->Retire(Steady::now());
 }
 
-Steady::time_point QuotaService::OutUntil() const {
+Steady::time_point QuotaService::GrantsExpireAt() const {
   auto latest = Steady::now();
   const auto now = latest;
-  for (const quota::Allocator& allocator : allocators_) latest = std::max(latest, allocator.OutUntil(now));
+  for (const quota::Allocator& allocator : allocators_)
+    latest = std::max(latest, allocator.GrantsExpireAt(now));
   return latest;
 }
 
@@ -165,34 +168,35 @@
   if (index >= allocators_.size()) return;
   if (const auto request = payload.find(kRequestKey); request != payload.end())
     TakeRequest(index, gateway, *request);
-  if (const auto answer = payload.find(kAnswerKey); answer != payload.end())
-    TakeAnswer(index, gateway, *answer);
+  if (const auto response = payload.find(kResponseKey); response != payload.end())
+    TakeResponse(index, gateway, *response);
   Arm();
 }
 
-// The right to hand out grants.
+// The right to issue grants.
 std::optional<fleet::LeaseGuard> QuotaService::Guard(std::size_t allocator) const {
-  return paused_ || stopped_ ? std::nullopt : pool_.Guard(DutyOf(allocator));
+  return paused_ || stopped_ ? std::nullopt : pool_.Guard(quota::AllocatorDuty(allocator));
 }
 
 void QuotaService::TakeRequest(std::size_t allocator, const std::string& gateway,
                                const nlohmann::json& json) {
   const auto guard = Guard(allocator);
-  if (!guard) return;  // another's by now: the gateway asks again
-  const auto request = quota::RequestFromJson(json, gateway);
+  if (!guard) return;  // another process holds it by now: the gateway repeats its request
+  const auto request = quota::AllocationRequestFromJson(json, gateway);
   if (!request) return log::Warn("quota", request.error());
   quota::AllocatorActions actions;
-  allocators_[allocator].Receive(Steady::now(), *guard, gateway, *request, &actions);
+  allocators_[allocator].OnRequest(Steady::now(), *guard, gateway, *request, &actions);
   Do(allocator, actions);
 }
 
-void QuotaService::TakeAnswer(std::size_t allocator, const std::string& gateway, const nlohmann::json& json) {
-  const auto answer = quota::AnswerFromJson(json, gateway);
-  if (!answer) return log::Warn("quota", answer.error());
+void QuotaService::TakeResponse(std::size_t allocator, const std::string& gateway,
+                                const nlohmann::json& json) {
+  const auto response = quota::AllocationResponseFromJson(json, gateway);
+  if (!response) return log::Warn("quota", response.error());
   Begin();
   if (!account_) return;
   quota::AccountActions actions;
-  account_->Receive(Steady::now(), allocator, *answer, &actions);
+  account_->OnResponse(Steady::now(), allocator, *response, &actions);
   Do(actions);
 }
 
@@ -239,38 +243,39 @@
 }
 
 void QuotaService::Do(const quota::SendRequest& action) {
-  Send(pool_.HolderOf(DutyOf(action.allocator)),
+  Send(pool_.HolderOf(quota::AllocatorDuty(action.allocator)),
        {{kAllocatorKey, action.allocator}, {kRequestKey, quota::ToJson(action.request)}});
 }
 
 void QuotaService::Do(const quota::SourceChanged& action) {
   log::Info("quota", fmt::format("partner={} source={} per_s={:.3f} depth={:.3f} draw={}/{}", action.partner,
-                                 Name(action.source), Units(action.part.rate), Units(action.part.depth),
-                                 action.grant.token, action.grant.number));
+                                 Name(action.source), Units(action.in_force.rate),
+                                 Units(action.in_force.depth), action.grant.token, action.grant.number));
 }
 
-void QuotaService::Do(const quota::Complain& action) { log::Warn("quota", action.failure); }
+void QuotaService::Do(const quota::LogWarning& action) { log::Warn("quota", action.failure); }
 
 void QuotaService::Do(std::size_t allocator, const quota::AllocatorActions& actions) {
   for (const auto& action : actions) {
     if (const auto* begun = std::get_if<quota::TermBegan>(&action))
-      log::Info("quota", fmt::format("duty={} token={} hands out draws", DutyOf(allocator), begun->token));
-    else if (const auto* warning = std::get_if<quota::AllocatorWarning>(&action))
+      log::Info("quota", fmt::format("duty={} token={} hands out draws", quota::AllocatorDuty(allocator),
+                                     begun->token));
+    else if (const auto* warning = std::get_if<quota::LogWarning>(&action))
       log::Warn("quota", warning->failure);
-    else if (const auto* send = std::get_if<quota::SendAnswer>(&action))
-      Send(send->gateway, {{kAllocatorKey, allocator}, {kAnswerKey, quota::ToJson(send->answer)}});
+    else if (const auto* send = std::get_if<quota::SendResponse>(&action))
+      Send(send->gateway, {{kAllocatorKey, allocator}, {kResponseKey, quota::ToJson(send->response)}});
   }
 }
 
 // ---- operators ----------------------------------------------------------------------------------------
 std::string QuotaService::Describe() {
   const auto now = Steady::now();
-  std::string line =
-      fmt::format("revision={}{}", budgets_->revision, account_ && account_->agreed() ? "" : " not agreed");
+  std::string line = fmt::format("revision={}{}", budgets_->revision,
+                                 account_ && account_->is_agreed() ? "" : " not agreed");
   if (account_)
-    for (const auto& each : account_->Lines(now)) {
+    for (const auto& each : account_->Statuses(now)) {
       const auto& budget = budgets_->partners.at(each.partner);
-      const auto floor = quota::FloorOf(budget, options_.site, options_.gateways);
+      const auto floor = quota::ReservedMinimumOf(budget, options_.site, options_.gateways);
       line +=
           fmt::format(", {} per_s={:.3f} burst={:.3f} floor={:.3f} source={} in_force={:.3f} demand={:.3f}",
                       each.partner, Units(budget.rate), Units(budget.burst), Units(floor.rate),
@@ -278,9 +283,9 @@
     }
   for (std::size_t i = 0; i < allocators_.size(); ++i) {
     if (!Guard(i)) continue;
-    for (const auto& each : allocators_[i].Lines(now))
-      line += fmt::format(", {} {} per_s={:.3f} committed={:.3f} asking={}", DutyOf(i), each.partner,
-                          Units(each.rate), Units(each.committed), each.demand.size());
+    for (const auto& each : allocators_[i].Statuses(now))
+      line += fmt::format(", {} {} per_s={:.3f} committed={:.3f} asking={}", quota::AllocatorDuty(i),
+                          each.partner, Units(each.rate), Units(each.committed), each.demand.size());
   }
   return line;
 }
--- a/src/proxy/federation/quota_service.h
+++ b/src/proxy/federation/quota_service.h
@@ -25,36 +25,35 @@
 
 class QuotaService {
  public:
-  // The duty of the allocator of that number.
-  static std::string DutyOf(std::size_t allocator);
+  /// The names of the leases of all allocators.
   static std::vector<std::string> Duties(const quota::QuotaSection& section);
 
-  // `life` differs from that of any process of this gateway before. `pool` outlives this.
+  // `incarnation` differs from that of any earlier process of this gateway. `pool` outlives this.
   QuotaService(boost::asio::io_context& io, const fleet::SitesSection& sites,
-               const quota::QuotaSection& section, std::uint64_t life, Pool& pool);
+               const quota::QuotaSection& section, std::uint64_t incarnation, Pool& pool);
   QuotaService(const QuotaService&) = delete;
   QuotaService& operator=(const QuotaService&) = delete;
 
   // A request of `partner` that comes in here, of so much hinted work in ms.
-  quota::Charged Charge(std::string_view partner, double work_ms);
+  quota::ChargeResult Charge(std::string_view partner, double work_ms);
   // It is proven not to have run.
-  void Credit(const quota::Ticket& ticket);
+  void Credit(const quota::ChargeReceipt& receipt);
 
-  void Renew(const quota::QuotaSection& section);
-  // Hands out no grants, until Resume.
+  void UpdateBudgets(const quota::QuotaSection& section);
+  // Issues no grants, until Resume.
   void Pause() { paused_ = true; }
   void Resume();
-  // Admits nothing as inside from now on, and hands out no grants.
+  // Admits nothing as inside from now on, and issues no grants.
   void Stop();
-  // No grant that this process has handed out is in force from then on; its leases must not go before.
-  Steady::time_point OutUntil() const;
+  // When the last grant that this process has issued expires; its leases must not be released before.
+  Steady::time_point GrantsExpireAt() const;
 
-  // Of the allocators, for the process's next life.
+  // The allocators' demand ledgers, for the next process.
   nlohmann::json Ledger() const;
   void Load(const nlohmann::json& ledger);
 
   // One line: each partner's budget, what is in force here and why, and for this process's allocators what is
-  // handed out.
+  // granted.
   std::string Describe();
 
  private:
@@ -63,7 +62,7 @@
   void Receive(const std::string& gateway, const nlohmann::json& payload);
   std::optional<fleet::LeaseGuard> Guard(std::size_t allocator) const;
   void TakeRequest(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
-  void TakeAnswer(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
+  void TakeResponse(std::size_t allocator, const std::string& gateway, const nlohmann::json& json);
   void Tick();
   void Arm();
   Steady::time_point Next() const;
@@ -71,7 +70,7 @@
   void Do(const quota::AccountActions& actions);
   void Do(const quota::SendRequest& action);
   void Do(const quota::SourceChanged& action);
-  void Do(const quota::Complain& action);
+  void Do(const quota::LogWarning& action);
   void Do(std::size_t allocator, const quota::AllocatorActions& actions);
 
   boost::asio::io_context& io_;
--- a/src/quota/account.cpp
+++ b/src/quota/account.cpp
@@ -5,208 +5,201 @@
 #include <cmath>
 
 #include "quota/failures.h"
+#include "quota/message_split.h"
 
 namespace load_balancer::quota {
 namespace {
 
 using std::chrono::milliseconds;
 
-constexpr Span kGreeting = std::chrono::seconds(1);  // between two requests that only tell the revision
+// Between two requests that only report the revision, until it is agreed.
+constexpr Span kAnnounceInterval = std::chrono::seconds(1);
 
-// At least a Milli, at most what no bucket holds.
-Milli CostOf(double units) {
-  const double cost = std::ceil(units * static_cast<double>(kOne));
+// At least one MilliUnit, and at most more than any bucket holds.
+MilliUnits CostOf(double units) {
+  const double cost = std::ceil(units * static_cast<double>(kUnit));
   if (!(cost >= 1)) return 1;
-  return cost < static_cast<double>(kMostBurst) ? static_cast<Milli>(cost) : kMostBurst + 1;
+  return cost < static_cast<double>(kMaxBurst) ? static_cast<MilliUnits>(cost) : kMaxBurst + 1;
+}
+
+void Send(std::size_t allocator, const AllocationRequest& request, AccountActions* actions) {
+  for (AllocationRequest& message : Split(request))
+    actions->push_back(SendRequest{allocator, std::move(message)});
 }
 
 }  // namespace
 
 Account::Account(AccountOptions options, std::shared_ptr<const Budgets> budgets, Time now)
     : options_(std::move(options)),
-      budgets_(std::move(budgets)),
-      begun_(now),
-      floors_from_(now + options_.timings.grant_life + options_.timings.drift),
-      next_(Time::max()) {}
-
-Account::Entry* Account::Find(std::string_view partner) {
-  const auto found = entries_.find(partner);
-  if (found != entries_.end()) return &found->second;
-  const auto budget = budgets_->partners.find(partner);
-  if (budget == budgets_->partners.end()) return nullptr;
-  const Part floor = retired_ ? Part{} : FloorOf(budget->second, options_.site, options_.gateways);
-  return &entries_
-              .emplace(partner, Entry{PartnerAccount(begun_, {floor, floor, floors_from_}, options_.timings)})
-              .first->second;
-}
+      accounts_({options_.site, options_.gateways}, options_.timings, std::move(budgets), now) {}
 
 void Account::Activate(Time now, const std::string& partner, Entry& entry) {
-  if (entry.active) return;
-  entry.active = true;
-  active_.emplace(partner, &entry);
-  next_ = std::min(next_, now);
+  if (accounts_.Activate(partner, entry)) next_ = std::min(next_, now);
 }
 
-Charged Account::Charge(Time now, std::string_view partner, double units) {
-  Entry* entry = Find(partner);
+ChargeResult Account::Charge(Time now, std::string_view partner, double units) {
+  Entry* entry = accounts_.Find(partner);
   if (!entry) return {};
-  Charged charged{
-      Verdict::kOver, budgets_->partners.find(partner)->second.over, Span(0), {std::string(partner), now, 0}};
-  const Milli cost = CostOf(units);
+  ChargeResult result;
+  result.verdict = ChargeVerdict::kOverBudget;
+  result.over_limit_action = budgets().partners.find(partner)->second.over_limit_action;
+  result.receipt = {std::string(partner), now, 0};
+  const MilliUnits cost = CostOf(units);
   if (entry->account.Charge(now, cost)) {
-    charged.verdict = Verdict::kInside;
-    charged.ticket.cost = cost;
+    result.verdict = ChargeVerdict::kWithinBudget;
+    result.receipt.cost = cost;
   } else {
-    charged.retry_after = entry->account.Until(now, cost).value_or(options_.timings.ask);
+    const auto wait = entry->account.TimeUntilAvailable(now, cost);
+    result.retry_after = wait.value_or(options_.timings.request_interval);
   }
-  Activate(now, charged.ticket.partner, *entry);
-  return charged;
+  Activate(now, result.receipt.partner, *entry);
+  return result;
 }
 
-void Account::Credit(Time now, const Ticket& ticket) {
-  const auto found = entries_.find(ticket.partner);
-  if (ticket.cost > 0 && found != entries_.end()) found->second.account.Credit(now, ticket.at, ticket.cost);
+void Account::Credit(Time now, const ChargeReceipt& receipt) {
+  if (receipt.cost <= 0) return;
+  if (Entry* entry = accounts_.FindExisting(receipt.partner))
+    entry->account.Credit(now, receipt.charged_at, receipt.cost);
 }
 
-void Account::Receive(Time now, std::size_t allocator, const Answer& answer, AccountActions* actions) {
-  if (retired_) return;
-  if (answer.revision != budgets_->revision) {
-    // A newer file lowers this gateway's floors before it is read here.
-    for (const Floor& floor : answer.floors)
-      if (Entry* entry = Find(floor.partner)) {
-        const FloorTerms& terms = entry->account.floor();
-        entry->account.SetFloor(now, Smaller(terms.part, floor.part), terms.full);
-      }
-    return;
+AllocationRequest Account::EmptyRequest(std::uint64_t number) const {
+  return {options_.incarnation, budgets().revision, number, {}, {}};
+}
+
+void Account::OnResponse(Time now, std::size_t allocator, const AllocationResponse& response,
+                         AccountActions* actions) {
+  if (is_retired_) return;
+  if (response.revision != budgets().revision) return ApplyNewerRevision(now, response);
+  if (response.is_agreed) OnRevisionAgreed(now);
+  for (const std::string& partner : response.recalls) {
+    Entry* entry = accounts_.Find(partner);
+    if (!entry) continue;
+    entry->account.OnRecall();
+    Activate(now, partner, *entry);
+    next_ = std::min(next_, now);
   }
-  if (answer.agreed) Agree(now);
-  for (const std::string& partner : answer.calls)
-    if (Entry* entry = Find(partner)) {
-      entry->account.Call();
-      Activate(now, partner, *entry);
-      next_ = std::min(next_, now);
-    }
-  if (answer.life != options_.life) return;
-  Request acks{options_.life, budgets_->revision, ask_, {}, {}};
-  for (const Grant& grant : answer.grants) {
-    const auto asked = asked_.find(grant.ask);
-    Entry* entry = asked == asked_.end() ? nullptr : Find(grant.partner);
+  if (response.incarnation == options_.incarnation) AcceptGrants(now, allocator, response, actions);
+}
+
+// A newer file lowers this gateway's reserved minimums before it is read here.
+void Account::ApplyNewerRevision(Time now, const AllocationResponse& response) {
+  for (const ReservedMinimum& minimum : response.reserved_minimums) {
+    Entry* entry = accounts_.Find(minimum.partner);
     if (!entry) continue;
-    const Time until =
-        asked->second + std::min<Span>(milliseconds(grant.life_ms), options_.timings.grant_life);
-    if (!entry->account.Take(now, grant, {answer.token, grant.number}, until)) continue;
-    acks.acks.push_back(entry->account.Held(now));
+    const ReservedMinimumTerms& terms = entry->account.reserved_minimum();
+    entry->account.SetReservedMinimum(now, ElementwiseMin(terms.usable, minimum.allocation),
+                                      terms.configured);
+  }
+}
+
+void Account::AcceptGrants(Time now, std::size_t allocator, const AllocationResponse& response,
+                           AccountActions* actions) {
+  AllocationRequest acks = EmptyRequest(last_request_);
+  for (const Grant& grant : response.grants) {
+    const auto requested_at = request_times_.find(grant.request_number);
+    if (requested_at == request_times_.end()) continue;
+    Entry* entry = accounts_.Find(grant.partner);
+    if (!entry) continue;
+    const Span lifetime =
+        std::min<Span>(milliseconds(grant.lifetime_ms), options_.timings.max_grant_lifetime);
+    const Time expires_at = requested_at->second + lifetime;
+    if (!entry->account.Accept(now, grant, {response.token, grant.number}, expires_at)) continue;
+    acks.acks.push_back(entry->account.HeldGrant(now));
     acks.acks.back().partner = grant.partner;
     Activate(now, grant.partner, *entry);
-    Tell(now, grant.partner, *entry, actions);
+    ReportSource(now, grant.partner, *entry, actions);
   }
-  for (Request& request : Split(acks)) actions->push_back(SendRequest{allocator, std::move(request)});
+  Send(allocator, acks, actions);
 }
 
-void Account::Tell(Time now, const std::string& partner, Entry& entry, AccountActions* actions) {
+void Account::ReportSource(Time now, const std::string& partner, Entry& entry, AccountActions* actions) {
   using Source = PartnerAccount::Source;
   const Source source = entry.account.SourceAt(now);
-  if (source == entry.told) return;
-  if (entry.told == Source::kGrant && entry.account.Wanted(now) > 0)
-    actions->push_back(Complain{Failure(kNoAllocator, partner)});
-  entry.told = source;
+  if (source == entry.reported_source) return;
+  if (entry.reported_source == Source::kGrant && entry.account.Demand(now) > 0)
+    actions->push_back(LogWarning{Failure(kNoAllocator, partner)});
+  entry.reported_source = source;
   actions->push_back(
-      SourceChanged{partner, source, entry.account.InForce(now), entry.account.Held(now).grant});
+      SourceChanged{partner, source, entry.account.InForce(now), entry.account.HeldGrant(now).grant});
 }
 
-void Account::SendOut(std::vector<Request> requests, AccountActions* actions) {
-  for (std::size_t allocator = 0; allocator < requests.size(); ++allocator)
-    for (Request& request : Split(requests[allocator]))
-      actions->push_back(SendRequest{allocator, std::move(request)});
+std::vector<AllocationRequest> Account::CollectRequests(Time now, AccountActions* actions) {
+  using Urgency = PartnerAccount::RequestUrgency;
+  std::vector<AllocationRequest> requests(options_.allocators, EmptyRequest(last_request_ + 1));
+  const auto request_for = [&](const std::string& partner) -> AllocationRequest& {
+    return requests[AllocatorOf(partner, options_.allocators)];
+  };
+  const auto add = [now](const std::string& partner, Entry& entry, AllocationRequest& request) {
+    request.grant_requests.push_back(entry.account.MakeRequest(now));
+    request.grant_requests.back().held.partner = partner;
+  };
+  PartnerAccounts::ActiveEntries with_others;
+  for (const auto& [partner, entry] : accounts_.active()) {
+    ReportSource(now, partner, *entry, actions);
+    const Urgency urgency = is_retired_ ? Urgency::kNone : entry->account.NextRequest(now);
+    if (urgency == Urgency::kNow) add(partner, *entry, request_for(partner));
+    if (urgency == Urgency::kWithOthers) with_others.emplace(partner, entry);
+  }
+  accounts_.DropIdle(now);
+  for (const auto& [partner, entry] : with_others) {
+    AllocationRequest& request = request_for(partner);
+    if (!request.grant_requests.empty()) add(partner, *entry, request);
+  }
+  return requests;
 }
 
 void Account::Tick(Time now, AccountActions* actions) {
   if (now < next_) return;
-  std::erase_if(asked_, [&](const auto& asked) { return now - asked.second > options_.timings.grant_life; });
-  std::vector<Request> requests(options_.allocators,
-                                Request{options_.life, budgets_->revision, ask_ + 1, {}, {}});
-  std::vector<std::pair<const std::string*, Entry*>> soon;
-  const auto ask = [&](const std::string& partner, Entry& entry, Request& request) {
-    request.asks.push_back(entry.account.MakeAsk(now));
-    request.asks.back().held.partner = partner;
-  };
-  for (auto it = active_.begin(); it != active_.end();) {
-    auto& [partner, entry] = *it;
-    Tell(now, partner, *entry, actions);
-    const auto asking = retired_ ? PartnerAccount::Asking::kNo : entry->account.WantsToAsk(now);
-    if (asking == PartnerAccount::Asking::kNow)
-      ask(partner, *entry, requests[AllocatorOf(partner, options_.allocators)]);
-    else if (asking == PartnerAccount::Asking::kWithOthers)
-      soon.emplace_back(&partner, entry);
-    entry->active = !entry->account.Idle(now);
-    it = entry->active ? std::next(it) : active_.erase(it);
-  }
-  for (const auto& [partner, entry] : soon)
-    if (Request& request = requests[AllocatorOf(*partner, options_.allocators)]; !request.asks.empty())
-      ask(*partner, *entry, request);
-  const bool asks = std::any_of(requests.begin(), requests.end(),
-                                [](const Request& request) { return !request.asks.empty(); });
-  if (asks) asked_.emplace(++ask_, now);
-  SendOut(std::move(requests), actions);
-  if (now >= greet_at_) {
-    for (std::size_t i = 0; i < options_.allocators; ++i)
-      actions->push_back(SendRequest{i, {options_.life, budgets_->revision, ask_, {}, {}}});
-    greet_at_ = now + kGreeting;
-  }
-  next_ = std::min(greet_at_, active_.empty() ? Time::max() : now + Demand::kBin);
+  std::erase_if(request_times_, [&](const auto& request) {
+    return now - request.second > options_.timings.max_grant_lifetime;
+  });
+  const std::vector<AllocationRequest> requests = CollectRequests(now, actions);
+  const bool has_requests =
+      std::any_of(requests.begin(), requests.end(),
+                  [](const AllocationRequest& request) { return !request.grant_requests.empty(); });
+  if (has_requests) request_times_.emplace(++last_request_, now);
+  for (std::size_t allocator = 0; allocator < requests.size(); ++allocator)
+    Send(allocator, requests[allocator], actions);
+  if (now >= announce_at_) AnnounceRevision(now, actions);
+  const bool is_idle = accounts_.active().empty();
+  next_ = std::min(announce_at_, is_idle ? Time::max() : now + DemandEstimator::kBinWidth);
 }
 
-void Account::Agree(Time now) {
-  if (agreed_) return;
-  agreed_ = true;
-  greet_at_ = Time::max();
-  for (auto& [partner, entry] : entries_)
-    entry.account.SetFloor(now, entry.account.floor().full, entry.account.floor().full);
+void Account::AnnounceRevision(Time now, AccountActions* actions) {
+  for (std::size_t allocator = 0; allocator < options_.allocators; ++allocator)
+    actions->push_back(SendRequest{allocator, EmptyRequest(last_request_)});
+  announce_at_ = now + kAnnounceInterval;
 }
 
-void Account::Renew(Time now, std::shared_ptr<const Budgets> budgets, AccountActions* actions) {
-  const std::shared_ptr<const Budgets> before = std::exchange(budgets_, std::move(budgets));
-  if (before->revision == budgets_->revision) return;
-  for (auto it = entries_.begin(); it != entries_.end();) {
-    const bool stays = budgets_->partners.contains(it->first);
-    if (!stays) active_.erase(it->first);
-    it = stays ? std::next(it) : entries_.erase(it);
-  }
-  for (const auto& [partner, budget] : budgets_->partners) {
-    const Part full = FloorOf(budget, options_.site, options_.gateways);
-    const auto old = before->partners.find(partner);
-    if (old == before->partners.end()) {
-      // It may have been there before that, with its floor lent.
-      const Time from = now + options_.timings.grant_life + options_.timings.drift;
-      entries_.emplace(partner, Entry{PartnerAccount(now, {full, full, from}, options_.timings)});
-      continue;
-    }
-    const Part was = FloorOf(old->second, options_.site, options_.gateways);
-    if (was == full && !entries_.contains(partner)) continue;
-    if (!entries_.contains(partner))
-      entries_.emplace(partner, Entry{PartnerAccount(begun_, {was, was, floors_from_}, options_.timings)});
-    PartnerAccount& account = entries_.find(partner)->second.account;
-    account.SetFloor(now, Smaller(account.floor().part, full), full);
-  }
-  agreed_ = false;
-  greet_at_ = now;
+void Account::OnRevisionAgreed(Time now) {
+  if (is_agreed_) return;
+  is_agreed_ = true;
+  announce_at_ = Time::max();
+  accounts_.UseConfiguredMinimums(now);
+}
+
+void Account::UpdateBudgets(Time now, std::shared_ptr<const Budgets> budgets, AccountActions* actions) {
+  if (!accounts_.UpdateBudgets(now, std::move(budgets))) return;
+  is_agreed_ = false;
+  announce_at_ = now;
   next_ = std::min(next_, now);
   Tick(now, actions);
 }
 
 void Account::Retire(Time now) {
-  retired_ = true;
-  floors_from_ = Time::max();
-  greet_at_ = Time::max();
-  for (auto& [partner, entry] : entries_) entry.account.SetFloor(now, {}, {});
-}
-
-std::vector<Account::Line> Account::Lines(Time now) {
-  std::vector<Line> lines;
-  for (const auto& [partner, entry] : active_)
-    lines.push_back({partner, entry->account.SourceAt(now), entry->account.InForce(now),
-                     entry->account.Held(now), entry->account.Wanted(now)});
-  return lines;
+  is_retired_ = true;
+  announce_at_ = Time::max();
+  accounts_.Retire(now);
+}
+
+std::vector<PartnerAccountStatus> Account::Statuses(Time now) {
+  std::vector<PartnerAccountStatus> statuses;
+  for (const auto& [partner, entry] : accounts_.active()) {
+    PartnerAccount& account = entry->account;
+    statuses.push_back(
+        {partner, account.SourceAt(now), account.InForce(now), account.HeldGrant(now), account.Demand(now)});
+  }
+  return statuses;
 }
 
 }  // namespace load_balancer::quota
--- a/src/quota/account.h
+++ b/src/quota/account.h
@@ -1,134 +1,136 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The gateway's side of quotas: whether a request is within its partner's budget, and what is asked of the
-// allocators. A function of its events: no clock, no socket. The design and why the sum of all gateways never
-// exceeds a budget are in docs/federation.md, the figures in docs/quota.md.
+/// @file
+/// The gateway's side of quotas: whether a request is within its partner's budget, and what is requested of
+/// the allocators. It is a function of its events, without clock or socket. docs/federation.md shows why the
+/// gateways together never exceed a budget; docs/quota.md has the figures.
 #ifndef LOAD_BALANCER_QUOTA_ACCOUNT_H_
 #define LOAD_BALANCER_QUOTA_ACCOUNT_H_
 
 #include <cstdint>
 #include <map>
 #include <memory>
-#include <optional>
 #include <string>
 #include <string_view>
 #include <variant>
 #include <vector>
 
-#include "base/error/failure.h"
 #include "quota/messages.h"
-#include "quota/partner_account.h"
+#include "quota/partner_accounts.h"
+#include "quota/warning.h"
 
 namespace load_balancer::quota {
 
 struct AccountOptions {
-  std::string site;          // of this gateway
-  std::size_t gateways = 1;  // of the site, as configured
-  std::uint64_t life = 0;    // of this process: differs from that of any before, not 0
+  std::string site;               ///< Of this gateway.
+  std::size_t gateways = 1;       ///< Configured gateways of the site.
+  std::uint64_t incarnation = 0;  ///< Of this process: not 0, and different from that of any earlier one.
   std::size_t allocators = 1;
   Timings timings;
 };
 
-enum class Verdict { kInside, kOver, kUnknown };  // kUnknown: the partner has no budget
+/// How a request relates to its partner's budget.
+enum class ChargeVerdict { kWithinBudget, kOverBudget, kNoBudget };
 
-// To be kept with a request that was charged, for the case that it is proven not to have run.
-struct Ticket {
+/// What was charged for a request. It is kept with the request in case that this is proven not to have run.
+struct ChargeReceipt {
   std::string partner;
-  Time at;
-  Milli cost = 0;  // 0: nothing was charged
+  Time charged_at;
+  MilliUnits cost = 0;  ///< 0: nothing was charged.
 };
 
-struct Charged {
-  Verdict verdict = Verdict::kUnknown;
-  Over over = Over::kMark;  // the budget's choice
-  Span retry_after{0};      // of kOver: until this request would fit, as far as is known now
-  Ticket ticket;
+struct ChargeResult {
+  ChargeVerdict verdict = ChargeVerdict::kNoBudget;
+  OverLimitAction over_limit_action = OverLimitAction::kMark;  ///< As the budget is configured.
+  /// If over the budget: the time until this request would fit, as far as is known.
+  Span retry_after{0};
+  ChargeReceipt receipt;
 };
 
-// ---- actions ------------------------------------------------------------------------------------------
-// To the holder of the duty `treasurer/N`; dropped if none is known.
+/// Action: send the request to the current holder of the allocator's lease, or drop it if none is known.
 struct SendRequest {
   std::size_t allocator = 0;
-  Request request;
+  AllocationRequest request;
 };
-// Who decides over a partner here has changed; a line of the log.
+/// Action: log that what is in force for the partner at this gateway has changed.
 struct SourceChanged {
   std::string partner;
   PartnerAccount::Source source = PartnerAccount::Source::kNone;
-  Part part;
-  GrantId grant;  // of kGrant
+  Allocation in_force;
+  GrantId grant;  ///< Of Source::kGrant.
 };
-// A line of the log at level warn.
-struct Complain {
-  Failure failure;
-};
-using AccountAction = std::variant<SendRequest, SourceChanged, Complain>;
+using AccountAction = std::variant<SendRequest, SourceChanged, LogWarning>;
 using AccountActions = std::vector<AccountAction>;
 
-// All moments are of the process's monotonic clock. Each must be read after the event came in: of an answer,
-// after it was read from the socket; of a charge, right before it.
+/// What is in force for one partner at this gateway, for operators.
+struct PartnerAccountStatus {
+  std::string partner;
+  PartnerAccount::Source source = PartnerAccount::Source::kNone;
+  Allocation in_force;
+  GrantAck held;
+  MilliUnits demand = 0;  ///< Per second.
+};
+
+/// The account of one gateway. All times are of the process's monotonic clock, and must be read after the
+/// event occurred: for a response, after it was read from the socket; for a charge, right before it.
 class Account {
  public:
-  // At the start of a process's life, or when it takes over the gateway's pool address from another. It has
-  // no grant, and no floor until a grant's life and the drift have passed, since a life before may have lent
-  // it.
+  /// Creates the account when a process starts, or when it takes the gateway's pool address over from another
+  /// one. It has no grant, and no reserved minimum until a grant's lifetime and the clock drift have passed,
+  /// as an earlier process may have lent it.
   Account(AccountOptions options, std::shared_ptr<const Budgets> budgets, Time now);
 
-  // A request of `partner` that costs so many units: 1, or its hinted work in ms. Call it once for each
-  // request, where it came in.
-  Charged Charge(Time now, std::string_view partner, double units);
-  // The request was refused everywhere or is proven not to have run. Puts back no more than what could have
-  // been spent had it never come (Bucket::Credit), so nothing after a grant that shrank the bucket.
-  void Credit(Time now, const Ticket& ticket);
-
-  // An answer of the holder of `treasurer/N`. Late, repeated and overtaken ones change nothing.
-  void Receive(Time now, std::size_t allocator, const Answer& answer, AccountActions* actions);
-  // Call it at Next() or soon after.
+  /// Charges a request of `partner` that costs so many units: 1, or its hinted work in ms. Must be called
+  /// once for each request, at the gateway that received it.
+  ChargeResult Charge(Time now, std::string_view partner, double units);
+  /// Returns the charge of a request that was rejected everywhere or is proven not to have run. Returns no
+  /// more than could have been spent had it never come (see Bucket::Credit), so nothing after a grant that
+  /// shrank the bucket.
+  void Credit(Time now, const ChargeReceipt& receipt);
+
+  /// Handles a response of the holder of the allocator's lease. Late, repeated and overtaken ones change
+  /// nothing.
+  void OnResponse(Time now, std::size_t allocator, const AllocationResponse& response,
+                  AccountActions* actions);
+  /// Requests what is due. Call it at Next() or soon after.
   void Tick(Time now, AccountActions* actions);
   Time Next() const { return next_; }
 
-  // Other budgets bind. A floor that differs is the smaller of both until an allocator has heard from all
-  // gateways that they have the new ones.
-  void Renew(Time now, std::shared_ptr<const Budgets> budgets, AccountActions* actions);
-  // The process gives the gateway's pool address away: it lets its grants end, and has no floor from now on.
+  /// Replaces the budgets. A reserved minimum that differs is the smaller of both until an allocator has
+  /// heard from all gateways that they have the new ones.
+  void UpdateBudgets(Time now, std::shared_ptr<const Budgets> budgets, AccountActions* actions);
+  /// The process gives the gateway's pool address away: it lets its grants expire, and uses no reserved
+  /// minimum from now on.
   void Retire(Time now);
 
-  // For operators.
-  struct Line {
-    std::string partner;
-    PartnerAccount::Source source = PartnerAccount::Source::kNone;
-    Part in_force;
-    Ack held;
-    Milli demand = 0;
-  };
-  std::vector<Line> Lines(Time now);  // of partners with recent traffic or a grant
-  const Budgets& budgets() const { return *budgets_; }
-  bool agreed() const { return agreed_; }
+  /// The status of the partners that have recent traffic or a grant.
+  std::vector<PartnerAccountStatus> Statuses(Time now);
+  const Budgets& budgets() const { return accounts_.budgets(); }
+  /// Whether all gateways are known to have the current budgets.
+  bool is_agreed() const { return is_agreed_; }
 
  private:
-  struct Entry {
-    PartnerAccount account;
-    PartnerAccount::Source told = PartnerAccount::Source::kNone;  // in the last SourceChanged
-    bool active = false;
-  };
-  Entry* Find(std::string_view partner);  // made at the first use; null: no budget
+  using Entry = PartnerAccounts::Entry;
+
   void Activate(Time now, const std::string& partner, Entry& entry);
-  void Tell(Time now, const std::string& partner, Entry& entry, AccountActions* actions);
-  void SendOut(std::vector<Request> requests, AccountActions* actions);
-  void Agree(Time now);
+  void ApplyNewerRevision(Time now, const AllocationResponse& response);
+  void AcceptGrants(Time now, std::size_t allocator, const AllocationResponse& response,
+                    AccountActions* actions);
+  void OnRevisionAgreed(Time now);
+  void ReportSource(Time now, const std::string& partner, Entry& entry, AccountActions* actions);
+  AllocationRequest EmptyRequest(std::uint64_t number) const;
+  // The requests that are due, one for each allocator; empty ones among them.
+  std::vector<AllocationRequest> CollectRequests(Time now, AccountActions* actions);
+  void AnnounceRevision(Time now, AccountActions* actions);
 
   const AccountOptions options_;
-  std::shared_ptr<const Budgets> budgets_;
-  const Time begun_;
-  Time floors_from_;
-  std::map<std::string, Entry, std::less<>> entries_;
-  std::map<std::string, Entry*> active_;
-  Time next_;
-  std::uint64_t ask_ = 0;                // the last one's number
-  std::map<std::uint64_t, Time> asked_;  // moments of asks whose grants may still be in force
-  bool agreed_ = true;
-  Time greet_at_ = Time::max();
-  bool retired_ = false;
+  PartnerAccounts accounts_;
+  Time next_ = Time::max();
+  std::uint64_t last_request_ = 0;               // its number
+  std::map<std::uint64_t, Time> request_times_;  // of requests whose grants may still be in force
+  bool is_agreed_ = true;
+  Time announce_at_ = Time::max();
+  bool is_retired_ = false;
 };
 
 }  // namespace load_balancer::quota
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -1,29 +1,36 @@
 // SPDX-License-Identifier: Apache-2.0
 #include "quota/allocator.h"
 
+#include "quota/demand_ledger.h"
+#include "quota/duty.h"
 #include "quota/failures.h"
+#include "quota/message_split.h"
 
 namespace load_balancer::quota {
 namespace {
 
-using nlohmann::json;
+// The process that a response is for; incarnation 0: any process of the gateway.
+struct Recipient {
+  GatewayId gateway = 0;
+  std::uint64_t incarnation = 0;
+  auto operator<=>(const Recipient&) const = default;
+};
 
-constexpr int kLedgerVersion = 1;
-
-void Send(std::string gateway, const Answer& answer, AllocatorActions* actions) {
-  for (Answer& part : Split(answer)) actions->push_back(SendAnswer{gateway, std::move(part)});
+void Send(const std::string& gateway, const AllocationResponse& response, AllocatorActions* actions) {
+  for (AllocationResponse& message : Split(response))
+    actions->push_back(SendResponse{gateway, std::move(message)});
 }
 
 }  // namespace
 
 Allocator::Allocator(AllocatorOptions options, std::shared_ptr<const Budgets> budgets)
     : options_(std::move(options)), gateways_(options_.layout) {
-  revisions_.present = std::move(budgets);
-  revisions_.heard.assign(gateways_.size(), false);
+  revisions_.current = std::move(budgets);
+  revisions_.has_current.assign(gateways_.size(), false);
 }
 
 Allocator::Entry* Allocator::Find(const std::string& partner) {
-  if (!revisions_.present->partners.contains(partner)) return nullptr;
+  if (!revisions_.current->partners.contains(partner)) return nullptr;
   if (AllocatorOf(partner, options_.allocators) != options_.index) return nullptr;
   return &partners_.try_emplace(partner, Entry{PartnerAllocator(options_.timings)}).first->second;
 }
@@ -32,152 +39,156 @@
   if (entry.allocator.due() == entry.scheduled) return;
   schedule_.erase({entry.scheduled, partner});
   entry.scheduled = entry.allocator.due();
-  if (entry.scheduled != Time::max()) schedule_.emplace(entry.scheduled, partner);
+  if (entry.scheduled != Time::max()) schedule_.insert({entry.scheduled, partner});
+}
+
+AllocationResponse Allocator::EmptyResponse(Time now, std::uint64_t incarnation) const {
+  const Span grants_expire = options_.timings.max_grant_lifetime + options_.timings.MaxClockDifference();
+  const bool is_agreed = revisions_.IsAgreed(now, grants_expire);
+  return {incarnation, revisions_.current->revision, last_grant_.token, is_agreed, {}, {}, {}};
 }
 
-Answer Allocator::Empty(Time now, std::uint64_t life) const {
-  const bool agreed = revisions_.Agreed(now, options_.timings.grant_life + options_.timings.Apart());
-  return {life, revisions_.present->revision, last_.token, agreed, {}, {}, {}};
+// The grants of other holders have expired with their leases.
+void Allocator::BeginTerm(const fleet::LeaseGuard& guard, AllocatorActions* actions) {
+  if (guard.token() == last_grant_.token) return;
+  last_grant_.token = guard.token();
+  actions->push_back(TermBegan{options_.index, last_grant_.token});
 }
 
-// The grants of other holders have ended with their leases.
-void Allocator::Begin(const fleet::LeaseGuard& guard, AllocatorActions* actions) {
-  if (guard.token() == last_.token) return;
-  last_.token = guard.token();
-  actions->push_back(TermBegan{options_.index, last_.token});
+void Allocator::WarnOnce(const std::string& key, const Failure& failure, AllocatorActions* actions) {
+  if (warned_.insert(key).second) actions->push_back(LogWarning{failure});
 }
 
-void Allocator::Receive(Time now, const fleet::LeaseGuard& guard, const std::string& gateway,
-                        const Request& request, AllocatorActions* actions) {
+void Allocator::OnRequest(Time now, const fleet::LeaseGuard& guard, const std::string& gateway,
+                          const AllocationRequest& request, AllocatorActions* actions) {
   if (!guard.Holds(now)) return;
-  Begin(guard, actions);
+  BeginTerm(guard, actions);
   const GatewayId* from = gateways_.Find(gateway);
-  if (!from) {
-    if (warned_.insert(gateway).second)
-      actions->push_back(AllocatorWarning{Failure(kUnknownGateway, gateway)});
-    return;
-  }
-  const bool same = request.revision == revisions_.present->revision;
-  revisions_.Hear(now, *from, same);
-  if (!same) return AnswerOther(now, *from, request, actions);
-  for (const Ack& ack : request.acks)
-    if (Entry* entry = Find(ack.partner)) {
-      entry->allocator.OnAck(now, *from, request.life, ack);
-      Schedule(ack.partner, *entry);
-    }
-  for (const Ask& ask : request.asks)
-    if (Entry* entry = Find(ask.held.partner)) {
-      entry->allocator.OnAck(now, *from, request.life, ask.held);
-      entry->allocator.OnAsk(now, *from, request.life, request.ask, ask);
-      Schedule(ask.held.partner, *entry);
-    }
-  if (request.asks.empty() && request.acks.empty())
-    actions->push_back(SendAnswer{gateway, Empty(now, request.life)});
+  if (!from) return WarnOnce(gateway, Failure(kUnknownGateway, gateway), actions);
+  const bool is_current = request.revision == revisions_.current->revision;
+  revisions_.OnReport(now, *from, is_current);
+  if (!is_current) return HandleOtherRevision(now, *from, request, actions);
+  HandleEntries(now, *from, request);
+  if (request.grant_requests.empty() && request.acks.empty())
+    actions->push_back(SendResponse{gateway, EmptyResponse(now, request.incarnation)});
   IssueGrants(now, guard, actions);
 }
 
-void Allocator::AnswerOther(Time now, GatewayId gateway, const Request& request, AllocatorActions* actions) {
+void Allocator::HandleEntries(Time now, GatewayId gateway, const AllocationRequest& request) {
+  for (const GrantAck& ack : request.acks) {
+    Entry* entry = Find(ack.partner);
+    if (!entry) continue;
+    entry->allocator.OnAck(now, gateway, request.incarnation, ack);
+    Schedule(ack.partner, *entry);
+  }
+  for (const GrantRequest& grant_request : request.grant_requests) {
+    const GrantAck& held = grant_request.held;
+    Entry* entry = Find(held.partner);
+    if (!entry) continue;
+    entry->allocator.OnAck(now, gateway, request.incarnation, held);
+    entry->allocator.OnGrantRequest(now, gateway, request.incarnation, request.number, grant_request);
+    Schedule(held.partner, *entry);
+  }
+}
+
+void Allocator::HandleOtherRevision(Time now, GatewayId gateway, const AllocationRequest& request,
+                                    AllocatorActions* actions) {
   const std::string& name = gateways_.name(gateway);
-  if (warned_.insert(name + " " + std::to_string(request.revision)).second)
-    actions->push_back(AllocatorWarning{
-        Failure(kOtherRevision, name,
-                std::to_string(request.revision) + ", not " + std::to_string(revisions_.present->revision))});
-  Answer answer = Empty(now, request.life);
-  for (const Ask& ask : request.asks)
-    if (revisions_.present->partners.contains(ask.held.partner))
-      answer.floors.push_back(
-          {ask.held.partner, Floors(ask.held.partner, gateways_, revisions_).Sure(gateway)});
-  Send(name, answer, actions);
+  const std::string theirs = std::to_string(request.revision);
+  const std::string ours = std::to_string(revisions_.current->revision);
+  WarnOnce(name + " " + theirs, Failure(kOtherRevision, name, theirs + ", not " + ours), actions);
+  AllocationResponse response = EmptyResponse(now, request.incarnation);
+  for (const GrantRequest& grant_request : request.grant_requests) {
+    const std::string& partner = grant_request.held.partner;
+    if (!revisions_.current->partners.contains(partner)) continue;
+    const ReservedMinimums minimums(partner, gateways_, revisions_);
+    response.reserved_minimums.push_back({partner, minimums.CurrentOf(gateway)});
+  }
+  Send(name, response, actions);
 }
 
 void Allocator::Tick(Time now, const fleet::LeaseGuard& guard, AllocatorActions* actions) {
   if (!guard.Holds(now)) return;
-  Begin(guard, actions);
+  BeginTerm(guard, actions);
   IssueGrants(now, guard, actions);
 }
 
 void Allocator::IssueGrants(Time now, const fleet::LeaseGuard& guard, AllocatorActions* actions) {
-  std::map<std::pair<GatewayId, std::uint64_t>, Answer> answers;  // by gateway and life; 0: calls alone
-  const auto answer = [&](GatewayId gateway, std::uint64_t life) -> Answer& {
-    return answers.try_emplace({gateway, life}, Empty(now, life)).first->second;
+  std::map<Recipient, AllocationResponse> responses;
+  const auto response_to = [&](const Recipient& recipient) -> AllocationResponse& {
+    return responses.try_emplace(recipient, EmptyResponse(now, recipient.incarnation)).first->second;
   };
-  while (!schedule_.empty() && schedule_.begin()->first <= now) {
-    const std::string partner = schedule_.begin()->second;
+  while (!schedule_.empty() && schedule_.begin()->due <= now) {
+    const std::string partner = schedule_.begin()->partner;
     schedule_.erase(schedule_.begin());
     Entry& entry = partners_.at(partner);
+    PartnerAllocator& allocator = entry.allocator;
     entry.scheduled = Time::max();
-    const auto budget = revisions_.present->partners.find(partner);
-    if (budget == revisions_.present->partners.end()) continue;
-    const Floors floors(partner, gateways_, revisions_);
+    const auto budget = revisions_.current->partners.find(partner);
+    if (budget == revisions_.current->partners.end()) continue;
+    const ReservedMinimums minimums(partner, gateways_, revisions_);
     for (IssuedGrant& issued :
-         entry.allocator.IssueGrants(now, guard.deadline(), budget->second, floors, &last_)) {
+         allocator.IssueGrants(now, guard.deadline(), budget->second, minimums, &last_grant_)) {
       issued.grant.partner = partner;
-      answer(issued.gateway, issued.life).grants.push_back(std::move(issued.grant));
+      response_to({issued.gateway, issued.incarnation}).grants.push_back(std::move(issued.grant));
     }
-    guard.Outlasts(entry.allocator.commitments().LastEnd(now));
-    for (const GatewayId gateway : entry.allocator.Calls(now, gateways_, floors))
-      answer(gateway, 0).calls.push_back(partner);
+    guard.Outlasts(allocator.commitments().LastExpiry(now));
+    for (const GatewayId gateway : allocator.Recalls(now, gateways_, minimums))
+      response_to({gateway, 0}).recalls.push_back(partner);
     Schedule(partner, entry);
   }
-  for (const auto& [to, message] : answers) Send(gateways_.name(to.first), message, actions);
+  for (const auto& [recipient, response] : responses)
+    Send(gateways_.name(recipient.gateway), response, actions);
 }
 
-void Allocator::Renew(std::shared_ptr<const Budgets> budgets) {
-  if (budgets->revision == revisions_.present->revision) return;
-  revisions_.Renew(std::move(budgets));
+void Allocator::UpdateBudgets(std::shared_ptr<const Budgets> budgets) {
+  if (budgets->revision == revisions_.current->revision) return;
+  revisions_.Update(std::move(budgets));
   warned_.clear();
 }
 
-Time Allocator::OutUntil(Time now) const {
+Time Allocator::GrantsExpireAt(Time now) const {
+  Time last = now;
   for (const auto& [partner, entry] : partners_)
-    now = std::max(now, entry.allocator.commitments().LastEnd(now));
-  return now;
+    last = std::max(last, entry.allocator.commitments().LastExpiry(now));
+  return last;
 }
 
-json Allocator::Ledger(Time now) const {
-  json partners = json::object();
+nlohmann::json Allocator::Ledger(Time now) const {
+  std::vector<DemandLedgerEntry> entries;
   for (const auto& [partner, entry] : partners_)
     for (const auto& [gateway, demand] : entry.allocator.Demand(now))
-      partners[partner][gateways_.name(gateway)] = static_cast<std::uint64_t>(demand);
-  return {{"v", kLedgerVersion}, {"partners", std::move(partners)}};
-}
-
-Result<void> Allocator::Load(Time now, const json& ledger) {
-  std::vector<std::tuple<std::string, GatewayId, Milli>> read;
-  try {
-    if (ledger.at("v").get<int>() != kLedgerVersion) throw std::invalid_argument("version");
-    for (const auto& [partner, gateways] : ledger.at("partners").get_ref<const json::object_t&>())
-      for (const auto& [gateway, demand] : gateways.get_ref<const json::object_t&>()) {
-        if (!demand.is_number_unsigned() || demand.get<std::uint64_t>() > kMostRate)
-          throw std::invalid_argument("demand");
-        if (const GatewayId* id = gateways_.Find(gateway))
-          read.emplace_back(partner, *id, demand.get<Milli>());
-      }
-  } catch (const json::exception& fault) {
-    return tl::unexpected(Failure(kBadLedger, "treasurer/" + std::to_string(options_.index), fault.what()));
-  } catch (const std::invalid_argument& fault) {
-    return tl::unexpected(Failure(kBadLedger, "treasurer/" + std::to_string(options_.index), fault.what()));
+      entries.push_back({partner, gateways_.name(gateway), demand});
+  return DemandLedgerToJson(entries);
+}
+
+Result<void> Allocator::Load(Time now, const nlohmann::json& ledger) {
+  const auto entries = DemandLedgerFromJson(ledger, AllocatorDuty(options_.index));
+  if (!entries) return tl::unexpected(entries.error());
+  for (const DemandLedgerEntry& expected : *entries) {
+    const GatewayId* gateway = gateways_.Find(expected.gateway);
+    if (!gateway) continue;
+    if (Entry* entry = Find(expected.partner))
+      entry->allocator.SetExpectedDemand(now, *gateway, expected.demand);
   }
-  for (const auto& [partner, gateway, demand] : read)
-    if (Entry* entry = Find(partner)) entry->allocator.Expect(now, gateway, demand);
   return {};
 }
 
-std::vector<Allocator::Line> Allocator::Lines(Time now) const {
-  std::vector<Line> lines;
+std::vector<PartnerBudgetStatus> Allocator::Statuses(Time now) const {
+  std::vector<PartnerBudgetStatus> statuses;
   for (const auto& [partner, entry] : partners_) {
-    const auto budget = revisions_.present->partners.find(partner);
-    if (budget == revisions_.present->partners.end()) continue;
-    const Floors floors(partner, gateways_, revisions_);
-    Line line{partner,
-              budget->second.rate,
-              entry.allocator.commitments().Sums(now, now + Span(1), floors).front().rate,
-              {}};
+    const auto budget = revisions_.current->partners.find(partner);
+    if (budget == revisions_.current->partners.end()) continue;
+    const ReservedMinimums minimums(partner, gateways_, revisions_);
+    PartnerBudgetStatus status;
+    status.partner = partner;
+    status.rate = budget->second.rate;
+    status.committed = entry.allocator.commitments().TotalsBySlot(now, now + Span(1), minimums).front().rate;
     for (const auto& [gateway, demand] : entry.allocator.Demand(now))
-      line.demand[gateways_.name(gateway)] = demand;
-    lines.push_back(std::move(line));
+      status.demand[gateways_.name(gateway)] = demand;
+    statuses.push_back(std::move(status));
   }
-  return lines;
+  return statuses;
 }
 
 }  // namespace load_balancer::quota
--- a/src/quota/amount.h
+++ b/src/quota/amount.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Amounts as whole numbers, so that sums of parts are exact and nothing is gained by rounding.
+/// @file
+/// Exact integer amounts of a budget. Sums of integers are exact, so that rounding never creates budget.
 #ifndef LOAD_BALANCER_QUOTA_AMOUNT_H_
 #define LOAD_BALANCER_QUOTA_AMOUNT_H_
 
@@ -9,28 +10,36 @@
 
 namespace load_balancer::quota {
 
-// Thousandths of a budget's unit (a request, or a millisecond of hinted work), or of the unit a second.
-using Milli = std::int64_t;
+/// Thousandths of a budget's unit (a request, or a millisecond of hinted work), or of that unit per second.
+using MilliUnits = std::int64_t;
 
-inline constexpr Milli kOne = 1000;
-// Of one budget. Within them no product of a rate and a burst, and no level of a bucket, overflows 64 bits.
-inline constexpr Milli kMostRate = 1'000'000 * kOne;  // a second
-inline constexpr Milli kMostBurst = 9'000'000 * kOne;
+/// One unit of a budget.
+inline constexpr MilliUnits kUnit = 1000;
 
-// A part of a budget: what one gateway's bucket fills at a second, and its depth.
-struct Part {
-  Milli rate = 0;
-  Milli depth = 0;
-  bool operator==(const Part&) const = default;
+/// Limits of one budget. Within them no product of a rate and a burst, and no level of a bucket, overflows 64
+/// bits.
+inline constexpr MilliUnits kMaxRate = 1'000'000 * kUnit;  // per second
+inline constexpr MilliUnits kMaxBurst = 9'000'000 * kUnit;
+
+/// A portion of a budget, as the parameters of one gateway's token bucket.
+struct Allocation {
+  MilliUnits rate = 0;   ///< Fill rate, per second.
+  MilliUnits depth = 0;  ///< Capacity of the bucket.
+  bool operator==(const Allocation&) const = default;
 };
-inline Part Smaller(const Part& a, const Part& b) {
-  return {std::min(a.rate, b.rate), std::min(a.depth, b.depth)};
+
+inline Allocation ElementwiseMin(const Allocation& left, const Allocation& right) {
+  return {std::min(left.rate, right.rate), std::min(left.depth, right.depth)};
+}
+inline Allocation ElementwiseMax(const Allocation& left, const Allocation& right) {
+  return {std::max(left.rate, right.rate), std::max(left.depth, right.depth)};
+}
+inline Allocation operator+(const Allocation& left, const Allocation& right) {
+  return {left.rate + right.rate, left.depth + right.depth};
 }
-inline Part Larger(const Part& a, const Part& b) {
-  return {std::max(a.rate, b.rate), std::max(a.depth, b.depth)};
+inline Allocation operator-(const Allocation& left, const Allocation& right) {
+  return {left.rate - right.rate, left.depth - right.depth};
 }
-inline Part operator+(const Part& a, const Part& b) { return {a.rate + b.rate, a.depth + b.depth}; }
-inline Part operator-(const Part& a, const Part& b) { return {a.rate - b.rate, a.depth - b.depth}; }
 
 }  // namespace load_balancer::quota
 
--- a/src/quota/bucket.cpp
+++ b/src/quota/bucket.cpp
@@ -5,59 +5,64 @@
 
 namespace load_balancer::quota {
 
-Bucket::Fine Bucket::LevelAt(Time now) const {
-  const Fine ns = (now - last_).count();
-  if (ns <= 0 || rate_ <= 0) return level_;
-  const Fine room = depth_ - level_;
-  return ns > room / rate_ ? depth_ : level_ + ns * rate_;
+Bucket::FineUnits Bucket::LevelAt(Time now) const {
+  const FineUnits elapsed_ns = (now - last_update_).count();
+  if (elapsed_ns <= 0 || rate_ <= 0) return level_;
+  const FineUnits headroom = depth_ - level_;
+  return elapsed_ns > headroom / rate_ ? depth_ : level_ + elapsed_ns * rate_;
 }
 
 void Bucket::Advance(Time now) {
   level_ = LevelAt(now);
-  last_ = std::max(last_, now);
-  NoteRoom();
+  last_update_ = std::max(last_update_, now);
+  RecordHeadroom();
 }
 
-// Between two notes the bucket only fills, so the later one has the least room.
-void Bucket::NoteRoom() {
-  const std::int64_t generation = GenerationOf(last_);
-  const auto kept = static_cast<std::int64_t>(kGenerations);
-  for (std::int64_t g = std::max(newest_ + 1, generation - kept + 1); g <= generation; ++g)
-    Room(g) = std::numeric_limits<Fine>::max();
-  newest_ = generation;
-  Room(generation) = std::min(Room(generation), depth_ - level_);
+// The bucket only fills between two records, so the later of them has the least headroom.
+void Bucket::RecordHeadroom() {
+  const std::int64_t current = PeriodOf(last_update_);
+  const std::int64_t oldest_kept = current - static_cast<std::int64_t>(kPeriods) + 1;
+  for (std::int64_t period = std::max(newest_period_ + 1, oldest_kept); period <= current; ++period)
+    MinHeadroom(period) = std::numeric_limits<FineUnits>::max();
+  newest_period_ = current;
+  MinHeadroom(current) = std::min(MinHeadroom(current), depth_ - level_);
 }
 
-void Bucket::Set(Time at, const Part& part) {
+void Bucket::SetAllocation(Time at, const Allocation& allocation) {
   Advance(at);
-  rate_ = part.rate;
-  depth_ = part.depth * kFine;
+  rate_ = allocation.rate;
+  depth_ = allocation.depth * kFineUnits;
   level_ = std::min(level_, depth_);
-  NoteRoom();
+  RecordHeadroom();
 }
 
-bool Bucket::Charge(Time now, Milli cost) {
+bool Bucket::Charge(Time now, MilliUnits cost) {
   Advance(now);
-  if (cost > level_ / kFine) return false;
-  level_ -= cost * kFine;
+  if (cost > level_ / kFineUnits) return false;
+  level_ -= cost * kFineUnits;
   return true;
 }
 
-void Bucket::Credit(Time now, Time charged, Milli cost) {
+void Bucket::Credit(Time now, Time charged_at, MilliUnits cost) {
   Advance(now);
-  const std::int64_t since = GenerationOf(charged);
-  if (since > newest_ || newest_ - since >= static_cast<std::int64_t>(kGenerations)) return;
-  Fine most = cost > depth_ / kFine ? depth_ : cost * kFine;
-  for (std::int64_t g = since; g <= newest_; ++g) most = std::min(most, Room(g));
-  for (std::int64_t g = since; g <= newest_; ++g) Room(g) -= most;
-  level_ += most;
+  const std::int64_t first = PeriodOf(charged_at);
+  const std::int64_t last = newest_period_;
+  if (first > last || last - first >= static_cast<std::int64_t>(kPeriods)) return;
+  FineUnits credit = cost > depth_ / kFineUnits ? depth_ : cost * kFineUnits;
+  for (std::int64_t period = first; period <= last; ++period) {
+    credit = std::min(credit, MinHeadroom(period));
+  }
+  for (std::int64_t period = first; period <= last; ++period) {
+    MinHeadroom(period) -= credit;
+  }
+  level_ += credit;
 }
 
-std::optional<Span> Bucket::Until(Time now, Milli cost) const {
-  const Fine level = LevelAt(now);
-  if (cost <= level / kFine) return Span(0);
-  if (cost > depth_ / kFine || rate_ <= 0) return std::nullopt;
-  return Span((cost * kFine - level + rate_ - 1) / rate_);
+std::optional<Span> Bucket::TimeUntilAvailable(Time now, MilliUnits cost) const {
+  const FineUnits level = LevelAt(now);
+  if (cost <= level / kFineUnits) return Span(0);
+  if (cost > depth_ / kFineUnits || rate_ <= 0) return std::nullopt;
+  return Span((cost * kFineUnits - level + rate_ - 1) / rate_);
 }
 
 }  // namespace load_balancer::quota
--- a/src/quota/bucket.h
+++ b/src/quota/bucket.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A token bucket whose rate and depth change over its life (Turner, "New Directions in Communications",
-// 1986). In whole numbers: a charge fits exactly from the nanosecond on at which the bucket holds its cost.
+/// @file
+/// A token bucket whose rate and depth may change (Turner, "New Directions in Communications", 1986). It
+/// counts in integers: a charge fits exactly from the nanosecond on at which the bucket holds its cost.
 #ifndef LOAD_BALANCER_QUOTA_BUCKET_H_
 #define LOAD_BALANCER_QUOTA_BUCKET_H_
 
@@ -14,47 +15,52 @@
 
 namespace load_balancer::quota {
 
-// With all moments of one clock. A moment before an earlier one counts as the earlier one.
+/// All times are of one clock. A time before an earlier one counts as the earlier one.
 class Bucket {
  public:
-  // Empty, of no rate and no depth.
-  explicit Bucket(Time now) : last_(now) {}
+  /// Creates an empty bucket of zero rate and depth.
+  explicit Bucket(Time now) : last_update_(now) {}
 
-  // From `at` on it fills at `part.rate` up to `part.depth`; what is over the new depth is lost.
-  void Set(Time at, const Part& part);
+  /// Changes the rate and depth from `at` on. Tokens beyond the new depth are lost.
+  void SetAllocation(Time at, const Allocation& allocation);
 
-  // Takes `cost` (over 0) at `now` if the bucket holds it.
-  bool Charge(Time now, Milli cost);
+  /// Takes `cost`, which is above 0, if the bucket holds it at `now`.
+  bool Charge(Time now, MilliUnits cost);
 
-  // Puts back as much of a charge of `cost` at `charged` as the bucket would hold more had it not been made:
-  // what has run over since is gone. May put back less than that, never more; nothing after about 2 s.
-  void Credit(Time now, Time charged, Milli cost);
+  /// Returns a charge of `cost` that was made at `charged_at`, as far as the bucket would hold more now had
+  /// the charge never been made: what has overflowed since is lost. Returns possibly less than that, never
+  /// more, and nothing after about 2 s.
+  void Credit(Time now, Time charged_at, MilliUnits cost);
 
-  // How long from `now` until `cost` fits, if neither charge nor change comes between; nothing: never.
-  std::optional<Span> Until(Time now, Milli cost) const;
+  /// The time from `now` until the bucket holds `cost`, if it is neither charged nor changed before. Empty if
+  /// it never will.
+  std::optional<Span> TimeUntilAvailable(Time now, MilliUnits cost) const;
 
-  Time last() const { return last_; }
+  Time last_update() const { return last_update_; }
 
  private:
-  using Fine = std::int64_t;  // billionths of a Milli: what a rate of 1 fills in a nanosecond
-  static constexpr Fine kFine = 1'000'000'000;
-  // The least room that the bucket had in each of the last generations, for Credit.
-  static constexpr std::size_t kGenerations = 8;
-  static constexpr std::int64_t kGenerationNs = 1 << 28;
+  /// Billionths of a MilliUnit: what a rate of 1 fills in a nanosecond.
+  using FineUnits = std::int64_t;
+  static constexpr FineUnits kFineUnits = 1'000'000'000;  // per MilliUnit
+
+  // Credit needs the least headroom that the bucket had since a charge. It is recorded per period.
+  static constexpr std::size_t kPeriods = 8;
+  static constexpr std::int64_t kPeriodNs = 1 << 28;
 
   void Advance(Time now);
-  Fine LevelAt(Time now) const;
-  void NoteRoom();
-  static std::int64_t GenerationOf(Time at) { return at.time_since_epoch().count() / kGenerationNs; }
-  Fine& Room(std::int64_t generation) {
-    return rooms_[static_cast<std::uint64_t>(generation) % kGenerations];
+  FineUnits LevelAt(Time now) const;
+  void RecordHeadroom();
+  static std::int64_t PeriodOf(Time at) { return at.time_since_epoch().count() / kPeriodNs; }
+  FineUnits& MinHeadroom(std::int64_t period) {
+    return min_headroom_[static_cast<std::uint64_t>(period) % kPeriods];
   }
 
-  Time last_;
-  Milli rate_ = 0;
-  Fine level_ = 0, depth_ = 0;
-  std::array<Fine, kGenerations> rooms_{};
-  std::int64_t newest_ = 0;  // generation noted
+  Time last_update_;
+  MilliUnits rate_ = 0;
+  FineUnits level_ = 0;
+  FineUnits depth_ = 0;
+  std::array<FineUnits, kPeriods> min_headroom_{};
+  std::int64_t newest_period_ = 0;  // the last one recorded
 };
 
 }  // namespace load_balancer::quota
--- a/src/quota/budget.cpp
+++ b/src/quota/budget.cpp
@@ -5,20 +5,20 @@
 
 namespace load_balancer::quota {
 
-Part PartOf(const Budget& budget, Milli rate) {
+Allocation AllocationForRate(const Budget& budget, MilliUnits rate) {
   if (budget.rate <= 0) return {};
   return {rate, rate * budget.burst / budget.rate};
 }
 
-Part FloorOf(const Budget& budget, const std::string& site, std::size_t gateways) {
-  const auto floor = budget.floors.find(site);
-  if (floor == budget.floors.end() || gateways == 0) return {};
-  return PartOf(budget, floor->second / static_cast<Milli>(gateways));
+Allocation ReservedMinimumOf(const Budget& budget, const std::string& site, std::size_t gateways) {
+  const auto minimum = budget.reserved_minimums.find(site);
+  if (minimum == budget.reserved_minimums.end() || gateways == 0) return {};
+  return AllocationForRate(budget, minimum->second / static_cast<MilliUnits>(gateways));
 }
 
-Milli SlowedRate(Milli rate, const Timings& timings) {
-  const Milli term = std::chrono::floor<std::chrono::milliseconds>(timings.term).count();
-  const Milli drift = std::chrono::ceil<std::chrono::milliseconds>(timings.drift).count();
+MilliUnits SlowedRate(MilliUnits rate, const Timings& timings) {
+  const MilliUnits term = std::chrono::floor<std::chrono::milliseconds>(timings.lease_term).count();
+  const MilliUnits drift = std::chrono::ceil<std::chrono::milliseconds>(timings.clock_drift).count();
   return rate * term / (term + drift);
 }
 
--- a/src/quota/budget.h
+++ b/src/quota/budget.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What each partner may spend over all gateways of the federation, and the parts of it that need no
-// allocator.
+/// @file
+/// The budgets of the partners over all gateways of the federation, and the portions of a budget that follow
+/// from the configuration alone.
 #ifndef LOAD_BALANCER_QUOTA_BUDGET_H_
 #define LOAD_BALANCER_QUOTA_BUDGET_H_
 
@@ -18,49 +19,61 @@
 
 namespace load_balancer::quota {
 
-enum class Unit { kRequests, kWork };  // kWork: milliseconds of hinted work
-enum class Over { kMark, kRefuse };    // what becomes of a request over the budget
+/// What a budget is counted in; kWork: milliseconds of hinted work.
+enum class Unit { kRequests, kWork };
 
-// A token bucket of `rate` and `burst` over all gateways.
+/// What is done with a request that exceeds the budget: handle it marked as over the limit, or reject it.
+enum class OverLimitAction { kMark, kReject };
+
+/// One partner's budget: a token bucket of `rate` and `burst` over all gateways.
 struct Budget {
-  Milli rate = 0;   // a second, 1 to kMostRate
-  Milli burst = 0;  // 1 to kMostBurst
+  MilliUnits rate = 0;   ///< Per second, 1 to kMaxRate.
+  MilliUnits burst = 0;  ///< 1 to kMaxBurst.
   Unit unit = Unit::kRequests;
-  Over over = Over::kMark;
-  std::map<std::string, Milli> floors;  // of each site, a second; their sum is at most `rate`
+  OverLimitAction over_limit_action = OverLimitAction::kMark;
+  /// The rate per second that each site has without a grant; their sum is at most `rate`.
+  std::map<std::string, MilliUnits> reserved_minimums;
 };
 
-// All budgets of one file. A larger revision is newer; the same revision means the same budgets.
+/// All budgets of one configuration file. A larger revision is newer; equal revisions mean equal budgets.
 struct Budgets {
   std::uint64_t revision = 0;
   std::map<std::string, Budget, std::less<>> partners;
 };
 
-// The gateways of each site, as configured: names are unique over all sites.
-using Layout = std::map<std::string, std::set<std::string>>;
+/// The configured gateways of each site. Names of gateways are unique over all sites.
+using SiteLayout = std::map<std::string, std::set<std::string>>;
 
-// What all processes of the federation have in common, or they do not understand each other.
+/// Durations that all processes of the federation must agree on.
 struct Timings {
-  Span grant_life = std::chrono::milliseconds(2000);  // the longest life of a grant
-  Span ask = std::chrono::milliseconds(250);    // between two asks of a gateway that has less than it needs
-  Span term = std::chrono::milliseconds(3000);  // of the allocators' leases
-  Span drift = std::chrono::milliseconds(100);  // that a clock may gain or lose over a term
-  // By how much two machines' clocks may differ over any span of at most a term.
-  Span Apart() const { return 2 * drift; }
+  /// The longest lifetime of a grant.
+  Span max_grant_lifetime = std::chrono::milliseconds(2000);
+  /// Time between two grant requests of a gateway that has less than it needs.
+  Span request_interval = std::chrono::milliseconds(250);
+  /// Term of the allocators' leases.
+  Span lease_term = std::chrono::milliseconds(3000);
+  /// How much a clock may gain or lose over a lease term.
+  Span clock_drift = std::chrono::milliseconds(100);
+
+  /// How much the clocks of two machines may differ over any span of at most a lease term.
+  Span MaxClockDifference() const { return 2 * clock_drift; }
 };
 
-// The part that goes with `rate` of `budget`: its depth is the burst's share, rounded down.
-Part PartOf(const Budget& budget, Milli rate);
+/// The portion of `budget` that has the given rate; its depth is the proportional part of the burst, rounded
+/// down.
+Allocation AllocationForRate(const Budget& budget, MilliUnits rate);
 
-// The part of one gateway of `site` without a grant: the site's floor by its configured gateways, rounded
-// down. Zero for a site without a floor or without gateways.
-Part FloorOf(const Budget& budget, const std::string& site, std::size_t gateways);
+/// What one gateway of `site` has without a grant: the site's reserved minimum divided by its configured
+/// gateways, rounded down. Zero for a site that has no reserved minimum or no gateways.
+Allocation ReservedMinimumOf(const Budget& budget, const std::string& site, std::size_t gateways);
 
-// The rate at which a bucket may fill by a machine's own clock so that it never fills faster than `rate` in
-// true time, as each clock's rate is within drift / term of true: rate x term / (term + drift), rounded down.
-Milli SlowedRate(Milli rate, const Timings& timings);
+/// The rate at which a bucket may fill by a machine's own clock so that it never fills faster than `rate` in
+/// true time. As each clock's rate is within drift / term of true, this is rate * term / (term + drift),
+/// rounded down.
+MilliUnits SlowedRate(MilliUnits rate, const Timings& timings);
 
-// Which of `allocators` duties the partner belongs to: XXH3 of its name, modulo. Not for 0 allocators.
+/// The index of the allocator that the partner belongs to: XXH3 of its name modulo `allocators`, which must
+/// not be 0.
 std::size_t AllocatorOf(std::string_view partner, std::size_t allocators);
 
 }  // namespace load_balancer::quota
--- a/src/quota/commitments.cpp
+++ b/src/quota/commitments.cpp
@@ -5,104 +5,124 @@
 
 namespace load_balancer::quota {
 
-void Commitments::Add(GatewayId gateway, const Outstanding& grant) { held_[gateway].grants.push_back(grant); }
+void Commitments::Add(GatewayId gateway, const OutstandingGrant& grant) {
+  commitments_[gateway].grants.push_back(grant);
+}
 
-void Commitments::Acknowledge(GatewayId gateway, std::uint64_t life, const GrantId& id, Span away) {
-  const auto found = held_.find(gateway);
-  if (found == held_.end()) return;
+void Commitments::Acknowledge(GatewayId gateway, std::uint64_t incarnation, const GrantId& id,
+                              Span lent_for) {
+  const auto found = commitments_.find(gateway);
+  if (found == commitments_.end()) return;
   auto& [grants, lent_until] = found->second;
-  const auto taken = std::find_if(grants.begin(), grants.end(), [&](const Outstanding& grant) {
-    return grant.life == life && grant.id == id;
+  const auto taken = std::find_if(grants.begin(), grants.end(), [&](const OutstandingGrant& grant) {
+    return grant.incarnation == incarnation && grant.id == id;
   });
   if (taken == grants.end()) return;
-  lent_until = std::max(lent_until, taken->sent + away - apart_);
-  std::erase_if(grants, [&](const Outstanding& grant) { return grant.life == life && grant.id < id; });
+  lent_until = std::max(lent_until, taken->sent_at + lent_for - max_clock_difference_);
+  std::erase_if(grants, [&](const OutstandingGrant& grant) {
+    return grant.incarnation == incarnation && grant.id < id;
+  });
 }
 
 void Commitments::Prune(Time now) {
-  for (auto it = held_.begin(); it != held_.end();) {
-    std::erase_if(it->second.grants, [&](const Outstanding& grant) { return grant.until <= now; });
-    const bool over = it->second.grants.empty() && it->second.lent_until <= now;
-    it = over ? held_.erase(it) : std::next(it);
+  for (auto it = commitments_.begin(); it != commitments_.end();) {
+    auto& [grants, lent_until] = it->second;
+    std::erase_if(grants, [&](const OutstandingGrant& grant) { return grant.expires_at <= now; });
+    const bool is_over = grants.empty() && lent_until <= now;
+    it = is_over ? commitments_.erase(it) : std::next(it);
   }
 }
 
-// One life of the gateway has one grant at a time, or its floor; two lives may have a grant each. Without
-// those of the life `but`.
-Part Commitments::Granted(const Held& held, Time begin, const std::uint64_t* but) {
-  Part sum;
-  for (std::size_t i = 0; i < held.grants.size(); ++i) {
-    const std::uint64_t life = held.grants[i].life;
-    const auto same = [&](const Outstanding& grant) { return grant.life == life; };
-    const auto first = held.grants.begin() + static_cast<std::ptrdiff_t>(i);
-    if ((but && life == *but) || std::any_of(held.grants.begin(), first, same)) continue;
-    Part part;
-    for (auto grant = first; grant != held.grants.end(); ++grant)
-      if (same(*grant) && grant->until > begin) part = Larger(part, grant->part);
-    sum = sum + part;
+// An incarnation of the gateway has one grant in force at a time, or its reserved minimum. Two incarnations
+// may have a grant each.
+Allocation Commitments::Granted(const GatewayCommitment& commitment, Time begin,
+                                const std::uint64_t* excluded_incarnation) {
+  const std::vector<OutstandingGrant>& grants = commitment.grants;
+  Allocation sum;
+  for (auto first = grants.begin(); first != grants.end(); ++first) {
+    const std::uint64_t incarnation = first->incarnation;
+    if (excluded_incarnation && incarnation == *excluded_incarnation) continue;
+    const auto is_same = [&](const OutstandingGrant& grant) { return grant.incarnation == incarnation; };
+    if (std::any_of(grants.begin(), first, is_same)) continue;  // summed already
+    Allocation largest;
+    for (auto grant = first; grant != grants.end(); ++grant) {
+      if (is_same(*grant) && grant->expires_at > begin) largest = ElementwiseMax(largest, grant->allocation);
+    }
+    sum = sum + largest;
   }
   return sum;
 }
 
-Part Commitments::In(const Held& held, Time begin, const Part& floor) const {
-  const Part granted = Granted(held, begin, nullptr);
-  return held.lent_until >= begin + slot_ ? granted : Larger(granted, floor);
+Allocation Commitments::InForce(const GatewayCommitment& commitment, Time begin,
+                                const Allocation& reserved_minimum) const {
+  const Allocation granted = Granted(commitment, begin, nullptr);
+  const bool is_lent = commitment.lent_until >= begin + slot_;
+  return is_lent ? granted : ElementwiseMax(granted, reserved_minimum);
 }
 
-Part Commitments::Others(GatewayId gateway, Time at, std::uint64_t life) const {
-  const auto found = held_.find(gateway);
-  return found == held_.end() ? Part{} : Granted(found->second, SlotBegin(at), &life);
+Allocation Commitments::OfOtherIncarnations(GatewayId gateway, Time at, std::uint64_t incarnation) const {
+  const auto found = commitments_.find(gateway);
+  if (found == commitments_.end()) return {};
+  return Granted(found->second, SlotBegin(at), &incarnation);
 }
 
-Part Commitments::At(GatewayId gateway, Time at, const Part& floor) const {
-  const auto found = held_.find(gateway);
-  return found == held_.end() ? floor : In(found->second, SlotBegin(at), floor);
+Allocation Commitments::At(GatewayId gateway, Time at, const Allocation& reserved_minimum) const {
+  const auto found = commitments_.find(gateway);
+  if (found == commitments_.end()) return reserved_minimum;
+  return InForce(found->second, SlotBegin(at), reserved_minimum);
 }
 
 Time Commitments::lent_until(GatewayId gateway) const {
-  const auto found = held_.find(gateway);
-  return found == held_.end() ? Time::min() : found->second.lent_until;
+  const auto found = commitments_.find(gateway);
+  return found == commitments_.end() ? Time::min() : found->second.lent_until;
 }
 
-const Outstanding* Commitments::Newest(GatewayId gateway, std::uint64_t life) const {
-  const auto found = held_.find(gateway);
-  const Outstanding* newest = nullptr;
-  if (found != held_.end())
-    for (const Outstanding& grant : found->second.grants)
-      if (grant.life == life && (!newest || grant.id > newest->id)) newest = &grant;
+const OutstandingGrant* Commitments::Newest(GatewayId gateway, std::uint64_t incarnation) const {
+  const auto found = commitments_.find(gateway);
+  if (found == commitments_.end()) return nullptr;
+  const OutstandingGrant* newest = nullptr;
+  for (const OutstandingGrant& grant : found->second.grants) {
+    if (grant.incarnation == incarnation && (!newest || grant.id > newest->id)) newest = &grant;
+  }
   return newest;
 }
 
-Time Commitments::LastEnd(Time now) const {
-  for (const auto& [gateway, held] : held_)
-    for (const Outstanding& grant : held.grants) now = std::max(now, grant.until);
-  return now;
+Time Commitments::LastExpiry(Time now) const {
+  Time last = now;
+  for (const auto& [gateway, commitment] : commitments_)
+    for (const OutstandingGrant& grant : commitment.grants) last = std::max(last, grant.expires_at);
+  return last;
 }
 
-Time Commitments::Change(const Held& held, Time begin) const {
-  Time change = held.lent_until >= begin + slot_ ? held.lent_until - slot_ + Span(1) : Time::max();
-  for (const Outstanding& grant : held.grants)
-    if (grant.until > begin) change = std::min(change, grant.until);
+Time Commitments::NextChange(const GatewayCommitment& commitment, Time begin) const {
+  const bool is_lent = commitment.lent_until >= begin + slot_;
+  Time change = is_lent ? commitment.lent_until - slot_ + Span(1) : Time::max();
+  for (const OutstandingGrant& grant : commitment.grants) {
+    if (grant.expires_at > begin) change = std::min(change, grant.expires_at);
+  }
   return change;
 }
 
-std::vector<Part> Commitments::Sums(Time now, Time end, const Floors& floors) const {
+std::vector<Allocation> Commitments::TotalsBySlot(Time now, Time end,
+                                                  const ReservedMinimums& minimums) const {
   const Time first = SlotBegin(now);
-  std::vector<Part> sums(static_cast<std::size_t>((end - first + slot_ - Span(1)) / slot_), floors.total());
-  for (const auto& [gateway, held] : held_) {
-    const Part floor = floors.Of(gateway);
-    Time begin = first, change = first;
-    Part more;
-    for (Part& sum : sums) {
+  const auto slots = static_cast<std::size_t>((end - first + slot_ - Span(1)) / slot_);
+  std::vector<Allocation> totals(slots, minimums.total());
+  for (const auto& [gateway, commitment] : commitments_) {
+    const Allocation minimum = minimums.Of(gateway);
+    Time begin = first;
+    Time change = first;
+    Allocation difference;  // of what the gateway has to its reserved minimum, until `change`
+    for (Allocation& total : totals) {
       if (begin >= change) {
-        more = In(held, begin, floor) - floor;
-        change = Change(held, begin);
+        difference = InForce(commitment, begin, minimum) - minimum;
+        change = NextChange(commitment, begin);
       }
-      sum = sum + more;
+      total = total + difference;
       begin += slot_;
     }
   }
-  return sums;
+  return totals;
 }
 
 }  // namespace load_balancer::quota
--- a/src/quota/commitments.h
+++ b/src/quota/commitments.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What each gateway may have in force of one budget, now and until the last grant that is out has ended, and
-// so how much more can be handed out. Nothing is counted as back before it is sure to be.
+/// @file
+/// What each gateway may have in force of one budget, from now until the last outstanding grant has expired,
+/// and so how much more can be granted. Nothing counts as returned before it certainly is.
 #ifndef LOAD_BALANCER_QUOTA_COMMITMENTS_H_
 #define LOAD_BALANCER_QUOTA_COMMITMENTS_H_
 
@@ -15,58 +16,69 @@
 
 namespace load_balancer::quota {
 
-// A grant that may be in force at its gateway.
-struct Outstanding {
-  std::uint64_t life = 0;  // of the gateway's process
+/// A grant that may be in force at its gateway.
+struct OutstandingGrant {
+  std::uint64_t incarnation = 0;  ///< Of the gateway's process.
   GrantId id;
-  Part part;
-  Time sent;   // or a moment before
-  Time until;  // by when it has ended for certain
+  Allocation allocation;
+  Time sent_at;     ///< When the grant was sent, or a moment before.
+  Time expires_at;  ///< By when it has certainly expired.
 };
 
-// All moments are of the allocator's clock; `apart`: by how much another's may differ over a grant's life.
+/// The outstanding grants of one budget. All times are of the allocator's clock, divided into slots of equal
+/// length.
 class Commitments {
  public:
-  Commitments(Span slot, Span apart) : slot_(slot), apart_(apart) {}
+  /// `max_clock_difference`: how much a gateway's clock may differ from this one over a grant's lifetime.
+  Commitments(Span slot, Span max_clock_difference)
+      : slot_(slot), max_clock_difference_(max_clock_difference) {}
 
-  void Add(GatewayId gateway, const Outstanding& grant);
-  // The gateway has taken the grant: those before it of the same life are over, and its floor is away for
-  // `away` from then, which was after the grant was sent. Unknown grants change nothing.
-  void Acknowledge(GatewayId gateway, std::uint64_t life, const GrantId& id, Span away);
-  // Forgets what has ended.
+  void Add(GatewayId gateway, const OutstandingGrant& grant);
+  /// The gateway has put the grant in force. Earlier grants to the same incarnation are over, and its
+  /// reserved minimum is lent for `lent_for` from then on, which was after the grant was sent. Does nothing
+  /// for an unknown grant.
+  void Acknowledge(GatewayId gateway, std::uint64_t incarnation, const GrantId& id, Span lent_for);
+  /// Forgets what has expired.
   void Prune(Time now);
 
-  // What the gateway may have in force in the slot of `at`.
-  Part At(GatewayId gateway, Time at, const Part& floor) const;
-  // The same of its processes other than this life.
-  Part Others(GatewayId gateway, Time at, std::uint64_t life) const;
+  /// What the gateway may have in force in the slot of `at`.
+  Allocation At(GatewayId gateway, Time at, const Allocation& reserved_minimum) const;
+  /// The same of grants to its processes other than `incarnation`.
+  Allocation OfOtherIncarnations(GatewayId gateway, Time at, std::uint64_t incarnation) const;
+  /// Until when the gateway has lent its reserved minimum; Time::min() if it has not.
   Time lent_until(GatewayId gateway) const;
-  // The newest grant to this life that has not ended; null: none.
-  const Outstanding* Newest(GatewayId gateway, std::uint64_t life) const;
-  // By when all grants have ended; `now` if there are none.
-  Time LastEnd(Time now) const;
+  /// The newest grant to this incarnation that has not expired; null if there is none.
+  const OutstandingGrant* Newest(GatewayId gateway, std::uint64_t incarnation) const;
+  /// By when all grants have expired; `now` if there are none.
+  Time LastExpiry(Time now) const;
 
-  // The sums of At over all gateways in each slot that begins before `end`, from the one of `now` on.
-  std::vector<Part> Sums(Time now, Time end, const Floors& floors) const;
+  /// The sums of At over all gateways, for each slot that begins before `end`, from the one of `now` on.
+  std::vector<Allocation> TotalsBySlot(Time now, Time end, const ReservedMinimums& minimums) const;
   Span slot() const { return slot_; }
   Time SlotBegin(Time at) const {
     return Time(slot_ * ((at.time_since_epoch() - kEarliest) / slot_) + kEarliest);
   }
 
  private:
-  struct Held {
-    std::vector<Outstanding> grants;
+  struct GatewayCommitment {
+    std::vector<OutstandingGrant> grants;
     Time lent_until = Time::min();
   };
-  static Part Granted(const Held& held, Time begin, const std::uint64_t* but);
-  Part In(const Held& held, Time begin, const Part& floor) const;
-  // In has the same value for all slots that begin from `begin` to before this.
-  Time Change(const Held& held, Time begin) const;
+  // What may be in force of grants in the slot of `begin`, without those to `excluded_incarnation` if it is
+  // not null.
+  static Allocation Granted(const GatewayCommitment& commitment, Time begin,
+                            const std::uint64_t* excluded_incarnation);
+  // What may be in force in the slot of `begin`.
+  Allocation InForce(const GatewayCommitment& commitment, Time begin,
+                     const Allocation& reserved_minimum) const;
+  // InForce has the same value for all slots that begin from `begin` to before the time returned.
+  Time NextChange(const GatewayCommitment& commitment, Time begin) const;
 
-  static constexpr Span kEarliest = Time::min().time_since_epoch() / 2;  // before all moments
+  static constexpr Span kEarliest = Time::min().time_since_epoch() / 2;  // before all times that occur
 
-  Span slot_, apart_;
-  std::map<GatewayId, Held> held_;
+  Span slot_;
+  Span max_clock_difference_;
+  std::map<GatewayId, GatewayCommitment> commitments_;
 };
 
 }  // namespace load_balancer::quota
--- a/src/quota/demand_estimator.cpp
+++ b/src/quota/demand_estimator.cpp
@@ -6,85 +6,99 @@
 namespace load_balancer::quota {
 namespace {
 
-constexpr double kSilent = 7;   // charges expected in silence that is the end
-constexpr double kNoticed = 8;  // charges without which no window is a shift
+// Charges expected during a silence from which on it is the end of the traffic.
+constexpr double kEndOfTrafficCharges = 7;
+// A window with fewer charges shows no shift.
+constexpr double kMinShiftCharges = 8;
+// Standard deviations of a shift.
+constexpr double kShiftDeviations = 3;
 
 double Seconds(Span span) { return std::chrono::duration<double>(span).count(); }
 
 }  // namespace
 
-void Demand::Scale::Advance(Time now) {
-  const std::int64_t bin = now.time_since_epoch() / width_;
-  if (bin <= bin_) return;
-  const std::int64_t passed = bin - bin_;
-  if (passed > kLong) first_ = bin;
-  for (std::int64_t b = std::max(bin_ + 1, bin - kLong); b <= bin; ++b) Bin(b) = 0;
-  bin_ = bin;
+void DemandEstimator::Scale::Advance(Time now) {
+  const std::int64_t bin = now.time_since_epoch() / bin_width_;
+  if (bin <= current_bin_) return;
+  if (bin - current_bin_ > kLongWindow) first_bin_ = bin;
+  for (std::int64_t skipped = std::max(current_bin_ + 1, bin - kLongWindow); skipped <= bin; ++skipped)
+    Bin(skipped) = 0;
+  current_bin_ = bin;
 }
 
-Milli Demand::Scale::Sum(int bins) const {
-  Milli sum = 0;
-  for (std::int64_t b = bin_; b >= bin_ - bins && b >= first_; --b) sum += Bin(b);
+MilliUnits DemandEstimator::Scale::Sum(int bins) const {
+  MilliUnits sum = 0;
+  for (std::int64_t bin = current_bin_; bin >= current_bin_ - bins && bin >= first_bin_; --bin)
+    sum += Bin(bin);
   return sum;
 }
 
-double Demand::Scale::Window(Time now, int bins) const {
-  const auto whole = static_cast<double>(std::min<std::int64_t>(bins, bin_ - first_));
-  return std::max(Seconds(least_), whole * Seconds(width_) + Seconds(now.time_since_epoch() % width_));
+double DemandEstimator::Scale::WindowSeconds(Time now, int bins) const {
+  const auto complete = static_cast<double>(std::min<std::int64_t>(bins, current_bin_ - first_bin_));
+  const Span elapsed = now.time_since_epoch() % bin_width_;
+  return std::max(Seconds(min_window_), complete * Seconds(bin_width_) + Seconds(elapsed));
 }
 
-double Demand::Scale::Rate(Time now) const { return static_cast<double>(Counted()) / Window(now, kLong); }
+double DemandEstimator::Scale::Rate(Time now) const {
+  return static_cast<double>(LongSum()) / WindowSeconds(now, kLongWindow);
+}
 
-bool Demand::Scale::Shifted(Time now, double largest) const {
-  const double longer = Window(now, kLong), shorter = Window(now, kShort);
-  if (longer <= shorter) return false;
-  const auto in_long = static_cast<double>(Counted()), in_short = static_cast<double>(Sum(kShort));
-  const double expected = (in_long - in_short) / (longer - shorter) * shorter;
-  if (std::max(in_short, expected) < kNoticed * largest) return false;
-  return std::abs(in_short - expected) > 3 * std::sqrt(expected * largest) + largest;
+bool DemandEstimator::Scale::HasShifted(Time now, double largest_cost) const {
+  const double long_seconds = WindowSeconds(now, kLongWindow);
+  const double short_seconds = WindowSeconds(now, kShortWindow);
+  if (long_seconds <= short_seconds) return false;
+  const auto in_long = static_cast<double>(LongSum());
+  const auto in_short = static_cast<double>(Sum(kShortWindow));
+  const double expected = (in_long - in_short) / (long_seconds - short_seconds) * short_seconds;
+  if (std::max(in_short, expected) < kMinShiftCharges * largest_cost) return false;
+  const double deviation = std::sqrt(expected * largest_cost);
+  return std::abs(in_short - expected) > kShiftDeviations * deviation + largest_cost;
 }
 
-void Demand::Scale::Restart(Milli sum) {
-  first_ = bin_;
-  Bin(bin_) = sum;
+void DemandEstimator::Scale::Restart(MilliUnits sum) {
+  first_bin_ = current_bin_;
+  Bin(current_bin_) = sum;
 }
 
-void Demand::Advance(Time now) {
+void DemandEstimator::Advance(Time now) {
   fine_.Advance(now);
   coarse_.Advance(now);
-  const std::int64_t period = now.time_since_epoch() / (kLong * kCoarse);
+  const std::int64_t period = now.time_since_epoch() / (kLongWindow * kCoarseBinWidth);
   if (period <= period_) return;
-  largest_before_ = period == period_ + 1 ? largest_ : 0;
-  largest_ = 0;
+  largest_in_last_period_ = period == period_ + 1 ? largest_in_period_ : 0;
+  largest_in_period_ = 0;
   period_ = period;
 }
 
-void Demand::Add(Time now, Milli cost) {
+void DemandEstimator::Add(Time now, MilliUnits cost) {
   Advance(now);
   fine_.Add(cost);
   coarse_.Add(cost);
-  last_ = now;
-  largest_ = std::max(largest_, cost);
+  last_charge_ = now;
+  largest_in_period_ = std::max(largest_in_period_, cost);
 }
 
-Milli Demand::Largest(Time now) {
+MilliUnits DemandEstimator::LargestCost(Time now) {
   Advance(now);
-  return std::max(largest_, largest_before_);
+  return std::max(largest_in_period_, largest_in_last_period_);
 }
 
-Milli Demand::Estimate(Time now) {
-  const Milli most = Largest(now);
-  if (most == 0) return 0;
-  const auto largest = static_cast<double>(most);
-  if (fine_.Shifted(now, largest)) {
-    fine_.CountFrom(kShort);
-    coarse_.Restart(fine_.Counted());
-  } else if (coarse_.Shifted(now, largest)) {
-    coarse_.CountFrom(kShort);
+MilliUnits DemandEstimator::Estimate(Time now) {
+  const MilliUnits largest_cost = LargestCost(now);
+  if (largest_cost == 0) return 0;
+  const auto largest = static_cast<double>(largest_cost);
+  if (fine_.HasShifted(now, largest)) {
+    fine_.KeepLast(kShortWindow);
+    coarse_.Restart(fine_.LongSum());
+  } else if (coarse_.HasShifted(now, largest)) {
+    coarse_.KeepLast(kShortWindow);
   }
-  const double rate = fine_.Counted() >= kTelling * most ? fine_.Rate(now) : coarse_.Rate(now);
-  const Span silence = now - last_;
-  if (silence < kShort * kBin || rate * Seconds(silence) <= kSilent * largest) return std::llround(rate);
+  const bool use_fine = fine_.LongSum() >= kMinFineCharges * largest_cost;
+  const double rate = use_fine ? fine_.Rate(now) : coarse_.Rate(now);
+  const Span silence = now - last_charge_;
+  const bool is_over =
+      silence >= kShortWindow * kBinWidth && !(rate * Seconds(silence) <= kEndOfTrafficCharges * largest);
+  if (!is_over) return std::llround(rate);
   fine_.Restart(0);
   coarse_.Restart(0);
   return 0;
--- a/src/quota/division.cpp
+++ b/src/quota/division.cpp
@@ -8,61 +8,95 @@
 
 using Indices = std::vector<std::size_t>;
 
-// Fills the claims `who` up to a common level; the rest of `parts` stays as it is.
-void Fill(Milli capacity, const std::vector<Claim>& claims, const Indices& who, std::vector<Milli>* parts) {
-  Milli demand = 0, floors = 0, highest = 0;
-  for (const std::size_t i : who) {
-    demand += claims[i].demand;
-    floors += std::min(claims[i].demand, claims[i].floor);
-    highest = std::max(highest, claims[i].demand);
+struct ClaimTotals {
+  MilliUnits demand = 0;
+  MilliUnits reserved_minimums = 0;
+  MilliUnits largest_demand = 0;
+};
+
+MilliUnits ReservedDemand(const RateClaim& claim) { return std::min(claim.demand, claim.reserved_minimum); }
+
+ClaimTotals Total(const std::vector<RateClaim>& claims, const Indices& selected) {
+  ClaimTotals totals;
+  for (const std::size_t i : selected) {
+    totals.demand += claims[i].demand;
+    totals.reserved_minimums += ReservedDemand(claims[i]);
+    totals.largest_demand = std::max(totals.largest_demand, claims[i].demand);
   }
-  if (demand <= capacity) {
-    for (const std::size_t i : who)
-      (*parts)[i] = demand == 0 ? 0 : claims[i].demand + (capacity - demand) * claims[i].demand / demand;
+  return totals;
+}
+
+// Fills the selected claims up to a common level; the other rates stay as they are.
+void FillToCommonLevel(MilliUnits capacity, const std::vector<RateClaim>& claims, const Indices& selected,
+                       std::vector<MilliUnits>* rates) {
+  const ClaimTotals totals = Total(claims, selected);
+  if (totals.demand <= capacity) {
+    const MilliUnits spare = capacity - totals.demand;
+    for (const std::size_t i : selected)
+      (*rates)[i] = totals.demand == 0 ? 0 : claims[i].demand + spare * claims[i].demand / totals.demand;
     return;
   }
-  const bool by_floors = floors <= capacity;
-  const auto part = [&](std::size_t i, Milli level) {
-    const Milli floor = by_floors ? std::min(claims[i].demand, claims[i].floor) : 0;
-    return std::max(floor, std::min(claims[i].demand, level));
+  const bool minimums_fit = totals.reserved_minimums <= capacity;
+  const auto rate_at = [&](std::size_t i, MilliUnits level) {
+    const MilliUnits minimum = minimums_fit ? ReservedDemand(claims[i]) : 0;
+    return std::max(minimum, std::min(claims[i].demand, level));
   };
-  Milli low = 0, high = highest;  // the highest level that fits is in [low, high)
+  // Bisection: the highest level that fits is in [low, high).
+  MilliUnits low = 0;
+  MilliUnits high = totals.largest_demand;
   while (high - low > 1) {
-    const Milli level = low + (high - low) / 2;
-    Milli sum = 0;
-    for (const std::size_t i : who) sum += part(i, level);
-    (sum <= capacity ? low : high) = level;
+    const MilliUnits level = low + (high - low) / 2;
+    MilliUnits sum = 0;
+    for (const std::size_t i : selected) sum += rate_at(i, level);
+    if (sum <= capacity)
+      low = level;
+    else
+      high = level;
   }
-  for (const std::size_t i : who) (*parts)[i] = part(i, low);
+  for (const std::size_t i : selected) (*rates)[i] = rate_at(i, low);
+}
+
+// Claims whose turn lasts come first, then those whose last turn is longest ago.
+void SortByTurn(const std::vector<RateClaim>& claims, Time now, Indices* indices) {
+  std::stable_sort(indices->begin(), indices->end(), [&](std::size_t left, std::size_t right) {
+    const bool left_lasts = claims[left].turn_until > now;
+    const bool right_lasts = claims[right].turn_until > now;
+    if (left_lasts != right_lasts) return left_lasts;
+    return claims[left].turn_until < claims[right].turn_until;
+  });
 }
 
 }  // namespace
 
-std::vector<Milli> Divide(Milli capacity, const std::vector<Claim>& claims, Time now) {
-  std::vector<Milli> parts(claims.size(), 0);
-  capacity = std::max<Milli>(capacity, 0);
-  Indices all, large, small;
+std::vector<MilliUnits> DivideRate(MilliUnits capacity, const std::vector<RateClaim>& claims, Time now) {
+  std::vector<MilliUnits> rates(claims.size(), 0);
+  capacity = std::max<MilliUnits>(capacity, 0);
+  Indices all;
   for (std::size_t i = 0; i < claims.size(); ++i) all.push_back(i);
-  Fill(capacity, claims, all, &parts);
-  Milli pool = 0;
+  FillToCommonLevel(capacity, claims, all, &rates);
+
+  Indices useful;
+  Indices too_small;
+  MilliUnits pool = 0;  // what the claims that take turns have together
   for (const std::size_t i : all) {
-    const bool useless = claims[i].demand > 0 && parts[i] < claims[i].least;
-    (useless ? small : large).push_back(i);
-    if (useless) pool += parts[i];
+    if (claims[i].demand > 0 && rates[i] < claims[i].min_useful_rate) {
+      too_small.push_back(i);
+      pool += rates[i];
+    } else {
+      useful.push_back(i);
+    }
   }
-  if (small.empty()) return parts;
-  std::stable_sort(small.begin(), small.end(), [&](std::size_t a, std::size_t b) {
-    const Time one = claims[a].turn_until, other = claims[b].turn_until;
-    return (one > now) != (other > now) ? one > now : one < other;
-  });
-  pool = std::min(capacity, std::max(pool, claims[small.front()].least));
-  Milli spent = 0;
-  for (const std::size_t i : small) {
-    parts[i] = spent + claims[i].least <= pool ? claims[i].least : 0;
-    spent += parts[i];
+  if (too_small.empty()) return rates;
+
+  SortByTurn(claims, now, &too_small);
+  pool = std::min(capacity, std::max(pool, claims[too_small.front()].min_useful_rate));
+  MilliUnits spent = 0;
+  for (const std::size_t i : too_small) {
+    rates[i] = spent + claims[i].min_useful_rate <= pool ? claims[i].min_useful_rate : 0;
+    spent += rates[i];
   }
-  Fill(capacity - spent, claims, large, &parts);
-  return parts;
+  FillToCommonLevel(capacity - spent, claims, useful, &rates);
+  return rates;
 }
 
 }  // namespace load_balancer::quota
--- a/src/quota/division.h
+++ b/src/quota/division.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How a rate is divided among those who want parts of it: max-min fair by demand, by progressive filling
-// (Bertsekas, Gallager: "Data Networks", 1992, section 6.5).
+/// @file
+/// Max-min fair division of a rate by demand, by progressive filling (Bertsekas, Gallager: "Data Networks",
+/// 1992, section 6.5).
 #ifndef LOAD_BALANCER_QUOTA_DIVISION_H_
 #define LOAD_BALANCER_QUOTA_DIVISION_H_
 
@@ -12,19 +13,22 @@
 
 namespace load_balancer::quota {
 
-struct Claim {
-  Milli demand = 0;
-  Milli floor = 0;  // as much of the demand comes before all filling
-  Milli least = 0;  // a smaller part is of no use
-  // Until when it has, or last had, a part of `least` while others went without.
+/// What one gateway claims of a rate.
+struct RateClaim {
+  MilliUnits demand = 0;
+  /// As much of the demand is served before the rest is divided.
+  MilliUnits reserved_minimum = 0;
+  /// A smaller rate is of no use.
+  MilliUnits min_useful_rate = 0;
+  /// Until when the claim has, or last had, its turn to get `min_useful_rate` while others went without.
   Time turn_until = Time::min();
 };
 
-// Parts of `capacity`, one a claim, of at most `capacity` together. What is left over goes in proportion to
-// demand. Claims whose part would be under their least take turns: so many as fit get their least, first
-// those on turn at `now`, then those whose last one is longest ago, and at least one of them; the others get
-// none.
-std::vector<Milli> Divide(Milli capacity, const std::vector<Claim>& claims, Time now);
+/// Divides `capacity` into one rate per claim, at most `capacity` in total. What exceeds all demand is
+/// divided in proportion to demand. Claims whose rate would be below their minimum useful rate take turns: as
+/// many as fit get that minimum, first those whose turn lasts at `now`, then those whose last turn is longest
+/// ago, and at least one of them; the others get nothing.
+std::vector<MilliUnits> DivideRate(MilliUnits capacity, const std::vector<RateClaim>& claims, Time now);
 
 }  // namespace load_balancer::quota
 
--- a/src/quota/failures.h
+++ b/src/quota/failures.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What can go wrong with quotas.
+/// @file
+/// The kinds of failure of quotas.
 #ifndef LOAD_BALANCER_QUOTA_FAILURES_H_
 #define LOAD_BALANCER_QUOTA_FAILURES_H_
 
@@ -10,22 +11,22 @@
 
 namespace load_balancer::quota {
 
-inline constexpr FailureKind kBadMessage{"QUOTA-1", "a message about draws is out of form and was dropped",
+inline constexpr FailureKind kBadMessage{"QUOTA-1", "a quota message is malformed and was dropped",
                                          "look for gateways of another version"};
 inline constexpr FailureKind kOtherRevision{
-    "QUOTA-2", "a gateway has budgets of another revision than the treasurer and gets no draws",
+    "QUOTA-2", "a gateway has budgets of another revision than the allocator and gets no grants",
     "bring the same file to all gateways and send each SIGHUP"};
 inline constexpr FailureKind kBadLedger{
-    "QUOTA-3", "the treasurer's ledger cannot be read and is ignored",
-    "nothing needs doing, as demand is learnt anew from the gateways' asks within a second"};
+    "QUOTA-3", "the allocator's demand ledger cannot be read and is ignored",
+    "nothing needs doing, as demand is learnt anew from the gateways' requests within a second"};
 inline constexpr FailureKind kNoAllocator{
-    "QUOTA-4", "no treasurer answers, and the gateway is down to its floors",
-    "see by LEASES who holds the duty, and whether a majority of sites.voters can be reached"};
+    "QUOTA-4", "no allocator responds, and the gateway is down to its reserved minimums",
+    "see by LEASES who holds treasurer/N, and whether a majority of sites.voters can be reached"};
 inline constexpr FailureKind kUnknownGateway{"QUOTA-5",
-                                             "a gateway that is not configured asks for draws and gets none",
+                                             "a gateway that is not configured requests grants and gets none",
                                              "list it under sites.gateways of all gateways, or stop it"};
 
-// All of them, for docs/errors.md.
+/// All kinds, for docs/errors.md.
 inline constexpr std::array kFailures{&kBadMessage, &kOtherRevision, &kBadLedger, &kNoAllocator,
                                       &kUnknownGateway};
 
--- /dev/null
+++ b/src/quota/message_split.h
@@ -0,0 +1,21 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// @file
+/// Splits messages with many entries so that each fits a datagram.
+#ifndef LOAD_BALANCER_QUOTA_MESSAGE_SPLIT_H_
+#define LOAD_BALANCER_QUOTA_MESSAGE_SPLIT_H_
+
+#include <vector>
+
+#include "quota/messages.h"
+
+namespace load_balancer::quota {
+
+/// The same entries in as many messages as needed for each to stay within kMaxMessageBytes. Empty for a
+/// message without entries.
+std::vector<AllocationRequest> Split(const AllocationRequest& request);
+std::vector<AllocationResponse> Split(const AllocationResponse& response);
+
+}  // namespace load_balancer::quota
+
+#endif  // LOAD_BALANCER_QUOTA_MESSAGE_SPLIT_H_
--- a/src/quota/messages.h
+++ b/src/quota/messages.h
@@ -1,92 +1,81 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What gateways and allocators say to each other, on the channel `quota` of the federation pool. One datagram
-// carries what there is for many partners. Each message may be lost, repeated, late or out of order.
+/// @file
+/// The messages between gateways and allocators. Any of them may be lost, repeated, late or out of order. One
+/// message carries entries for many partners.
 #ifndef LOAD_BALANCER_QUOTA_MESSAGES_H_
 #define LOAD_BALANCER_QUOTA_MESSAGES_H_
 
 #include <compare>
 #include <cstdint>
-#include <nlohmann/json.hpp>
 #include <string>
 #include <vector>
 
-#include "base/error/failure.h"
 #include "quota/amount.h"
 
 namespace load_balancer::quota {
 
-// Orders all grants of a duty: the allocator's fencing token, and its count of grants.
+/// Orders all grants of one lease: by the allocator's fencing token, then by its count of grants.
 struct GrantId {
   std::uint64_t token = 0;
   std::uint64_t number = 0;
   auto operator<=>(const GrantId&) const = default;
 };
 
-// A gateway has taken this grant in place of all before it, and keeps its floor put away for `away_ms` from
-// when it says so, by its own clock.
-struct Ack {
+/// Acknowledges that the gateway has put a grant in force in place of all earlier ones, and that it does not
+/// use its reserved minimum for `lent_ms` from the time of sending, by its own clock.
+struct GrantAck {
   std::string partner;
   GrantId grant;
-  std::uint64_t away_ms = 0;
+  std::uint64_t lent_ms = 0;
 };
 
-// A gateway asks for a grant, and tells the grant that it has; `held.grant` is zero if it has none.
-struct Ask {
-  Ack held;          // its partner is the ask's
-  Milli demand = 0;  // a second
-  Milli least = 0;   // depth under which a grant is of no use: the largest cost met lately
+/// Requests a grant for the partner that `held` names.
+struct GrantRequest {
+  GrantAck held;             ///< The grant in force; its id is zero if there is none.
+  MilliUnits demand = 0;     ///< Per second.
+  MilliUnits min_depth = 0;  ///< The largest recent cost: a grant of less depth is of no use.
 };
 
-// An allocator hands out a part for `life_ms` from the moment of the ask `ask`.
+/// Grants an allocation for `lifetime_ms` from the time of the gateway's request `request_number`.
 struct Grant {
   std::string partner;
-  std::uint64_t ask = 0;
-  std::uint64_t number = 0;  // with the message's token: which grant this is
-  Part part;
-  std::uint64_t life_ms = 0;
+  std::uint64_t request_number = 0;
+  std::uint64_t number = 0;  ///< With the message's token this is the grant's id.
+  Allocation allocation;
+  std::uint64_t lifetime_ms = 0;
 };
 
-// What the allocator's budgets have as the gateway's floor.
-struct Floor {
+/// The gateway's reserved minimum by the allocator's budgets.
+struct ReservedMinimum {
   std::string partner;
-  Part part;
+  Allocation allocation;
 };
 
-// From a gateway to an allocator.
-struct Request {
-  std::uint64_t life = 0;      // of the process: another one's grants are not its own
-  std::uint64_t revision = 0;  // of its budgets
-  std::uint64_t ask = 0;       // counts this life's requests; grants name it
-  std::vector<Ask> asks;
-  std::vector<Ack> acks;
+/// A message from a gateway to an allocator.
+struct AllocationRequest {
+  std::uint64_t incarnation = 0;  ///< Of the process, which must not use grants to another one.
+  std::uint64_t revision = 0;     ///< Of its budgets.
+  std::uint64_t number = 0;       ///< Counts the requests of this incarnation; grants refer to it.
+  std::vector<GrantRequest> grant_requests;
+  std::vector<GrantAck> acks;
 };
 
-// From an allocator to a gateway.
-struct Answer {
-  std::uint64_t life = 0;  // of the request; of calls alone 0
+/// A message from an allocator to a gateway.
+struct AllocationResponse {
+  std::uint64_t incarnation = 0;  ///< Of the request; 0 for recalls alone.
   std::uint64_t revision = 0;
   std::uint64_t token = 0;
-  bool agreed = false;             // all gateways have the revision, and no grant of before is left
-  std::vector<Grant> grants;       // none where the revisions differ
-  std::vector<std::string> calls;  // partners whose floor here is wanted elsewhere: the gateway is to ask
-  std::vector<Floor> floors;       // where the revisions differ
+  bool is_agreed = false;     ///< All gateways have the revision, and no grant by an earlier one is left.
+  std::vector<Grant> grants;  ///< Empty where the revisions differ.
+  /// Partners whose reserved minimum at this gateway is needed elsewhere: the gateway should request a grant.
+  std::vector<std::string> recalls;
+  std::vector<ReservedMinimum> reserved_minimums;  ///< Only where the revisions differ.
 };
 
-inline constexpr std::size_t kMostMessage =
-    1000;  // bytes of JSON text, fewer of MessagePack, which fits a payload
-inline constexpr std::size_t kMostPartner = 64;  // bytes of a partner's name
-
-// Objects with keys of one letter, lists for what repeats. From... check all: unknown keys, missing ones,
-// types, lengths and ranges; a failure is kBadMessage with `from` as its place.
-nlohmann::json ToJson(const Request& request);
-nlohmann::json ToJson(const Answer& answer);
-Result<Request> RequestFromJson(const nlohmann::json& json, const std::string& from);
-Result<Answer> AnswerFromJson(const nlohmann::json& json, const std::string& from);
-
-// The same in as many messages as are needed for each to stay within kMostMessage; none for an empty one.
-std::vector<Request> Split(const Request& request);
-std::vector<Answer> Split(const Answer& answer);
+/// Bytes of a message as JSON text. The MessagePack form is shorter and fits the payload of a datagram.
+inline constexpr std::size_t kMaxMessageBytes = 1000;
+inline constexpr std::size_t kMaxPartnerNameBytes = 64;
 
 }  // namespace load_balancer::quota
 
--- a/src/quota/partner_account.cpp
+++ b/src/quota/partner_account.cpp
@@ -5,109 +5,122 @@
 
 namespace load_balancer::quota {
 
-PartnerAccount::PartnerAccount(Time since, const FloorTerms& floor, const Timings& timings)
-    : timings_(&timings), floor_(floor), bucket_(since) {
-  Follow(since);
+PartnerAccount::PartnerAccount(Time since, const ReservedMinimumTerms& minimum, const Timings& timings)
+    : timings_(&timings), minimum_(minimum), bucket_(since) {
+  UpdateBucket(since);
 }
 
 PartnerAccount::Source PartnerAccount::SourceAt(Time now) const {
-  if (now < grant_until_) return Source::kGrant;
-  return now >= floor_.from && floor_.part.rate > 0 ? Source::kFloor : Source::kNone;
+  if (now < grant_expires_at_) return Source::kGrant;
+  const bool has_minimum = now >= minimum_.available_from && minimum_.usable.rate > 0;
+  return has_minimum ? Source::kReservedMinimum : Source::kNone;
 }
 
-Part PartnerAccount::InForce(Time now) const {
+Allocation PartnerAccount::InForce(Time now) const {
   switch (SourceAt(now)) {
     case Source::kGrant:
       return grant_;
-    case Source::kFloor:
-      return floor_.part;
+    case Source::kReservedMinimum:
+      return minimum_.usable;
     case Source::kNone:
       break;
   }
   return {};
 }
 
-void PartnerAccount::Follow(Time at) {
-  const Part part = InForce(at);
-  bucket_.Set(at, {SlowedRate(part.rate, *timings_), part.depth});
+void PartnerAccount::UpdateBucket(Time at) {
+  const Allocation allocation = InForce(at);
+  bucket_.SetAllocation(at, {SlowedRate(allocation.rate, *timings_), allocation.depth});
 }
 
-void PartnerAccount::Settle(Time now) {
-  const auto [first, second] = std::minmax(grant_until_, floor_.from);
+void PartnerAccount::Advance(Time now) {
+  const auto [first, second] = std::minmax(grant_expires_at_, minimum_.available_from);
   for (const Time change : {first, second})
-    if (change > bucket_.last() && change <= now) Follow(change);
+    if (change > bucket_.last_update() && change <= now) UpdateBucket(change);
 }
 
-bool PartnerAccount::Charge(Time now, Milli cost) {
-  now = std::max(now, bucket_.last());
-  Settle(now);
+bool PartnerAccount::Charge(Time now, MilliUnits cost) {
+  now = std::max(now, bucket_.last_update());
+  Advance(now);
   demand_.Add(now, cost);
   return bucket_.Charge(now, cost);
 }
 
-void PartnerAccount::Credit(Time now, Time charged, Milli cost) {
-  Settle(now);
-  bucket_.Credit(now, charged, cost);
+void PartnerAccount::Credit(Time now, Time charged_at, MilliUnits cost) {
+  Advance(now);
+  bucket_.Credit(now, charged_at, cost);
 }
 
-std::optional<Span> PartnerAccount::Until(Time now, Milli cost) {
-  Settle(now);
-  if (const auto fits = bucket_.Until(now, cost)) return fits;
-  const Milli rate = SlowedRate(floor_.part.rate, *timings_);
-  if (floor_.from <= now || rate <= 0 || cost > floor_.part.depth) return std::nullopt;
-  return floor_.from - now + std::chrono::nanoseconds(cost * 1'000'000 / rate * 1'000);
+std::optional<Span> PartnerAccount::TimeUntilAvailable(Time now, MilliUnits cost) {
+  Advance(now);
+  if (const auto wait = bucket_.TimeUntilAvailable(now, cost)) return wait;
+  const MilliUnits rate = SlowedRate(minimum_.usable.rate, *timings_);
+  if (minimum_.available_from <= now || rate <= 0 || cost > minimum_.usable.depth) return std::nullopt;
+  const auto fill_time = std::chrono::nanoseconds(cost * 1'000'000 / rate * 1'000);
+  return minimum_.available_from - now + fill_time;
 }
 
-bool PartnerAccount::Take(Time now, const Grant& grant, const GrantId& id, Time until) {
-  if (id <= id_ || until <= now) return false;
-  Settle(now);
-  grant_ = grant.part;
-  id_ = id;
-  grant_until_ = until;
-  answered_ = true;
-  PutFloorAway(until);
-  Follow(now);
+bool PartnerAccount::Accept(Time now, const Grant& grant, const GrantId& id, Time expires_at) {
+  if (id <= grant_id_ || expires_at <= now) return false;
+  Advance(now);
+  grant_ = grant.allocation;
+  grant_id_ = id;
+  grant_expires_at_ = expires_at;
+  is_answered_ = true;
+  LendReservedMinimum(expires_at);
+  UpdateBucket(now);
   return true;
 }
 
-Ack PartnerAccount::Held(Time now) const {
-  if (now >= grant_until_) return {};
-  const auto left = std::chrono::floor<std::chrono::milliseconds>(grant_until_ - now);
-  return {"", id_, static_cast<std::uint64_t>(left.count())};
+GrantAck PartnerAccount::HeldGrant(Time now) const {
+  if (now >= grant_expires_at_) return {};
+  const auto left = std::chrono::floor<std::chrono::milliseconds>(grant_expires_at_ - now);
+  return {"", grant_id_, static_cast<std::uint64_t>(left.count())};
 }
 
-void PartnerAccount::SetFloor(Time now, const Part& part, const Part& full) {
-  Settle(now);
-  floor_.part = part;
-  floor_.full = full;
-  Follow(now);
+void PartnerAccount::SetReservedMinimum(Time now, const Allocation& usable, const Allocation& configured) {
+  Advance(now);
+  minimum_.usable = usable;
+  minimum_.configured = configured;
+  UpdateBucket(now);
 }
 
-PartnerAccount::Asking PartnerAccount::WantsToAsk(Time now) {
-  if (called_) return Asking::kNow;
-  // Before the first ask the bounds are far enough apart for their difference to overflow.
-  const Span since = asked_at_ == Time::min() ? timings_->grant_life : now - asked_at_;
-  if (since < Demand::kBin) return Asking::kNo;
-  const Milli demand = demand_.Estimate(now);
-  const Milli slack = asked_for_ / 4 + 2 * demand_.Largest(now);
-  const bool granted = now < grant_until_;
-  if (granted && (std::abs(demand - asked_for_) > slack || (demand == 0) != (asked_for_ == 0)))
-    return Asking::kNow;
-  if (demand == 0 || since < timings_->ask) return Asking::kNo;
-  if (InForce(now).rate < demand && !(granted && answered_)) return Asking::kNow;
-  if (!granted) return Asking::kNo;
-  const Span left = grant_until_ - now;
-  if (left < timings_->grant_life * 5 / 8) return Asking::kNow;
-  return left < timings_->grant_life * 7 / 8 ? Asking::kWithOthers : Asking::kNo;
+// By more than a quarter of what was requested and two of the largest charges, or to or from nothing.
+bool PartnerAccount::HasDemandShifted(MilliUnits demand, Time now) {
+  const MilliUnits tolerance = requested_demand_ / 4 + 2 * demand_.LargestCost(now);
+  if (std::abs(demand - requested_demand_) > tolerance) return true;
+  return (demand == 0) != (requested_demand_ == 0);
 }
 
-Ask PartnerAccount::MakeAsk(Time now) {
-  called_ = answered_ = false;
-  asked_at_ = now;
-  asked_for_ = demand_.Estimate(now);
-  return {Held(now), std::min(asked_for_, kMostRate), std::min(demand_.Largest(now), kMostBurst)};
+PartnerAccount::RequestUrgency PartnerAccount::NextRequest(Time now) {
+  if (is_recalled_) return RequestUrgency::kNow;
+  // Before the first request the difference would overflow.
+  const Span since_request =
+      requested_at_ == Time::min() ? timings_->max_grant_lifetime : now - requested_at_;
+  if (since_request < DemandEstimator::kBinWidth) return RequestUrgency::kNone;
+  const MilliUnits demand = demand_.Estimate(now);
+  const bool has_grant = now < grant_expires_at_;
+  if (has_grant && HasDemandShifted(demand, now)) return RequestUrgency::kNow;
+  if (demand == 0 || since_request < timings_->request_interval) return RequestUrgency::kNone;
+  const bool is_granted_what_there_is = has_grant && is_answered_;
+  if (InForce(now).rate < demand && !is_granted_what_there_is) return RequestUrgency::kNow;
+  if (!has_grant) return RequestUrgency::kNone;
+  const Span left = grant_expires_at_ - now;
+  if (left < timings_->max_grant_lifetime * 5 / 8) return RequestUrgency::kNow;
+  return left < timings_->max_grant_lifetime * 7 / 8 ? RequestUrgency::kWithOthers : RequestUrgency::kNone;
 }
 
-bool PartnerAccount::Idle(Time now) { return !called_ && now >= grant_until_ && demand_.Estimate(now) == 0; }
+GrantRequest PartnerAccount::MakeRequest(Time now) {
+  is_recalled_ = false;
+  is_answered_ = false;
+  requested_at_ = now;
+  requested_demand_ = demand_.Estimate(now);
+  const MilliUnits min_depth = std::min(demand_.LargestCost(now), kMaxBurst);
+  return {HeldGrant(now), std::min(requested_demand_, kMaxRate), min_depth};
+}
+
+bool PartnerAccount::IsIdle(Time now) {
+  return !is_recalled_ && now >= grant_expires_at_ && demand_.Estimate(now) == 0;
+}
 
 }  // namespace load_balancer::quota
--- a/src/quota/partner_account.h
+++ b/src/quota/partner_account.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One partner's account at one gateway: the bucket, which follows the grant in force or the floor, and when
-// to ask for another grant.
+/// @file
+/// One partner's budget at one gateway: the token bucket, which follows the grant in force or the reserved
+/// minimum, and when to request another grant.
 #ifndef LOAD_BALANCER_QUOTA_PARTNER_ACCOUNT_H_
 #define LOAD_BALANCER_QUOTA_PARTNER_ACCOUNT_H_
 
@@ -16,68 +17,75 @@
 
 namespace load_balancer::quota {
 
-// The floor is in force from `from` on wherever no grant is.
-struct FloorTerms {
-  Part part;  // in use
-  Part full;  // as the budgets have it; in use once all gateways have them
-  Time from;
+/// The reserved minimum, which is in force from `available_from` on wherever no grant is.
+struct ReservedMinimumTerms {
+  Allocation usable;
+  Allocation configured;  ///< By the budgets; usable once all gateways have them.
+  Time available_from;
 };
 
 class PartnerAccount {
  public:
-  // With an empty bucket at `since`, from which on the floor's terms hold; `since` may be past.
-  PartnerAccount(Time since, const FloorTerms& floor, const Timings& timings);
+  /// Starts with an empty bucket at `since`, from which on `minimum` holds. `since` may be past.
+  PartnerAccount(Time since, const ReservedMinimumTerms& minimum, const Timings& timings);
 
-  // What is in force: a grant, the floor, or nothing.
-  enum class Source { kNone, kFloor, kGrant };
+  /// What is in force.
+  enum class Source { kNone, kReservedMinimum, kGrant };
 
-  bool Charge(Time now, Milli cost);
-  void Credit(Time now, Time charged, Milli cost);
-  // Until `cost` would fit as things are; nothing where neither floor nor grant is to come.
-  std::optional<Span> Until(Time now, Milli cost);
+  bool Charge(Time now, MilliUnits cost);
+  void Credit(Time now, Time charged_at, MilliUnits cost);
+  /// The time until `cost` fits if nothing else happens. Empty if neither a reserved minimum nor a grant is
+  /// to come.
+  std::optional<Span> TimeUntilAvailable(Time now, MilliUnits cost);
 
-  // Takes a grant in place of what is in force, unless it is no newer than one that was taken, or has ended.
-  // From then on the floor is put away until the grant's end, also if another grant replaces it.
-  bool Take(Time now, const Grant& grant, const GrantId& id, Time until);
-  // The grant in force, for an ask or an ack; zero if there is none.
-  Ack Held(Time now) const;
+  /// Puts a grant in force in place of what is, unless it is no newer than one that was accepted before or
+  /// has expired. The reserved minimum is lent from then on until the grant's expiry, even if another grant
+  /// replaces this one. Returns whether the grant was accepted.
+  bool Accept(Time now, const Grant& grant, const GrantId& id, Time expires_at);
+  /// The grant in force, for a request or an acknowledgement; its id is zero if there is none.
+  GrantAck HeldGrant(Time now) const;
 
-  // Other terms of the floor from `now` on. It stays put away as long as was promised.
-  void SetFloor(Time now, const Part& part, const Part& full);
-  void PutFloorAway(Time until) { floor_.from = std::max(floor_.from, until); }
-  const FloorTerms& floor() const { return floor_; }
+  /// Changes the reserved minimum from `now` on. It stays lent for as long as was promised.
+  void SetReservedMinimum(Time now, const Allocation& usable, const Allocation& configured);
+  /// Does not use the reserved minimum before `until`.
+  void LendReservedMinimum(Time until) { minimum_.available_from = std::max(minimum_.available_from, until); }
+  const ReservedMinimumTerms& reserved_minimum() const { return minimum_; }
 
-  // Whether it is time to ask. A shift of demand, up or down, is told at once; a gateway that has less than
-  // it needs and no answer asks each Timings::ask; one that has a grant by its last ask renews it well before
-  // the end, as an allocator that has more for it says so unasked.
-  enum class Asking { kNo, kWithOthers, kNow };  // kWithOthers: soon, and now if a message goes anyway
-  Asking WantsToAsk(Time now);
-  // What the ask says. Counts as made.
-  Ask MakeAsk(Time now);
-  // The allocator wants to be asked.
-  void Call() { called_ = true; }
-  // There is nothing to look after until the next charge or call.
-  bool Idle(Time now);
+  /// How soon to request a grant: not now, along with other requests, or at once.
+  enum class RequestUrgency { kNone, kWithOthers, kNow };
+  /// A change of demand in either direction is urgent. A gateway that has less than it needs and no answer
+  /// repeats its request each Timings::request_interval. One that has a grant by its last request renews it
+  /// well before it expires, as an allocator that can grant more does so unasked.
+  RequestUrgency NextRequest(Time now);
+  /// Makes the request, which counts as sent.
+  GrantRequest MakeRequest(Time now);
+  /// The allocator has asked for a request.
+  void OnRecall() { is_recalled_ = true; }
+  /// Whether there is nothing to do until the next charge or recall.
+  bool IsIdle(Time now);
 
   Source SourceAt(Time now) const;
-  Part InForce(Time now) const;
-  Milli Wanted(Time now) { return demand_.Estimate(now); }
+  Allocation InForce(Time now) const;
+  /// The estimated rate of the traffic, per second.
+  MilliUnits Demand(Time now) { return demand_.Estimate(now); }
 
  private:
-  // Brings the bucket to `now` through the changes that came due.
-  void Settle(Time now);
-  void Follow(Time at);
+  // Applies the changes of what is in force that were due by `now` to the bucket.
+  void Advance(Time now);
+  void UpdateBucket(Time at);
+  bool HasDemandShifted(MilliUnits demand, Time now);
 
   const Timings* timings_;
-  FloorTerms floor_;
-  Part grant_;
-  GrantId id_;  // of the newest grant taken
-  Time grant_until_ = Time::min();
+  ReservedMinimumTerms minimum_;
+  Allocation grant_;
+  GrantId grant_id_;  // of the newest grant accepted
+  Time grant_expires_at_ = Time::min();
   Bucket bucket_;
-  Demand demand_;
-  bool called_ = false, answered_ = false;  // answered_: a grant was taken since the last ask
-  Time asked_at_ = Time::min();
-  Milli asked_for_ = 0;
+  DemandEstimator demand_;
+  bool is_recalled_ = false;
+  bool is_answered_ = false;  // a grant was accepted since the last request
+  Time requested_at_ = Time::min();
+  MilliUnits requested_demand_ = 0;
 };
 
 }  // namespace load_balancer::quota
