--- a/src/quota/partner_allocator.cpp
+++ b/src/quota/partner_allocator.cpp
@@ -2,204 +2,230 @@
 #include "quota/partner_allocator.h"
 
 #include <algorithm>
+#include <compare>
 
 namespace load_balancer::quota {
 namespace {
 
 using std::chrono::milliseconds;
 
-constexpr int kSlots = 16;  // of a grant's life
-// Between two handings out at least: the first, and more for each that asks, as each costs time for all.
-constexpr Span kPause = milliseconds(10), kPauseEach = std::chrono::microseconds(50);
+constexpr int kSlotsPerLifetime = 16;
+// The shortest time between two issues of grants. Each requester adds to it, as it adds to the work.
+constexpr Span kMinIssueInterval = milliseconds(10);
+constexpr Span kIssueIntervalPerRequester = std::chrono::microseconds(50);
+// Enough of a grant's lifetime to renew the grant in.
+constexpr int kRenewalFraction = 4;
 
-// The rate whose part of the burst is at least `depth`.
-Milli RateFor(const Budget& budget, Milli depth) {
+// The smallest rate whose allocation has at least `depth`.
+MilliUnits RateForDepth(const Budget& budget, MilliUnits depth) {
   depth = std::min(depth, budget.burst);
   return std::min(budget.rate, (depth * budget.rate + budget.burst - 1) / budget.burst);
 }
 
-// The largest rate that fits into the room by itself and by its depth.
-Milli RateWithin(const Budget& budget, const Part& room) {
-  const Part within{std::max<Milli>(room.rate, 0), std::clamp<Milli>(room.depth, 0, budget.burst)};
-  return std::min(within.rate, within.depth * budget.rate / budget.burst);
+// The smallest rate of use to a gateway with charges of up to `min_depth`.
+MilliUnits MinUsefulRate(const Budget& budget, MilliUnits min_depth) {
+  return RateForDepth(budget, std::max(min_depth, kUnit));
 }
 
+// Differences of a sixteenth wait until the next request.
+bool IsClearlyLess(MilliUnits left, MilliUnits right) { return left + right / 16 + 1 < right; }
+
+struct RateChange {
+  MilliUnits change = 0;
+  GatewayId gateway = 0;
+  auto operator<=>(const RateChange&) const = default;
+};
+
 }  // namespace
 
 PartnerAllocator::PartnerAllocator(const Timings& timings)
-    : timings_(&timings), commitments_(timings.grant_life / kSlots, timings.Apart()) {}
+    : timings_(&timings),
+      commitments_(timings.max_grant_lifetime / kSlotsPerLifetime, timings.MaxClockDifference()) {}
 
 void PartnerAllocator::Schedule(Time now) {
-  const Time least = issued_at_ == Time::min()
-                         ? now
-                         : std::max(now, issued_at_ + kPause + static_cast<int>(askers_.size()) * kPauseEach);
-  due_ = std::min(due_, least);
-}
-
-void PartnerAllocator::OnAsk(Time now, GatewayId gateway, std::uint64_t life, std::uint64_t number,
-                             const Ask& ask) {
-  Asker& asker = askers_[gateway];
-  if (asker.life == life && number <= asker.number) return;
-  asker.life = life;
-  asker.number = number;
-  asker.at = now;
-  asker.demand = ask.demand;
-  asker.least = ask.least;
-  asker.answered = false;
+  Time earliest = now;
+  if (issued_at_ != Time::min()) {
+    const Span interval =
+        kMinIssueInterval + static_cast<int>(requesters_.size()) * kIssueIntervalPerRequester;
+    earliest = std::max(now, issued_at_ + interval);
+  }
+  due_ = std::min(due_, earliest);
+}
+
+void PartnerAllocator::OnGrantRequest(Time now, GatewayId gateway, std::uint64_t incarnation,
+                                      std::uint64_t number, const GrantRequest& request) {
+  Requester& requester = requesters_[gateway];
+  if (requester.incarnation == incarnation && number <= requester.number) return;
+  requester.incarnation = incarnation;
+  requester.number = number;
+  requester.received_at = now;
+  requester.demand = request.demand;
+  requester.min_depth = request.min_depth;
+  requester.is_answered = false;
   expected_.erase(gateway);
   Schedule(now);
 }
 
-void PartnerAllocator::OnAck(Time now, GatewayId gateway, std::uint64_t life, const Ack& ack) {
-  commitments_.Acknowledge(gateway, life, ack.grant, milliseconds(ack.away_ms));
-  if (waits_) Schedule(now);
+void PartnerAllocator::OnAck(Time now, GatewayId gateway, std::uint64_t incarnation, const GrantAck& ack) {
+  commitments_.Acknowledge(gateway, incarnation, ack.grant, milliseconds(ack.lent_ms));
+  if (is_waiting_) Schedule(now);
 }
 
-void PartnerAllocator::Expect(Time now, GatewayId gateway, Milli demand) {
-  if (!askers_.contains(gateway)) expected_[gateway] = {demand, now + 2 * timings_->ask};
+void PartnerAllocator::SetExpectedDemand(Time now, GatewayId gateway, MilliUnits demand) {
+  if (requesters_.contains(gateway)) return;
+  expected_[gateway] = {demand, now + 2 * timings_->request_interval};
 }
 
-std::map<GatewayId, Milli> PartnerAllocator::Demand(Time now) const {
-  std::map<GatewayId, Milli> demand;
-  for (const auto& [gateway, asker] : askers_)
-    if (asker.demand > 0 && now - asker.at < timings_->grant_life) demand[gateway] = asker.demand;
+std::map<GatewayId, MilliUnits> PartnerAllocator::Demand(Time now) const {
+  std::map<GatewayId, MilliUnits> demand;
+  for (const auto& [gateway, requester] : requesters_) {
+    const bool is_recent = now - requester.received_at < timings_->max_grant_lifetime;
+    if (requester.demand > 0 && is_recent) demand[gateway] = requester.demand;
+  }
   return demand;
 }
 
-// Divides what neither floors nor grants of those that do not ask take now. While there is enough for all,
-// each keeps its floor.
-void PartnerAllocator::Target(Time now, const Budget& budget, const Floors& floors) {
-  std::vector<GatewayId> who;
-  std::vector<Claim> claims;
-  Milli capacity = budget.rate - commitments_.Sums(now, now + Span(1), floors).front().rate;
-  Milli demand = 0, with_floors = 0;
-  const auto claim = [&](GatewayId gateway, Milli wanted, Milli least, Time turn_until) {
-    const Part floor = floors.Of(gateway);
-    who.push_back(gateway);
-    claims.push_back({wanted, floor.rate, RateFor(budget, std::max(least, kOne)), turn_until});
-    capacity += commitments_.At(gateway, now, floor).rate;
-    demand += wanted;
-    with_floors += std::max(wanted, floor.rate);
+// Divides the capacity that is left by the reserved minimums and the grants of gateways that request nothing
+// now. While there is enough for all, each gateway keeps its reserved minimum.
+void PartnerAllocator::ComputeTargets(Time now, const Budget& budget, const ReservedMinimums& minimums) {
+  std::vector<GatewayId> gateways;
+  std::vector<RateClaim> claims;
+  MilliUnits capacity = budget.rate - commitments_.TotalsBySlot(now, now + Span(1), minimums).front().rate;
+  MilliUnits total_demand = 0;
+  MilliUnits total_with_minimums = 0;
+  const auto claim = [&](GatewayId gateway, MilliUnits demand, MilliUnits min_depth, Time turn_until) {
+    const Allocation minimum = minimums.Of(gateway);
+    gateways.push_back(gateway);
+    claims.push_back({demand, minimum.rate, MinUsefulRate(budget, min_depth), turn_until});
+    capacity += commitments_.At(gateway, now, minimum).rate;
+    total_demand += demand;
+    total_with_minimums += std::max(demand, minimum.rate);
   };
-  for (const auto& [gateway, asker] : askers_) claim(gateway, asker.demand, asker.least, asker.turn_until);
-  for (const auto& [gateway, expected] : expected_) claim(gateway, expected.first, 0, Time::min());
-  short_ = demand > capacity;
-  if (with_floors <= capacity)
-    for (Claim& one : claims) one.demand = std::max(one.demand, one.floor);
-  const std::vector<Milli> parts = quota::Divide(capacity, claims, now);
+  for (const auto& [gateway, requester] : requesters_)
+    claim(gateway, requester.demand, requester.min_depth, requester.turn_until);
+  for (const auto& [gateway, expected] : expected_) claim(gateway, expected.demand, 0, Time::min());
+
+  is_short_ = total_demand > capacity;
+  if (total_with_minimums <= capacity) {
+    for (RateClaim& each : claims) each.demand = std::max(each.demand, each.reserved_minimum);
+  }
+  const std::vector<MilliUnits> rates = DivideRate(capacity, claims, now);
   targets_.clear();
-  for (std::size_t i = 0; i < who.size(); ++i) {
-    targets_[who[i]] = parts[i];
-    const auto asker = askers_.find(who[i]);
-    const bool turn = asker != askers_.end() && parts[i] > 0 && parts[i] <= claims[i].least;
-    if (turn && asker->second.turn_until <= now) asker->second.turn_until = now + timings_->grant_life;
+  for (std::size_t i = 0; i < gateways.size(); ++i) {
+    targets_[gateways[i]] = rates[i];
+    StartTurn(now, gateways[i], claims[i], rates[i]);
   }
 }
 
-std::pair<Part, Time> PartnerAllocator::Fit(Time now, Time most, GatewayId gateway, std::uint64_t life,
-                                            Milli rate, const Budget& budget, const Part& floor,
-                                            const std::vector<Part>& sums) const {
-  // A quarter of a life is enough to renew in; beyond it, as far as the rate holds.
-  const Time enough = std::min(most, now + timings_->grant_life / 4);
-  Time begin = commitments_.SlotBegin(now);
-  for (const Part& sum : sums) {
-    if (begin >= most) break;
-    const Part others =
-        sum - commitments_.At(gateway, begin, floor) + commitments_.Others(gateway, begin, life);
-    const Milli fits = RateWithin(budget, Part{budget.rate, budget.burst} - others);
-    if (fits < rate && begin >= enough) return {PartOf(budget, rate), begin};
-    rate = std::min(rate, fits);
-    begin += commitments_.slot();
-  }
-  return {PartOf(budget, rate), most};
+// A gateway that gets no more than the minimum useful rate has its turn for a grant's lifetime.
+void PartnerAllocator::StartTurn(Time now, GatewayId gateway, const RateClaim& claim, MilliUnits rate) {
+  if (rate <= 0 || rate > claim.min_useful_rate) return;
+  const auto requester = requesters_.find(gateway);
+  if (requester == requesters_.end() || requester->second.turn_until > now) return;
+  requester->second.turn_until = now + timings_->max_grant_lifetime;
 }
 
-Milli PartnerAllocator::Has(GatewayId gateway, const Asker& asker) const {
-  const Outstanding* newest = commitments_.Newest(gateway, asker.life);
-  return newest ? newest->part.rate : 0;
+MilliUnits PartnerAllocator::HeldRate(GatewayId gateway, const Requester& requester) const {
+  const OutstandingGrant* newest = commitments_.Newest(gateway, requester.incarnation);
+  return newest ? newest->allocation.rate : 0;
 }
 
-std::vector<GatewayId> PartnerAllocator::Due() const {
-  // Differences of a sixteenth are left until the next ask.
-  const auto less = [](Milli a, Milli b) { return a + b / 16 + 1 < b; };
-  bool lacking = short_;
-  for (const auto& [gateway, asker] : askers_)
-    lacking = lacking || less(Has(gateway, asker), std::min(asker.demand, targets_.at(gateway)));
-  std::vector<std::pair<Milli, GatewayId>> due;
-  for (const auto& [gateway, asker] : askers_) {
-    const Milli has = Has(gateway, asker), target = targets_.at(gateway);
-    const bool apart = lacking && (less(has, target) || less(target, has));
-    if (!asker.answered || apart) due.emplace_back(target - has, gateway);
+std::vector<GatewayId> PartnerAllocator::GatewaysDue() const {
+  bool is_lacking = is_short_;
+  for (const auto& [gateway, requester] : requesters_) {
+    const MilliUnits needed = std::min(requester.demand, targets_.at(gateway));
+    is_lacking = is_lacking || IsClearlyLess(HeldRate(gateway, requester), needed);
+  }
+  std::vector<RateChange> due;
+  for (const auto& [gateway, requester] : requesters_) {
+    const MilliUnits held = HeldRate(gateway, requester);
+    const MilliUnits target = targets_.at(gateway);
+    const bool differs = IsClearlyLess(held, target) || IsClearlyLess(target, held);
+    if (!requester.is_answered || (is_lacking && differs)) due.push_back({target - held, gateway});
   }
   std::sort(due.begin(), due.end());
   std::vector<GatewayId> gateways;
-  for (const auto& [change, gateway] : due) gateways.push_back(gateway);
+  for (const RateChange& change : due) gateways.push_back(change.gateway);
   return gateways;
 }
 
-void PartnerAllocator::Add(Time now, GatewayId gateway, const Outstanding& grant, const Part& floor,
-                           std::vector<Part>* sums) {
-  Time begin = commitments_.SlotBegin(now);
-  std::vector<Part> before;
-  for (std::size_t i = 0; i < sums->size(); ++i)
-    before.push_back(commitments_.At(gateway, begin + static_cast<int>(i) * commitments_.slot(), floor));
-  commitments_.Add(gateway, grant);
-  for (Part& sum : *sums) {
-    sum =
-        sum + commitments_.At(gateway, begin, floor) - before[static_cast<std::size_t>(&sum - sums->data())];
-    begin += commitments_.slot();
-  }
+void PartnerAllocator::Prune(Time now) {
+  commitments_.Prune(now);
+  std::erase_if(requesters_, [&](const auto& requester) {
+    return now - requester.second.received_at >= timings_->max_grant_lifetime;
+  });
+  std::erase_if(expected_, [&](const auto& expected) { return expected.second.until <= now; });
 }
 
 std::vector<IssuedGrant> PartnerAllocator::IssueGrants(Time now, Time deadline, const Budget& budget,
-                                                       const Floors& floors, GrantId* last) {
-  commitments_.Prune(now);
-  std::erase_if(askers_, [&](const auto& entry) { return now - entry.second.at >= timings_->grant_life; });
-  std::erase_if(expected_, [&](const auto& entry) { return entry.second.second <= now; });
+                                                       const ReservedMinimums& minimums, GrantId* last) {
+  Prune(now);
   issued_at_ = now;
-  waits_ = false;
-  Target(now, budget, floors);
-  std::vector<Part> sums = commitments_.Sums(now, now + timings_->grant_life + timings_->Apart(), floors);
+  is_waiting_ = false;
+  ComputeTargets(now, budget, minimums);
+  const Time end = now + timings_->max_grant_lifetime + timings_->MaxClockDifference();
+  GrantPlanner planner(budget, minimums, &commitments_, now, end);
   std::vector<IssuedGrant> issued;
-  for (const GatewayId gateway : Due()) {
-    Asker& asker = askers_[gateway];
-    const Part floor = floors.Of(gateway);
-    const Milli target = targets_[gateway];
-    const auto [part, end] = Fit(now, std::min(asker.at + timings_->grant_life + timings_->Apart(), deadline),
-                                 gateway, asker.life, target, budget, floor, sums);
-    waits_ = waits_ || part.rate < target;
-    if (part.rate < std::min(target, RateFor(budget, std::max(asker.least, kOne)))) continue;
-    const auto life = std::chrono::floor<milliseconds>(end - timings_->Apart() - asker.at);
-    const Time until = asker.at + life + timings_->Apart();
-    const Outstanding* newest = commitments_.Newest(gateway, asker.life);
-    if (asker.answered && newest && newest->part == part && newest->until >= until) continue;
-    if (asker.at + life <= now) continue;
-    ++last->number;
-    Add(now, gateway, {asker.life, *last, part, now, until}, floor, &sums);
-    asker.answered = true;
-    issued.push_back({gateway,
-                      asker.life,
-                      {"", asker.number, last->number, part, static_cast<std::uint64_t>(life.count())}});
+  for (const GatewayId gateway : GatewaysDue()) {
+    if (auto grant = IssueGrant(now, deadline, gateway, budget, &planner, last))
+      issued.push_back(std::move(*grant));
   }
-  // Short of budget, turns end, floors are to be called, and what others do not renew comes back.
-  due_ = waits_ ? now + commitments_.slot() : short_ ? now + timings_->ask : Time::max();
+  due_ = Time::max();
+  // While the budget is short, turns end, reserved minimums are recalled, and what others do not renew
+  // returns.
+  if (is_short_) due_ = now + timings_->request_interval;
+  if (is_waiting_) due_ = now + commitments_.slot();
   return issued;
 }
 
-std::vector<GatewayId> PartnerAllocator::Calls(Time now, const Gateways& gateways, const Floors& floors) {
-  std::vector<GatewayId> calls;
-  if (!short_ || floors.total().rate == 0) return calls;
+std::optional<IssuedGrant> PartnerAllocator::IssueGrant(Time now, Time deadline, GatewayId gateway,
+                                                        const Budget& budget, GrantPlanner* planner,
+                                                        GrantId* last) {
+  Requester& requester = requesters_[gateway];
+  const Time received = requester.received_at;
+  const Span max_lifetime = timings_->max_grant_lifetime;
+  const Span margin = timings_->MaxClockDifference();
+  const MilliUnits target = targets_[gateway];
+  const Time max_end = std::min(received + max_lifetime + margin, deadline);
+  const Time min_end = std::min(max_end, now + max_lifetime / kRenewalFraction);
+  const auto [allocation, end] = planner->Fit(gateway, requester.incarnation, target, min_end, max_end);
+  is_waiting_ = is_waiting_ || allocation.rate < target;
+  if (allocation.rate < std::min(target, MinUsefulRate(budget, requester.min_depth))) return std::nullopt;
+
+  const auto lifetime = std::chrono::floor<milliseconds>(end - margin - received);
+  const Time expires_at = received + lifetime + margin;
+  const OutstandingGrant* newest = commitments_.Newest(gateway, requester.incarnation);
+  const bool is_held = newest && newest->allocation == allocation && newest->expires_at >= expires_at;
+  if (requester.is_answered && is_held) return std::nullopt;
+  if (received + lifetime <= now) return std::nullopt;
+
+  ++last->number;
+  planner->Add(gateway, {requester.incarnation, *last, allocation, now, expires_at});
+  requester.is_answered = true;
+  const auto lifetime_ms = static_cast<std::uint64_t>(lifetime.count());
+  return IssuedGrant{
+      gateway, requester.incarnation, {"", requester.number, last->number, allocation, lifetime_ms}};
+}
+
+bool PartnerAllocator::WasRequestedSince(GatewayId gateway, Time since) const {
+  const auto requester = requesters_.find(gateway);
+  if (requester != requesters_.end() && requester->second.received_at > since) return true;
+  const auto recalled = recalled_at_.find(gateway);
+  return recalled != recalled_at_.end() && recalled->second > since;
+}
+
+std::vector<GatewayId> PartnerAllocator::Recalls(Time now, const GatewayRegistry& gateways,
+                                                 const ReservedMinimums& minimums) {
+  std::vector<GatewayId> recalls;
+  if (!is_short_ || minimums.total().rate == 0) return recalls;
+  const Time lent_long_enough = now + timings_->max_grant_lifetime / 2;
   for (GatewayId gateway = 0; gateway < gateways.size(); ++gateway) {
-    if (floors.Of(gateway).rate == 0 || commitments_.lent_until(gateway) > now + timings_->grant_life / 2)
-      continue;
-    const auto asker = askers_.find(gateway);
-    if (asker != askers_.end() && now - asker->second.at < timings_->ask) continue;
-    const auto called = called_.find(gateway);
-    if (called != called_.end() && now - called->second < timings_->ask) continue;
-    called_[gateway] = now;
-    calls.push_back(gateway);
+    if (minimums.Of(gateway).rate == 0 || commitments_.lent_until(gateway) > lent_long_enough) continue;
+    if (WasRequestedSince(gateway, now - timings_->request_interval)) continue;
+    recalled_at_[gateway] = now;
+    recalls.push_back(gateway);
   }
-  return calls;
+  return recalls;
 }
 
 }  // namespace load_balancer::quota
--- a/src/quota/section.cpp
+++ b/src/quota/section.cpp
@@ -11,94 +11,137 @@
 
 using nlohmann::json;
 
-constexpr double kLeast = 0.001;  // a unit a second, or a unit
+constexpr double kMinAmount = 0.001;  // a unit per second, or a unit
 
-Milli MilliOf(double units) { return std::llround(units * static_cast<double>(kOne)); }
+MilliUnits ToMilliUnits(double units) { return std::llround(units * static_cast<double>(kUnit)); }
 
-Budget ReadBudget(const json& partners, const std::string& name, std::vector<std::string>* faults) {
-  std::vector<std::string> here;
-  Section section(partners, name, {"per_s", "burst", "unit", "over", "floors"}, &here);
-  double rate = 0, burst = 0;
-  std::string unit = "requests", over = "mark";
-  section.Real("per_s", kLeast, static_cast<double>(kMostRate / kOne), &rate);
-  section.Real("burst", kLeast, static_cast<double>(kMostBurst / kOne), &burst);
+// The name by which the section gives the key. Reports a fault if it uses both names.
+const char* KeyInUse(Section& section, const KeyAlias& alias) {
+  if (!section.Find(alias.former)) return alias.key;
+  if (!section.Find(alias.key)) return alias.former;
+  section.Fault(alias.key, std::string("is given by its former name ") + alias.former + ", too");
+  return alias.key;
+}
+
+// Reads the rates by site, each from 0 to `per_s`.
+void ReadReservedMinimums(Section& section, const std::string& key, double per_s, Budget* budget) {
+  const json* minimums = section.Find(key.c_str());
+  if (!minimums) return;
+  if (!minimums->is_object()) return section.Fault(key, "is no object");
+  MilliUnits sum = 0;
+  for (const auto& [site, value] : minimums->items()) {
+    if (!value.is_number() || !(value.get<double>() >= 0) || value.get<double>() > per_s) {
+      section.Fault(key + "." + site, "is no figure from 0 to per_s");
+      continue;
+    }
+    const MilliUnits minimum = ToMilliUnits(value.get<double>());
+    budget->reserved_minimums[site] = minimum;
+    sum += minimum;
+  }
+  if (sum > budget->rate) section.Fault(key, "are more than per_s together");
+}
+
+// Reads a partner's budget; `reserved_minimums_key` is set to the name of that key in the file.
+Budget ReadBudget(const json& partners, const std::string& name, std::string* reserved_minimums_key,
+                  std::vector<std::string>* faults) {
+  std::vector<std::string> budget_faults;
+  Section section(partners, name,
+                  {"per_s", "burst", "unit", "over", kReservedMinimumsKey.key, kReservedMinimumsKey.former},
+                  &budget_faults);
+  double per_s = 0;
+  double burst = 0;
+  std::string unit = "requests";
+  std::string over = "mark";
+  section.Real("per_s", kMinAmount, static_cast<double>(kMaxRate / kUnit), &per_s);
+  section.Real("burst", kMinAmount, static_cast<double>(kMaxBurst / kUnit), &burst);
   section.Text("unit", &unit);
   section.Text("over", &over);
   for (const char* key : {"per_s", "burst"})
     if (!section.Find(key)) section.Fault(key, "is missing");
   if (unit != "requests" && unit != "work") section.Fault("unit", "is neither requests nor work");
   if (over != "mark" && over != "refuse") section.Fault("over", "is neither mark nor refuse");
-  Budget budget{MilliOf(rate),
-                MilliOf(burst),
-                unit == "work" ? Unit::kWork : Unit::kRequests,
-                over == "refuse" ? Over::kRefuse : Over::kMark,
-                {}};
-  const json* floors = section.Find("floors");
-  if (floors && !floors->is_object()) section.Fault("floors", "is no object");
-  Milli sum = 0;
-  const json none = json::object();
-  for (const auto& [site, value] : (floors && floors->is_object() ? *floors : none).items()) {
-    if (!value.is_number() || !(value.get<double>() >= 0) || value.get<double>() > rate) {
-      section.Fault("floors." + site, "is no figure from 0 to per_s");
+  Budget budget;
+  budget.rate = ToMilliUnits(per_s);
+  budget.burst = ToMilliUnits(burst);
+  budget.unit = unit == "work" ? Unit::kWork : Unit::kRequests;
+  budget.over_limit_action = over == "refuse" ? OverLimitAction::kReject : OverLimitAction::kMark;
+  *reserved_minimums_key = KeyInUse(section, kReservedMinimumsKey);
+  ReadReservedMinimums(section, *reserved_minimums_key, per_s, &budget);
+  for (const std::string& fault : budget_faults) faults->push_back("quota.partners." + fault);
+  return budget;
+}
+
+void CheckBudget(const Budget& budget, const std::string& place, const std::string& minimums_key,
+                 const SiteLayout& sites, std::vector<std::string>* faults) {
+  for (const auto& [site, minimum] : budget.reserved_minimums) {
+    const std::string at = place + "." + minimums_key + "." + site;
+    const auto gateways = sites.find(site);
+    if (gateways == sites.end()) {
+      faults->push_back(at + " is no site");
       continue;
     }
-    sum += budget.floors[site] = MilliOf(value.get<double>());
+    if (minimum <= 0 || budget.unit != Unit::kRequests) continue;
+    if (ReservedMinimumOf(budget, site, gateways->second.size()).depth < kUnit)
+      faults->push_back(at + " gives a gateway too little burst for one request");
   }
-  if (sum > budget.rate) section.Fault("floors", "are more than per_s together");
-  for (const std::string& fault : here) faults->push_back("quota.partners." + fault);
-  return budget;
+}
+
+void CheckGatewayNames(const SiteLayout& sites, std::vector<std::string>* faults) {
+  std::set<std::string> names;
+  for (const auto& [site, gateways] : sites)
+    for (const std::string& gateway : gateways) {
+      if (names.insert(gateway).second) continue;
+      faults->push_back("sites.gateways." + site + "." + gateway + " is the name of two gateways");
+    }
 }
 
 }  // namespace
 
-// The keys `treasurers` and `draw_ms` are older than the names of the fields.
 QuotaSection ReadQuota(const json& root, std::vector<std::string>* faults) {
   QuotaSection quota;
-  Section section(root, "quota", {"revision", "treasurers", "draw_ms", "ask_ms", "partners"}, faults);
+  Section section(root, "quota",
+                  {"revision", kAllocatorsKey.key, kAllocatorsKey.former, kGrantLifetimeKey.key,
+                   kGrantLifetimeKey.former, "ask_ms", "partners"},
+                  faults);
+  QuotaKeyNames& names = quota.key_names;
   quota.on = section.present();
+  names.allocators = KeyInUse(section, kAllocatorsKey);
+  names.grant_lifetime = KeyInUse(section, kGrantLifetimeKey);
   section.Whole<std::uint64_t>("revision", 0, std::uint64_t{1} << 62, &quota.budgets.revision);
-  section.Whole<std::size_t>("treasurers", 1, 64, &quota.allocators);
-  section.Time("draw_ms", 100, 60000, &quota.grant_life);
-  section.Time("ask_ms", 10, 10000, &quota.ask);
+  section.Whole<std::size_t>(names.allocators.c_str(), 1, 64, &quota.allocators);
+  section.Time(names.grant_lifetime.c_str(), 100, 60000, &quota.max_grant_lifetime);
+  section.Time("ask_ms", 10, 10000, &quota.request_interval);
   if (!quota.on) return quota;
   if (!section.Find("revision")) section.Fault("revision", "is missing");
-  if (quota.grant_life < 4 * quota.ask) section.Fault("draw_ms", "is under 4 times ask_ms");
+  if (quota.max_grant_lifetime < 4 * quota.request_interval)
+    section.Fault(names.grant_lifetime, "is under 4 times ask_ms");
   const json* partners = section.Find("partners");
   if (!partners || !partners->is_object()) {
     section.Fault("partners", "is no object");
     return quota;
   }
   for (const auto& [name, value] : partners->items()) {
-    if (name.empty() || name.size() > kMostPartner || !value.is_object())
+    if (name.empty() || name.size() > kMaxPartnerNameBytes || !value.is_object())
       section.Fault("partners." + name, "is no partner");
     else
-      quota.budgets.partners[name] = ReadBudget(*partners, name, faults);
+      quota.budgets.partners[name] = ReadBudget(*partners, name, &names.reserved_minimums[name], faults);
   }
   return quota;
 }
 
-void CheckQuota(const QuotaSection& quota, const Layout& sites, const std::set<std::string>& tenants,
+void CheckQuota(const QuotaSection& quota, const SiteLayout& sites, const std::set<std::string>& tenants,
                 std::chrono::milliseconds lease_term, std::chrono::milliseconds lease_drift,
                 std::vector<std::string>* faults) {
   if (!quota.on) return;
-  if (quota.grant_life >= lease_term - 2 * lease_drift)
-    faults->push_back("quota.draw_ms is not under sites.lease_term_ms less twice sites.lease_drift_ms");
-  std::set<std::string> names;
-  for (const auto& [site, gateways] : sites)
-    for (const std::string& gateway : gateways)
-      if (!names.insert(gateway).second)
-        faults->push_back("sites.gateways." + site + "." + gateway + " is the name of two gateways");
+  const QuotaKeyNames& names = quota.key_names;
+  if (quota.max_grant_lifetime >= lease_term - 2 * lease_drift)
+    faults->push_back("quota." + names.grant_lifetime +
+                      " is not under sites.lease_term_ms less twice sites.lease_drift_ms");
+  CheckGatewayNames(sites, faults);
   for (const auto& [partner, budget] : quota.budgets.partners) {
-    const std::string at = "quota.partners." + partner;
-    if (!tenants.contains(partner)) faults->push_back(at + " is no tenant of the settings");
-    for (const auto& [site, floor] : budget.floors) {
-      const auto gateways = sites.find(site);
-      if (gateways == sites.end())
-        faults->push_back(at + ".floors." + site + " is no site");
-      else if (floor > 0 && budget.unit == Unit::kRequests &&
-               FloorOf(budget, site, gateways->second.size()).depth < kOne)
-        faults->push_back(at + ".floors." + site + " gives a gateway too little burst for one request");
-    }
+    const std::string place = "quota.partners." + partner;
+    if (!tenants.contains(partner)) faults->push_back(place + " is no tenant of the settings");
+    CheckBudget(budget, place, names.reserved_minimums.at(partner), sites, faults);
   }
 }
 
--- /dev/null
+++ b/src/quota/warning.h
@@ -0,0 +1,19 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+/// @file
+/// The action that accounts and allocators have in common.
+#ifndef LOAD_BALANCER_QUOTA_WARNING_H_
+#define LOAD_BALANCER_QUOTA_WARNING_H_
+
+#include "base/error/failure.h"
+
+namespace load_balancer::quota {
+
+/// Action: log the failure at level warn.
+struct LogWarning {
+  Failure failure;
+};
+
+}  // namespace load_balancer::quota
+
+#endif  // LOAD_BALANCER_QUOTA_WARNING_H_
--- a/tests/federation/section_test.cpp
+++ b/tests/federation/section_test.cpp
@@ -78,6 +78,18 @@
   EXPECT_THROW(proxy::Reconfigure(config.dump(), current), proxy::BadConfig);
 }
 
+TEST(QuotaSection, AReloadMayGiveKeysByTheirPresentNames) {
+  json config = WithSites();
+  config["quota"]["treasurers"] = 2;
+  config["quota"]["draw_ms"] = 2000;
+  const proxy::Config current = ConfigOf(config);
+  json renamed = quota::WithPresentKeys(config);
+  ASSERT_NE(renamed, config);
+  EXPECT_EQ(proxy::Reconfigure(renamed.dump(), current).quota.budgets.revision, 1u);
+  renamed["quota"]["allocators"] = 3;
+  EXPECT_THROW(proxy::Reconfigure(renamed.dump(), current), proxy::BadConfig);
+}
+
 struct Case {
   const char* fault;
   std::function<void(json& config)> break_it;
--- a/tests/fleet/lease_voter_test.cpp
+++ b/tests/fleet/lease_voter_test.cpp
@@ -187,7 +187,7 @@
   namespace qt = load_balancer::quota;
   auto budgets = std::make_shared<qt::Budgets>();
   budgets->revision = 1;
-  budgets->partners["isar"].rate = budgets->partners["isar"].burst = 300 * qt::kOne;
+  budgets->partners["isar"].rate = budgets->partners["isar"].burst = 300 * qt::kUnit;
   for (const bool asked : {false, true}) {
     Quiet outlet;
     fl::Leases leases(OptionsOf(3), kNow, outlet);
@@ -198,9 +198,9 @@
     leases.Receive(then, OptionsOf(3).voters[1], grant);
     qt::Allocator allocator({0, 1, {{"muc", {"g"}}}, {}}, budgets);
     qt::AllocatorActions actions;
-    const qt::Request request{1, 1, 1, {{{"isar", {}, 0}, 100 * qt::kOne, qt::kOne}}, {}};
-    if (asked) allocator.Receive(then, *leases.Guard(then, "d"), "g", request, &actions);
-    EXPECT_EQ(allocator.OutUntil(then) > then, asked);
+    const qt::AllocationRequest request{1, 1, 1, {{{"isar", {}, 0}, 100 * qt::kUnit, qt::kUnit}}, {}};
+    if (asked) allocator.OnRequest(then, *leases.Guard(then, "d"), "g", request, &actions);
+    EXPECT_EQ(allocator.GrantsExpireAt(then) > then, asked);
     outlet.sent.clear();
     leases.Release(then);
     EXPECT_EQ(outlet.sent.empty(), asked);
--- a/tests/quota/account_test.cpp
+++ b/tests/quota/account_test.cpp
@@ -11,141 +11,146 @@
 using std::chrono::milliseconds;
 using Source = PartnerAccount::Source;
 
-constexpr std::uint64_t kLife = 77;
+constexpr std::uint64_t kIncarnation = 77;
 
-// 60 requests a second for all, a sixth of them one gateway's floor; clocks are taken to be exact.
-std::shared_ptr<Budgets> Sample(std::uint64_t revision = 1, Milli floor = 20 * kOne) {
+// 60 requests a second for all, a sixth of them one gateway's reserved minimum; clocks are taken to be exact.
+std::shared_ptr<Budgets> Sample(std::uint64_t revision = 1, MilliUnits minimum = 20 * kUnit) {
   auto budgets = std::make_shared<Budgets>();
   budgets->revision = revision;
-  budgets->partners["isar"] = {60 * kOne, 120 * kOne, Unit::kRequests, Over::kRefuse, {{"muc", floor}}};
+  budgets->partners["isar"] = {
+      60 * kUnit, 120 * kUnit, Unit::kRequests, OverLimitAction::kReject, {{"muc", minimum}}};
   return budgets;
 }
 
 class AccountTest : public testing::Test {
  protected:
-  static constexpr Milli kFloor = 10 * kOne;
-  AccountTest() : account_({"muc", 2, kLife, 1, TimingsOf()}, Sample(), At(0)) {}
+  static constexpr MilliUnits kMinimum = 10 * kUnit;
+  AccountTest() : account_({"muc", 2, kIncarnation, 1, TimingsOf()}, Sample(), At(0)) {}
 
   static Timings TimingsOf() {
     Timings timings;
-    timings.drift = milliseconds(0);
+    timings.clock_drift = milliseconds(0);
     return timings;
   }
   static Time At(int ms) { return Time(milliseconds(1'000'000 + ms)); }
 
-  Verdict Charge(int ms) { return account_.Charge(At(ms), "isar", 1).verdict; }
+  ChargeVerdict Charge(int ms) { return account_.Charge(At(ms), "isar", 1).verdict; }
   // How many fit at once.
   int Level(int ms) {
     int fit = 0;
-    while (Charge(ms) == Verdict::kInside) ++fit;
+    while (Charge(ms) == ChargeVerdict::kWithinBudget) ++fit;
     return fit;
   }
-  std::vector<Request> Tick(int ms) {
+  std::vector<AllocationRequest> Tick(int ms) {
     AccountActions actions;
     account_.Tick(At(ms), &actions);
     return Requests(actions);
   }
-  static std::vector<Request> Requests(const AccountActions& actions) {
-    std::vector<Request> requests;
+  static std::vector<AllocationRequest> Requests(const AccountActions& actions) {
+    std::vector<AllocationRequest> requests;
     for (const AccountAction& action : actions)
       if (const auto* send = std::get_if<SendRequest>(&action)) requests.push_back(send->request);
     return requests;
   }
-  std::vector<Request> Receive(int ms, const Answer& answer) {
+  std::vector<AllocationRequest> OnResponse(int ms, const AllocationResponse& response) {
     AccountActions actions;
-    account_.Receive(At(ms), 0, answer, &actions);
+    account_.OnResponse(At(ms), 0, response, &actions);
     return Requests(actions);
   }
-  static Answer GrantOf(std::uint64_t ask, std::uint64_t number, Milli rate, std::uint64_t token = 1) {
-    return {kLife, 1, token, false, {{"isar", ask, number, {rate, 2 * rate}, 2000}}, {}, {}};
+  static AllocationResponse GrantOf(std::uint64_t request_number, std::uint64_t number, MilliUnits rate,
+                                    std::uint64_t token = 1) {
+    return {kIncarnation, 1, token, false, {{"isar", request_number, number, {rate, 2 * rate}, 2000}},
+            {},           {}};
   }
-  // Makes the account ask at `ms`, and says by which number.
-  std::uint64_t Ask(int ms) {
+  // Makes the account request a grant at `ms`. Returns the number of the request.
+  std::uint64_t RequestGrant(int ms) {
     Charge(ms);
     const auto requests = Tick(ms);
     EXPECT_EQ(requests.size(), 1u);
-    return requests.empty() ? 0 : requests[0].ask;
+    return requests.empty() ? 0 : requests[0].number;
   }
 
   Account account_;
 };
 
-TEST_F(AccountTest, ANewLifeHasNoFloorUntilALentOneIsBack) {
+TEST_F(AccountTest, ANewIncarnationHasNoReservedMinimumUntilALentOneIsBack) {
   EXPECT_EQ(Level(1999), 0);
   EXPECT_EQ(account_.Charge(At(1999), "isar", 1).retry_after, milliseconds(101));
   EXPECT_EQ(Level(2500), 5);
   EXPECT_EQ(account_.Charge(At(2500), "isar", 1).retry_after, milliseconds(100));
-  EXPECT_EQ(Level(60'000), 20);  // the floor's part of the burst
-  EXPECT_EQ(account_.Charge(At(0), "lech", 1).verdict, Verdict::kUnknown);
+  EXPECT_EQ(Level(60'000), 20);  // the reserved minimum's portion of the burst
+  EXPECT_EQ(account_.Charge(At(0), "lech", 1).verdict, ChargeVerdict::kNoBudget);
 }
 
-TEST_F(AccountTest, AGrantCountsFromItsAskAndPutsTheFloorAwayUntilItsEnd) {
-  Level(3000);  // more than the floor is enough for
-  const std::uint64_t ask = Ask(3000);
+TEST_F(AccountTest, AGrantCountsFromItsRequestAndLendsTheReservedMinimumUntilItsExpiry) {
+  Level(3000);  // more than the reserved minimum is enough for
+  const std::uint64_t request_number = RequestGrant(3000);
   Level(3500);
-  const auto acks = Receive(3500, GrantOf(ask, 1, 2 * kOne));
+  const auto acks = OnResponse(3500, GrantOf(request_number, 1, 2 * kUnit));
   ASSERT_EQ(acks.size(), 1u);
   EXPECT_EQ(acks[0].acks.at(0).grant, (GrantId{1, 1}));
-  EXPECT_EQ(acks[0].acks.at(0).away_ms, 1500u);
+  EXPECT_EQ(acks[0].acks.at(0).lent_ms, 1500u);
   EXPECT_EQ(Level(4500), 2);
   EXPECT_EQ(Level(4999), 0);  // 2 a second since, which is not yet one
-  EXPECT_EQ(Level(5101), 2);  // the floor since 5000: one more by it, and one by the grant's last half second
+  // The reserved minimum since 5000: one more by it, and one by the grant's last half second.
+  EXPECT_EQ(Level(5101), 2);
 }
 
 TEST_F(AccountTest, OldRepeatedLateAndForeignGrantsChangeNothing) {
-  const std::uint64_t ask = Ask(0);
-  ASSERT_EQ(Receive(10, GrantOf(ask, 5, 30 * kOne)).size(), 1u);
-  EXPECT_TRUE(Receive(10, GrantOf(ask, 5, 60 * kOne)).empty());      // a repeat
-  EXPECT_TRUE(Receive(10, GrantOf(ask, 4, 60 * kOne)).empty());      // overtaken
-  EXPECT_TRUE(Receive(10, GrantOf(ask + 1, 6, 60 * kOne)).empty());  // of no ask
-  Answer foreign = GrantOf(ask, 7, 60 * kOne);
-  foreign.life = kLife + 1;
-  EXPECT_TRUE(Receive(10, foreign).empty());
-  Answer newer = GrantOf(ask, 8, 60 * kOne);
+  const std::uint64_t request_number = RequestGrant(0);
+  ASSERT_EQ(OnResponse(10, GrantOf(request_number, 5, 30 * kUnit)).size(), 1u);
+  EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 5, 60 * kUnit)).empty());      // a repeat
+  EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 4, 60 * kUnit)).empty());      // overtaken
+  EXPECT_TRUE(OnResponse(10, GrantOf(request_number + 1, 6, 60 * kUnit)).empty());  // of no request
+  AllocationResponse foreign = GrantOf(request_number, 7, 60 * kUnit);
+  foreign.incarnation = kIncarnation + 1;
+  EXPECT_TRUE(OnResponse(10, foreign).empty());
+  AllocationResponse newer = GrantOf(request_number, 8, 60 * kUnit);
   newer.revision = 2;
-  EXPECT_TRUE(Receive(10, newer).empty());
+  EXPECT_TRUE(OnResponse(10, newer).empty());
   EXPECT_EQ(Level(1010), 30);
-  EXPECT_TRUE(Receive(2000, GrantOf(ask, 9, 60 * kOne)).empty());      // its time is over
-  EXPECT_EQ(Receive(1020, GrantOf(ask, 1, 60 * kOne, 2)).size(), 1u);  // a newer allocator counts anew
+  EXPECT_TRUE(OnResponse(2000, GrantOf(request_number, 9, 60 * kUnit)).empty());  // its time is over
+  // A newer allocator counts anew.
+  EXPECT_EQ(OnResponse(1020, GrantOf(request_number, 1, 60 * kUnit, 2)).size(), 1u);
 }
 
-TEST_F(AccountTest, AsksAtOnceWhereDemandShiftsAndKeepsQuietWithoutAny) {
-  std::vector<int> asked;
+TEST_F(AccountTest, RequestsAtOnceWhereDemandShiftsAndNotAtAllWithoutAny) {
+  std::vector<int> requested_at;
   std::uint64_t last = 0;
   // 50 a second for 2 s, then nothing.
   for (int ms = 0; ms < 6000; ms += 10) {
     if (ms < 2000 && ms % 20 == 0) Charge(ms);
     if (account_.Next() > At(ms)) continue;
-    for (const Request& request : Tick(ms)) {
-      asked.push_back(ms);
-      last = request.ask;
-      EXPECT_EQ(request.asks.at(0).held.partner, "isar");
-      Receive(ms, GrantOf(request.ask, request.ask, 60 * kOne));
-      EXPECT_TRUE(ms <= 2000 || request.asks[0].demand == 0);
+    for (const AllocationRequest& request : Tick(ms)) {
+      requested_at.push_back(ms);
+      last = request.number;
+      EXPECT_EQ(request.grant_requests.at(0).held.partner, "isar");
+      OnResponse(ms, GrantOf(request.number, request.number, 60 * kUnit));
+      EXPECT_TRUE(ms <= 2000 || request.grant_requests[0].demand == 0);
     }
   }
-  ASSERT_GE(asked.size(), 3u);
-  EXPECT_EQ(asked[0], 0);
-  EXPECT_LE(asked.size(), 10u);
-  EXPECT_GE(asked.back(), 2000);
-  EXPECT_LE(asked.back(), 2250);  // gives back at once
+  ASSERT_GE(requested_at.size(), 3u);
+  EXPECT_EQ(requested_at[0], 0);
+  EXPECT_LE(requested_at.size(), 10u);
+  EXPECT_GE(requested_at.back(), 2000);
+  EXPECT_LE(requested_at.back(), 2250);  // gives back at once
   EXPECT_EQ(account_.Next(), Time::max());
-  // A call alone makes it ask again.
-  Receive(6000, {0, 1, 1, false, {}, {"isar"}, {}});
+  // A recall alone makes it request again.
+  OnResponse(6000, {0, 1, 1, false, {}, {"isar"}, {}});
   EXPECT_EQ(Tick(6000).size(), 1u);
   EXPECT_GT(last, 0u);
 }
 
-TEST_F(AccountTest, RenewsAGrantThatIsAnAnswerThoughItIsLess) {
+TEST_F(AccountTest, RenewsAGrantOfLessThanItsDemand) {
   // A tenth of the demand, for 10 s: each renewal well before the end, and not each 250 ms.
   int answered = 0, unanswered = 0;
   for (int ms = 0; ms < 10'000; ms += 10) {
     if (ms % 50 == 0) Charge(ms);
     if (account_.Next() > At(ms)) continue;
-    for (const Request& request : Tick(ms)) {
+    for (const AllocationRequest& request : Tick(ms)) {
       if (ms >= 2000 && ms < 8000) ++answered;
       if (ms >= 8000) ++unanswered;
-      if (ms < 8000) Receive(ms, GrantOf(request.ask, request.ask, 2 * kOne));
+      if (ms < 8000) OnResponse(ms, GrantOf(request.number, request.number, 2 * kUnit));
     }
   }
   EXPECT_LE(answered, 6000 / 500);
@@ -153,30 +158,31 @@
 }
 
 TEST_F(AccountTest, ACreditComesBackOnlyWhereItWasCharged) {
-  const Charged charged = account_.Charge(At(2500), "isar", 3);
-  ASSERT_EQ(charged.verdict, Verdict::kInside);
-  account_.Credit(At(2600), charged.ticket);
+  const ChargeResult charged = account_.Charge(At(2500), "isar", 3);
+  ASSERT_EQ(charged.verdict, ChargeVerdict::kWithinBudget);
+  account_.Credit(At(2600), charged.receipt);
   EXPECT_EQ(Level(2600), 6);
-  const Charged over = account_.Charge(At(2600), "isar", 1);
-  account_.Credit(At(2601), over.ticket);
+  const ChargeResult over = account_.Charge(At(2600), "isar", 1);
+  account_.Credit(At(2601), over.receipt);
   EXPECT_EQ(Level(2601), 0);
 }
 
-TEST_F(AccountTest, AFloorThatIsRaisedCountsOnceAllGatewaysHaveIt) {
+TEST_F(AccountTest, ARaisedReservedMinimumCountsOnceAllGatewaysHaveIt) {
   AccountActions actions;
-  account_.Renew(At(30'000), Sample(2, 40 * kOne), &actions);
-  ASSERT_EQ(Requests(actions).size(), 1u);  // tells the new revision, though there is nothing to ask for
+  account_.UpdateBudgets(At(30'000), Sample(2, 40 * kUnit), &actions);
+  ASSERT_EQ(Requests(actions).size(),
+            1u);  // tells the new revision, though there is nothing to request_number for
   EXPECT_EQ(Requests(actions)[0].revision, 2u);
   EXPECT_EQ(Level(60'000), 20);
-  Answer agreed{0, 2, 1, true, {}, {}, {}};
-  Receive(60'000, agreed);
+  AllocationResponse agreed{0, 2, 1, true, {}, {}, {}};
+  OnResponse(60'000, agreed);
   EXPECT_EQ(Level(120'000), 40);
   // A cut counts at once, and before the file is read here where an allocator has it.
-  Receive(120'000, {0, 3, 1, false, {}, {}, {{"isar", {kOne, 2 * kOne}}}});
+  OnResponse(120'000, {0, 3, 1, false, {}, {}, {{"isar", {kUnit, 2 * kUnit}}}});
   EXPECT_EQ(Level(180'000), 2);
 }
 
-TEST_F(AccountTest, AfterItRetiredItHasNoFloorAndAsksNobody) {
+TEST_F(AccountTest, AfterItRetiredItHasNoReservedMinimumAndRequestsNothing) {
   account_.Retire(At(5000));
   EXPECT_EQ(Level(60'000), 0);
   EXPECT_TRUE(Tick(60'000).empty());
--- a/tests/quota/bucket_test.cpp
+++ b/tests/quota/bucket_test.cpp
@@ -19,51 +19,52 @@
 
 TEST(Bucket, StartsEmptyAndFitsFromTheNanosecondOn) {
   Bucket bucket(At(0));
-  bucket.Set(At(0), {3 * kOne, 2 * kOne});  // a request each 333,333,333 1/3 ns
-  EXPECT_FALSE(bucket.Charge(At(333'333'333), kOne));
-  EXPECT_EQ(bucket.Until(At(333'333'333), kOne), nanoseconds(1));
-  EXPECT_TRUE(bucket.Charge(At(333'333'334), kOne));
-  EXPECT_EQ(bucket.Until(At(333'333'334), 3 * kOne), std::nullopt);  // deeper than it is
-  EXPECT_TRUE(bucket.Charge(At(10'000'000'000), 2 * kOne));
+  bucket.SetAllocation(At(0), {3 * kUnit, 2 * kUnit});  // a request each 333,333,333 1/3 ns
+  EXPECT_FALSE(bucket.Charge(At(333'333'333), kUnit));
+  EXPECT_EQ(bucket.TimeUntilAvailable(At(333'333'333), kUnit), nanoseconds(1));
+  EXPECT_TRUE(bucket.Charge(At(333'333'334), kUnit));
+  EXPECT_EQ(bucket.TimeUntilAvailable(At(333'333'334), 3 * kUnit), std::nullopt);  // deeper than it is
+  EXPECT_TRUE(bucket.Charge(At(10'000'000'000), 2 * kUnit));
   EXPECT_FALSE(bucket.Charge(At(10'000'000'000), 1));
   EXPECT_FALSE(bucket.Charge(At(0), 1));  // no time gained by an older moment
 }
 
 TEST(Bucket, LosesWhatIsOverANewDepth) {
   Bucket bucket(At(0));
-  bucket.Set(At(0), {100 * kOne, 50 * kOne});
-  bucket.Set(At(1'000'000'000), {1 * kOne, 5 * kOne});
-  bucket.Set(At(1'000'000'000), {100 * kOne, 50 * kOne});
-  EXPECT_FALSE(bucket.Charge(At(1'000'000'000), 5 * kOne + 1));
-  EXPECT_TRUE(bucket.Charge(At(1'000'000'000), 5 * kOne));
+  bucket.SetAllocation(At(0), {100 * kUnit, 50 * kUnit});
+  bucket.SetAllocation(At(1'000'000'000), {1 * kUnit, 5 * kUnit});
+  bucket.SetAllocation(At(1'000'000'000), {100 * kUnit, 50 * kUnit});
+  EXPECT_FALSE(bucket.Charge(At(1'000'000'000), 5 * kUnit + 1));
+  EXPECT_TRUE(bucket.Charge(At(1'000'000'000), 5 * kUnit));
 }
 
 struct Admitted {
   std::int64_t at;
-  Milli cost;
+  MilliUnits cost;
   bool credited = false;
 };
 
-// In each window that begins and ends with an admission, no more than the parts that were in force allow.
-// Credits, changes and charges are drawn at random; what was credited does not count.
+// In each window that begins and ends with an admission, no more than the allocations that were in force
+// allow. Credits, changes and charges are drawn at random; what was credited does not count.
 TEST(Bucket, NeverLetsAWindowOverItsRateAndDepthWhateverIsCreditedAndChanged) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
     const auto draw = [&](std::int64_t low, std::int64_t high) {
       return std::uniform_int_distribution<std::int64_t>(low, high)(random);
     };
-    // All parts are of one budget, so depth over rate is the same and the larger part bounds the window.
-    const Part part{draw(1, 50) * kOne, draw(1, 20) * kOne};
+    // All allocations are of one budget, so depth over rate is the same and the larger allocation bounds the
+    // window.
+    const Allocation allocation{draw(1, 50) * kUnit, draw(1, 20) * kUnit};
     std::int64_t now = 0;
     Bucket bucket(At(0));
-    bucket.Set(At(0), part);
+    bucket.SetAllocation(At(0), allocation);
     std::vector<Admitted> admitted;
     for (int i = 0; i < 400; ++i) {
       now += draw(0, 1) ? draw(0, 200'000'000) : draw(0, 2'000'000);
-      const Milli cost = draw(1, 3) * kOne;
+      const MilliUnits cost = draw(1, 3) * kUnit;
       if (draw(0, 19) == 0) {
         const std::int64_t tenths = draw(0, 10);
-        bucket.Set(At(now), {part.rate * tenths / 10, part.depth * tenths / 10});
+        bucket.SetAllocation(At(now), {allocation.rate * tenths / 10, allocation.depth * tenths / 10});
       }
       if (bucket.Charge(At(now), cost)) admitted.push_back({now, cost});
       if (!admitted.empty() && draw(0, 3) == 0) {
@@ -74,10 +75,11 @@
       }
     }
     for (std::size_t i = 0; i < admitted.size(); ++i) {
-      Milli sum = 0;
+      MilliUnits sum = 0;
       for (std::size_t j = i; j < admitted.size(); ++j) {
         if (!admitted[j].credited) sum += admitted[j].cost;
-        const std::int64_t bound = part.rate * (admitted[j].at - admitted[i].at) + part.depth * 1'000'000'000;
+        const std::int64_t bound =
+            allocation.rate * (admitted[j].at - admitted[i].at) + allocation.depth * 1'000'000'000;
         ASSERT_LE(sum * 1'000'000'000, bound) << "seed " << seed;
       }
     }
@@ -86,34 +88,34 @@
 
 TEST(Bucket, TakesBackWhatABusyBucketWasCharged) {
   Bucket bucket(At(0));
-  bucket.Set(At(0), {10 * kOne, 100 * kOne});
-  ASSERT_TRUE(bucket.Charge(At(1'000'000'000), 10 * kOne));
-  bucket.Credit(At(1'100'000'000), At(1'000'000'000), 10 * kOne);
-  EXPECT_TRUE(bucket.Charge(At(1'100'000'000), 11 * kOne));
+  bucket.SetAllocation(At(0), {10 * kUnit, 100 * kUnit});
+  ASSERT_TRUE(bucket.Charge(At(1'000'000'000), 10 * kUnit));
+  bucket.Credit(At(1'100'000'000), At(1'000'000'000), 10 * kUnit);
+  EXPECT_TRUE(bucket.Charge(At(1'100'000'000), 11 * kUnit));
 }
 
-TEST(Amounts, PartsOfABudgetNeverAddUpToMoreThanIt) {
-  Budget budget{7 * kOne, 5 * kOne, Unit::kRequests, Over::kMark, {{"muc", 2 * kOne}}};
-  Part sum;
-  for (int i = 0; i < 3; ++i) sum = sum + PartOf(budget, budget.rate / 3);
+TEST(Amounts, AllocationsOfABudgetNeverAddUpToMoreThanIt) {
+  Budget budget{7 * kUnit, 5 * kUnit, Unit::kRequests, OverLimitAction::kMark, {{"muc", 2 * kUnit}}};
+  Allocation sum;
+  for (int i = 0; i < 3; ++i) sum = sum + AllocationForRate(budget, budget.rate / 3);
   EXPECT_LE(sum.rate, budget.rate);
   EXPECT_LE(sum.depth, budget.burst);
-  EXPECT_EQ(FloorOf(budget, "muc", 3).rate, 666);
-  EXPECT_EQ(FloorOf(budget, "aug", 3), Part{});
+  EXPECT_EQ(ReservedMinimumOf(budget, "muc", 3).rate, 666);
+  EXPECT_EQ(ReservedMinimumOf(budget, "aug", 3), Allocation{});
   EXPECT_EQ(SlowedRate(6000, Timings{}), 5806);  // 3000 of 3100, rounded down
 }
 
 // By steady Poisson traffic the estimate is near; a shift shows within 200 ms.
-TEST(Demand, IsQuietWhileSteadyAndNoticesAShiftWithin200Ms) {
+TEST(DemandEstimator, IsQuietWhileSteadyAndNoticesAShiftWithin200Ms) {
   for (const auto& [before, after] : std::vector<std::pair<int, int>>{{200, 1000}, {1000, 0}, {1000, 300}}) {
     std::mt19937_64 random(7);
-    Demand demand;
+    DemandEstimator demand;
     std::int64_t now = 0;
     const auto run = [&](int per_s, std::int64_t until) {
       while (per_s > 0) {
         now += static_cast<std::int64_t>(std::exponential_distribution<>(per_s)(random) * 1e9);
         if (now >= until) break;
-        demand.Add(At(now), kOne);
+        demand.Add(At(now), kUnit);
       }
       now = until;
     };
--- a/tests/quota/commitments_test.cpp
+++ b/tests/quota/commitments_test.cpp
@@ -10,39 +10,41 @@
 
 using std::chrono::milliseconds;
 
-// The sums of many gateways are those of each slot by itself, whatever grants, lives and lent floors there
-// are.
-TEST(Commitments, SumEachSlotAsItIs) {
+// The totals of many gateways are those of each slot by itself, whatever grants, incarnations and lent
+// minimums there are.
+TEST(Commitments, TotalEachSlotAsItIs) {
   std::mt19937_64 random(1);
   const auto draw = [&](int least, int most) { return std::uniform_int_distribution<>(least, most)(random); };
-  Layout layout;
+  SiteLayout layout;
   for (int i = 0; i < 5; ++i) {
     layout["muc"].insert(std::string(1, 'm').append(std::to_string(i)));
     layout["nue"].insert(std::string(1, 'n').append(std::to_string(i)));
   }
-  const Gateways gateways(layout);
+  const GatewayRegistry gateways(layout);
   auto budgets = std::make_shared<Budgets>();
-  budgets->partners["isar"] = {100 * kOne, 200 * kOne, Unit::kRequests, Over::kMark, {{"muc", 50 * kOne}}};
-  const Revisions revisions{budgets, {}, std::vector<bool>(gateways.size(), true), gateways.size()};
-  const Floors floors("isar", gateways, revisions);
+  budgets->partners["isar"] = {
+      100 * kUnit, 200 * kUnit, Unit::kRequests, OverLimitAction::kMark, {{"muc", 50 * kUnit}}};
+  const BudgetRevisions revisions{budgets, {}, std::vector<bool>(gateways.size(), true), gateways.size()};
+  const ReservedMinimums minimums("isar", gateways, revisions);
   for (int round = 0; round < 300; ++round) {
     Commitments commitments(milliseconds(125), milliseconds(2 * draw(0, 100)));
     const Time now(milliseconds(1'000'000 + draw(0, 500)));
     for (std::uint64_t n = 1; n <= 20; ++n) {
       const auto gateway = static_cast<GatewayId>(draw(0, 9));
-      const auto life = static_cast<std::uint64_t>(draw(1, 2));
-      const Milli rate = draw(0, 20) * kOne;
-      commitments.Add(gateway, {life, {1, n}, {rate, 2 * rate}, now, now + milliseconds(draw(1, 2500))});
-      if (draw(0, 1) == 1) commitments.Acknowledge(gateway, life, {1, n}, milliseconds(draw(0, 2500)));
+      const auto incarnation = static_cast<std::uint64_t>(draw(1, 2));
+      const MilliUnits rate = draw(0, 20) * kUnit;
+      commitments.Add(gateway,
+                      {incarnation, {1, n}, {rate, 2 * rate}, now, now + milliseconds(draw(1, 2500))});
+      if (draw(0, 1) == 1) commitments.Acknowledge(gateway, incarnation, {1, n}, milliseconds(draw(0, 2500)));
     }
     commitments.Prune(now);
-    const std::vector<Part> sums = commitments.Sums(now, now + milliseconds(2200), floors);
+    const std::vector<Allocation> totals = commitments.TotalsBySlot(now, now + milliseconds(2200), minimums);
     Time begin = commitments.SlotBegin(now);
-    for (const Part& sum : sums) {
-      Part each;
+    for (const Allocation& total : totals) {
+      Allocation each;
       for (GatewayId gateway = 0; gateway < gateways.size(); ++gateway)
-        each = each + commitments.At(gateway, begin, floors.Of(gateway));
-      EXPECT_EQ(sum, each) << "round " << round;
+        each = each + commitments.At(gateway, begin, minimums.Of(gateway));
+      EXPECT_EQ(total, each) << "round " << round;
       begin += commitments.slot();
     }
     EXPECT_GE(begin, now + milliseconds(2200));
--- a/tests/quota/demand_estimator_test.cpp
+++ b/tests/quota/demand_estimator_test.cpp
@@ -12,24 +12,24 @@
 using std::chrono::seconds;
 
 // Requests of a Poisson process, and what is estimated each 50 ms.
-class DemandTest : public testing::Test {
+class DemandEstimatorTest : public testing::Test {
  protected:
   // Until `end`; `see` gets each estimate, in requests a second.
   template <typename See>
   void Play(double per_s, Span end, See see) {
-    for (; now_ - Time{} < end; now_ += Demand::kBin) {
+    for (; now_ - Time{} < end; now_ += DemandEstimator::kBinWidth) {
       for (int n = std::poisson_distribution<>(per_s / 20)(random_); n > 0; --n)
-        demand_.Add(now_ + Demand::kBin / 2, kOne);
-      see(static_cast<double>(demand_.Estimate(now_ + Demand::kBin - milliseconds(1))) / kOne);
+        demand_.Add(now_ + DemandEstimator::kBinWidth / 2, kUnit);
+      see(static_cast<double>(demand_.Estimate(now_ + DemandEstimator::kBinWidth - milliseconds(1))) / kUnit);
     }
   }
 
   std::mt19937_64 random_{1};
   Time now_;
-  Demand demand_;
+  DemandEstimator demand_;
 };
 
-TEST_F(DemandTest, OfSparseTrafficIsSteady) {
+TEST_F(DemandEstimatorTest, OfSparseTrafficIsSteady) {
   for (const double per_s : {2.0, 5.0, 20.0}) {
     const Span from = now_ - Time{};
     Play(per_s, from + seconds(8), [](double) {});
@@ -42,12 +42,12 @@
   }
 }
 
-TEST_F(DemandTest, OfOneRequestIsSmall) {
-  demand_.Add(now_, kOne);
-  EXPECT_LE(demand_.Estimate(now_), 5 * kOne);
+TEST_F(DemandEstimatorTest, OfOneRequestIsSmall) {
+  demand_.Add(now_, kUnit);
+  EXPECT_LE(demand_.Estimate(now_), 5 * kUnit);
 }
 
-TEST_F(DemandTest, FollowsAShiftOfHeavyTrafficWithin200Ms) {
+TEST_F(DemandEstimatorTest, FollowsAShiftOfHeavyTrafficWithin200Ms) {
   for (int round = 0; round < 10; ++round) {
     const Span from = now_ - Time{};
     double last = 0;
@@ -62,7 +62,7 @@
   }
 }
 
-TEST_F(DemandTest, EndsWithSilence) {
+TEST_F(DemandEstimatorTest, EndsWithSilence) {
   struct Row {
     double per_s;
     Span by;
--- a/tests/quota/section_test.cpp
+++ b/tests/quota/section_test.cpp
@@ -11,7 +11,7 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-const Layout kSites{{"muc", {"muc-1", "muc-2"}}, {"aug", {"aug-1"}}};
+const SiteLayout kSites{{"muc", {"muc-1", "muc-2"}}, {"aug", {"aug-1"}}};
 
 json Sample() {
   return {{"quota",
@@ -43,8 +43,8 @@
   EXPECT_EQ(quota.budgets.revision, 7u);
   const Budget& budget = quota.budgets.partners.at("isar");
   EXPECT_EQ(budget.rate, 200'000);
-  EXPECT_EQ(budget.over, Over::kRefuse);
-  EXPECT_EQ(budget.floors.at("aug"), 20'500);
+  EXPECT_EQ(budget.over_limit_action, OverLimitAction::kReject);
+  EXPECT_EQ(budget.reserved_minimums.at("aug"), 20'500);
   EXPECT_FALSE(ReadQuota(json::object(), &faults).on);
   EXPECT_TRUE(faults.empty());
 }
@@ -76,5 +76,55 @@
   }
 }
 
+TEST(QuotaSection, ReadsPresentAndFormerKeysAlike) {
+  json root = Sample();
+  root["quota"]["treasurers"] = 3;
+  root["quota"]["draw_ms"] = 1500;
+  const json present = WithPresentKeys(root);
+  EXPECT_EQ(present["quota"]["allocators"], 3);
+  EXPECT_EQ(present["quota"]["grant_lifetime_ms"], 1500);
+  EXPECT_EQ(present["quota"]["partners"]["isar"]["reserved_minimums"], json({{"muc", 50}, {"aug", 20.5}}));
+  for (const json& file : {root, present}) {
+    EXPECT_EQ(FaultsOf(file), std::vector<std::string>{});
+    std::vector<std::string> faults;
+    const QuotaSection quota = ReadQuota(file, &faults);
+    EXPECT_EQ(quota.allocators, 3u);
+    EXPECT_EQ(quota.max_grant_lifetime, milliseconds(1500));
+    EXPECT_EQ(quota.budgets.partners.at("isar").reserved_minimums.at("aug"), 20'500);
+  }
+  EXPECT_EQ(WithPresentKeys(present), present);
+  EXPECT_EQ(WithPresentKeys({{"quota", 3}}), json({{"quota", 3}}));
+}
+
+TEST(QuotaSection, NamesPresentKeysInFaults) {
+  const std::vector<std::tuple<const char*, json, const char*>> cases{
+      {"/quota/allocators", 0, "quota.allocators is out of range 1 to 64"},
+      {"/quota/grant_lifetime_ms", 900, "quota.grant_lifetime_ms is under 4 times ask_ms"},
+      {"/quota/grant_lifetime_ms", 2800,
+       "quota.grant_lifetime_ms is not under sites.lease_term_ms less twice sites.lease_drift_ms"},
+      {"/quota/partners/isar/reserved_minimums/muc", 190,
+       "quota.partners.isar.reserved_minimums are more than per_s together"},
+      {"/quota/partners/isar/reserved_minimums/ulm", 1,
+       "quota.partners.isar.reserved_minimums.ulm is no site"}};
+  for (const auto& [place, value, fault] : cases) {
+    json root = WithPresentKeys(Sample());
+    root[json::json_pointer(place)] = value;
+    EXPECT_EQ(FaultsOf(root), std::vector<std::string>{fault}) << place;
+  }
+}
+
+TEST(QuotaSection, RefusesAKeyGivenByBothItsNames) {
+  const std::vector<std::tuple<const char*, json, const char*>> cases{
+      {"/quota/allocators", 4, "quota.allocators is given by its former name treasurers, too"},
+      {"/quota/grant_lifetime_ms", 2000, "quota.grant_lifetime_ms is given by its former name draw_ms, too"},
+      {"/quota/partners/isar/reserved_minimums", json::object(),
+       "quota.partners.isar.reserved_minimums is given by its former name floors, too"}};
+  for (const auto& [place, value, fault] : cases) {
+    json root = Sample();
+    root[json::json_pointer(place)] = value;
+    EXPECT_EQ(FaultsOf(root), std::vector<std::string>{fault}) << place;
+  }
+}
+
 }  // namespace
 }  // namespace load_balancer::quota
--- a/tests/quota/use_test.cpp
+++ b/tests/quota/use_test.cpp
@@ -8,21 +8,21 @@
 namespace load_balancer::model {
 namespace {
 
-using quota::kOne;
+using quota::kUnit;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
 constexpr double kPerS = 300;
 constexpr Moment kWarm = seconds(12);  // voters that are new keep silent for a term
 
-std::shared_ptr<quota::Budgets> Sample(double floors) {
+std::shared_ptr<quota::Budgets> Sample(double minimums) {
   auto budgets = std::make_shared<quota::Budgets>();
   budgets->revision = 1;
   quota::Budget& budget = budgets->partners["isar"];
-  budget.rate = static_cast<quota::Milli>(kPerS) * kOne;
+  budget.rate = static_cast<quota::MilliUnits>(kPerS) * kUnit;
   budget.burst = 2 * budget.rate;
   for (const char* site : {"s0", "s1", "s2"})
-    budget.floors[site] = static_cast<quota::Milli>(floors * kPerS / 3) * kOne;
+    budget.reserved_minimums[site] = static_cast<quota::MilliUnits>(minimums * kPerS / 3) * kUnit;
   return budgets;
 }
 
@@ -45,15 +45,15 @@
 double SpentOver(Gateways& gateways, Moment span) {
   gateways.ClearTallies();
   gateways.world().RunUntil(gateways.world().now() + span);
-  return static_cast<double>(gateways.tallies().at("isar").spent) / kOne / kPerS /
+  return static_cast<double>(gateways.tallies().at("isar").spent) / kUnit / kPerS /
          std::chrono::duration<double>(span).count();
 }
 
-// All demand moves from one gateway to one of another site, with no floors, some and many.
+// All demand moves from one gateway to one of another site, with no reserved minimums, some and many.
 TEST(QuotaUse, Spends95PercentFrom2SecondsAfterAShift) {
-  for (const double floors : {0.0, 0.4, 0.9})
+  for (const double minimums : {0.0, 0.4, 0.9})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      Gateways gateways(Options(seed), Sample(floors));
+      Gateways gateways(Options(seed), Sample(minimums));
       Wide(gateways);
       gateways.SetLoad(0, "isar", 3 * kPerS);
       gateways.world().RunUntil(kWarm);
@@ -61,12 +61,12 @@
         for (std::size_t i = 0; i < gateways.size(); ++i)
           gateways.SetLoad(i, "isar", i == to ? 3 * kPerS : 0);
         gateways.world().RunUntil(gateways.world().now() + seconds(2));
-        EXPECT_GE(SpentOver(gateways, seconds(4)), 0.95) << "floors " << floors << " seed " << seed;
+        EXPECT_GE(SpentOver(gateways, seconds(4)), 0.95) << "minimums " << minimums << " seed " << seed;
       }
     }
 }
 
-TEST(QuotaUse, HasTheFloorsWithoutAnAllocator) {
+TEST(QuotaUse, HasTheReservedMinimumsWithoutAnAllocator) {
   Gateways gateways(Options(1), Sample(0.6));
   for (std::size_t i = 0; i < gateways.size(); ++i) gateways.SetLoad(i, "isar", kPerS);
   gateways.world().network().SetDefault({1.0});
