--- a/tests/compatibility/configuration_fields.cpp
+++ b/tests/compatibility/configuration_fields.cpp
@@ -137,16 +137,16 @@
 json FieldsOf(const quota::QuotaSection& quota) {
   json fields = {{"on", quota.on},
                  {"allocators", quota.allocators},
-                 {"grant_life", quota.grant_life.count()},
-                 {"ask", quota.ask.count()},
+                 {"grant_life", quota.max_grant_lifetime.count()},
+                 {"ask", quota.request_interval.count()},
                  {"revision", quota.budgets.revision},
                  {"partners", json::object()}};
   for (const auto& [name, budget] : quota.budgets.partners)
     fields["partners"][name] = {{"rate", budget.rate},
                                 {"burst", budget.burst},
                                 {"unit", static_cast<int>(budget.unit)},
-                                {"over", static_cast<int>(budget.over)},
-                                {"floors", budget.floors}};
+                                {"over", static_cast<int>(budget.over_limit_action)},
+                                {"floors", budget.reserved_minimums}};
   return fields;
 }
 
--- a/tests/compatibility/golden_test.cpp
+++ b/tests/compatibility/golden_test.cpp
@@ -94,6 +94,22 @@
   EXPECT_TRUE(difference.empty()) << difference.dump(2);
 }
 
+// The keys of quotas that were renamed; both names are read.
+TEST(GoldenConfiguration, IsReadTheSameUnderThePresentNamesOfItsKeys) {
+  json root = json::parse(ReadText(GoldenFolder() / "configuration.json"));
+  const auto rename = [](json& object, const char* former, const char* present) {
+    ASSERT_TRUE(object.contains(former)) << former;
+    object[present] = object.at(former);
+    object.erase(former);
+  };
+  rename(root["quota"], "treasurers", "allocators");
+  rename(root["quota"], "draw_ms", "grant_lifetime_ms");
+  for (json& partner : root["quota"]["partners"]) rename(partner, "floors", "reserved_minimums");
+  const json stored = json::parse(ReadText(GoldenFolder() / "configuration.fields.json"));
+  const json difference = json::diff(stored, ConfigurationFields(root.dump()));
+  EXPECT_TRUE(difference.empty()) << difference.dump(2);
+}
+
 // ---- every key of docs/configuration.md ----------------------------------------------------------------
 
 // A key as the page writes it: "classes[].name" is the key `name` of the items of the list `classes`.
--- a/tests/compatibility/names.cpp
+++ b/tests/compatibility/names.cpp
@@ -5,11 +5,11 @@
 #include <sstream>
 #include <stdexcept>
 
-#include "federation/quota_service.h"
 #include "federation/spill_service.h"
 #include "fleet/node/node.h"
 #include "golden_case.h"
 #include "members.h"
+#include "quota/duty.h"
 #include "spill/estimate.h"
 #include "spill/incoming.h"
 
@@ -31,8 +31,8 @@
     std::ostringstream lines;
     lines << fleet::kDiscoveryDuty << '\n'
           << fleet::kMaintenanceDuty << '\n'
-          << proxy::QuotaService::DutyOf(0) << '\n'
-          << proxy::QuotaService::DutyOf(63) << '\n'
+          << quota::AllocatorDuty(0) << '\n'
+          << quota::AllocatorDuty(63) << '\n'
           << proxy::SpillService::DutyOf("MUC") << '\n';
     return BytesOf(lines.str());
   };
--- a/tests/compatibility/quota_messages.cpp
+++ b/tests/compatibility/quota_messages.cpp
@@ -4,6 +4,7 @@
 #include <stdexcept>
 
 #include "golden_case.h"
+#include "quota/message_codec.h"
 #include "quota/messages.h"
 
 namespace load_balancer::testing {
@@ -11,29 +12,31 @@
 
 using nlohmann::json;
 
-json FieldsOf(const quota::Ack& ack) {
+json FieldsOf(const quota::GrantAck& ack) {
   return {{"partner", ack.partner},
           {"token", ack.grant.token},
           {"number", ack.grant.number},
-          {"away_ms", ack.away_ms}};
+          {"away_ms", ack.lent_ms}};
 }
 
-json FieldsOf(const quota::Ask& ask) {
-  return {{"held", FieldsOf(ask.held)}, {"demand", ask.demand}, {"least", ask.least}};
+json FieldsOf(const quota::GrantRequest& request) {
+  return {{"held", FieldsOf(request.held)}, {"demand", request.demand}, {"least", request.min_depth}};
 }
 
-json FieldsOf(const quota::Part& part) { return {{"rate", part.rate}, {"depth", part.depth}}; }
+json FieldsOf(const quota::Allocation& allocation) {
+  return {{"rate", allocation.rate}, {"depth", allocation.depth}};
+}
 
 json FieldsOf(const quota::Grant& grant) {
   return {{"partner", grant.partner},
-          {"ask", grant.ask},
+          {"ask", grant.request_number},
           {"number", grant.number},
-          {"part", FieldsOf(grant.part)},
-          {"life_ms", grant.life_ms}};
+          {"part", FieldsOf(grant.allocation)},
+          {"life_ms", grant.lifetime_ms}};
 }
 
-json FieldsOf(const quota::Floor& floor) {
-  return {{"partner", floor.partner}, {"part", FieldsOf(floor.part)}};
+json FieldsOf(const quota::ReservedMinimum& minimum) {
+  return {{"partner", minimum.partner}, {"part", FieldsOf(minimum.allocation)}};
 }
 
 template <typename Entry>
@@ -43,22 +46,22 @@
   return all;
 }
 
-json FieldsOf(const quota::Request& request) {
-  return {{"life", request.life},
+json FieldsOf(const quota::AllocationRequest& request) {
+  return {{"life", request.incarnation},
           {"revision", request.revision},
-          {"ask", request.ask},
-          {"asks", FieldsOfAll(request.asks)},
+          {"ask", request.number},
+          {"asks", FieldsOfAll(request.grant_requests)},
           {"acks", FieldsOfAll(request.acks)}};
 }
 
-json FieldsOf(const quota::Answer& answer) {
-  return {{"life", answer.life},
-          {"revision", answer.revision},
-          {"token", answer.token},
-          {"agreed", answer.agreed},
-          {"calls", answer.calls},
-          {"grants", FieldsOfAll(answer.grants)},
-          {"floors", FieldsOfAll(answer.floors)}};
+json FieldsOf(const quota::AllocationResponse& response) {
+  return {{"life", response.incarnation},
+          {"revision", response.revision},
+          {"token", response.token},
+          {"agreed", response.is_agreed},
+          {"calls", response.recalls},
+          {"grants", FieldsOfAll(response.grants)},
+          {"floors", FieldsOfAll(response.reserved_minimums)}};
 }
 
 template <typename Message>
@@ -67,44 +70,44 @@
   return FieldsOf(*message);
 }
 
-GoldenCase RequestCase(const std::string& name, const quota::Request& request) {
+GoldenCase RequestCase(const std::string& name, const quota::AllocationRequest& request) {
   return {"quota_request_" + name, FieldsOf(request),
           [request] { return json::to_msgpack(quota::ToJson(request)); },
           [](const Bytes& bytes) {
-            return FieldsOrThrow(quota::RequestFromJson(json::from_msgpack(bytes), "golden"));
+            return FieldsOrThrow(quota::AllocationRequestFromJson(json::from_msgpack(bytes), "golden"));
           }};
 }
 
-GoldenCase AnswerCase(const std::string& name, const quota::Answer& answer) {
-  return {"quota_answer_" + name, FieldsOf(answer),
-          [answer] { return json::to_msgpack(quota::ToJson(answer)); },
+GoldenCase AnswerCase(const std::string& name, const quota::AllocationResponse& response) {
+  return {"quota_answer_" + name, FieldsOf(response),
+          [response] { return json::to_msgpack(quota::ToJson(response)); },
           [](const Bytes& bytes) {
-            return FieldsOrThrow(quota::AnswerFromJson(json::from_msgpack(bytes), "golden"));
+            return FieldsOrThrow(quota::AllocationResponseFromJson(json::from_msgpack(bytes), "golden"));
           }};
 }
 
 }  // namespace
 
 std::vector<GoldenCase> QuotaMessageCases() {
-  quota::Request request;
-  request.life = 1764600000001;
+  quota::AllocationRequest request;
+  request.incarnation = 1764600000001;
   request.revision = 3;
-  request.ask = 17;
-  request.asks = {{{"acme", {1764600000200, 5}, 1500}, 250'000, 1'000}, {{"globex", {0, 0}, 0}, 0, 0}};
+  request.number = 17;
+  request.grant_requests = {{{"acme", {1764600000200, 5}, 1500}, 250'000, 1'000},
+                            {{"globex", {0, 0}, 0}, 0, 0}};
   request.acks = {{"initech", {1764600000200, 6}, 600'000}};
-  quota::Answer grants;
-  grants.life = 1764600000001;
+  quota::AllocationResponse grants;
+  grants.incarnation = 1764600000001;
   grants.revision = 3;
   grants.token = 1764600000200;
-  grants.agreed = true;
-  grants.grants = {{"acme", 17, 7, {quota::kMostRate, quota::kMostBurst}, 2000},
-                   {"globex", 16, 8, {0, 1}, 0}};
-  grants.calls = {"initech", "umbrella"};
-  quota::Answer floors;
-  floors.revision = 4;
-  floors.floors = {{"acme", {12'500, 2'500}}, {"globex", {0, 0}}};
+  grants.is_agreed = true;
+  grants.grants = {{"acme", 17, 7, {quota::kMaxRate, quota::kMaxBurst}, 2000}, {"globex", 16, 8, {0, 1}, 0}};
+  grants.recalls = {"initech", "umbrella"};
+  quota::AllocationResponse minimums;
+  minimums.revision = 4;
+  minimums.reserved_minimums = {{"acme", {12'500, 2'500}}, {"globex", {0, 0}}};
   return {RequestCase("full", request), RequestCase("empty", {}), AnswerCase("grants", grants),
-          AnswerCase("floors", floors)};
+          AnswerCase("floors", minimums)};
 }
 
 }  // namespace load_balancer::testing
--- a/tests/compatibility/stored_files.cpp
+++ b/tests/compatibility/stored_files.cpp
@@ -108,7 +108,7 @@
 
 constexpr char kDuty[] = "treasurer/0";
 constexpr Time kStart = Time(std::chrono::hours(1));
-constexpr quota::Milli kBudgetRate = 100'000;  // of the partner, thousandths of a request a second
+constexpr quota::MilliUnits kBudgetRate = 100'000;  // of the partner, thousandths of a request a second
 
 class NoOutlet : public fleet::Leases::Outlet {
   void Send(const fleet::LeaseOptions::Endpoint&, const fleet::LeaseMessage&) override {}
@@ -132,19 +132,20 @@
   }
 
   // The rate that `gateway` is granted when it asks for `demand`.
-  quota::Milli GrantedRate(const std::string& gateway, quota::Milli demand) {
-    quota::Request request;
-    request.life = 1;
+  quota::MilliUnits GrantedRate(const std::string& gateway, quota::MilliUnits demand) {
+    quota::AllocationRequest request;
+    request.incarnation = 1;
     request.revision = 1;
-    request.ask = 1;
-    request.asks = {{{"acme", {}, 0}, demand, 1000}};
+    request.number = 1;
+    request.grant_requests = {{{"acme", {}, 0}, demand, 1000}};
     quota::AllocatorActions actions;
     const auto guard = leases_.Guard(now_, kDuty);
     if (!guard) throw std::runtime_error("the lease is not held");
-    allocator_.Receive(now_, *guard, gateway, request, &actions);
+    allocator_.OnRequest(now_, *guard, gateway, request, &actions);
     for (const auto& action : actions)
-      if (const auto* sent = std::get_if<quota::SendAnswer>(&action); sent && !sent->answer.grants.empty())
-        return sent->answer.grants.front().part.rate;
+      if (const auto* sent = std::get_if<quota::SendResponse>(&action);
+          sent && !sent->response.grants.empty())
+        return sent->response.grants.front().allocation.rate;
     return 0;
   }
 
@@ -158,7 +159,7 @@
     options.votes = fleet::StoredVotes{};
     return options;
   }
-  static quota::Layout Layout() { return {{"MUC", {"n1", "n2"}}}; }
+  static quota::SiteLayout Layout() { return {{"MUC", {"n1", "n2"}}}; }
   static std::shared_ptr<const quota::Budgets> OneBudget() {
     quota::Budgets budgets;
     budgets.revision = 1;
@@ -176,7 +177,7 @@
 // A ledger has its effect on the grants that a new holder of the lease issues first: the demand that it has
 // of the other gateway is left free.
 GoldenCase LedgerCase() {
-  constexpr quota::Milli kDemandOfOther = 60'000;
+  constexpr quota::MilliUnits kDemandOfOther = 60'000;
   const auto encode = [] {
     LoneAllocator allocator;
     allocator.GrantedRate("n2", kDemandOfOther);
@@ -185,9 +186,9 @@
   const auto decode = [](const Bytes& bytes) {
     const json ledger = json::from_cbor(bytes);
     LoneAllocator allocator;
-    const quota::Milli rate_without = LoneAllocator().GrantedRate("n1", kBudgetRate);
+    const quota::MilliUnits rate_without = LoneAllocator().GrantedRate("n1", kBudgetRate);
     allocator.Load(ledger);
-    const quota::Milli rate = allocator.GrantedRate("n1", kBudgetRate);
+    const quota::MilliUnits rate = allocator.GrantedRate("n1", kBudgetRate);
     return json{{"version", ledger.at("v")},
                 {"partners", ledger.at("partners")},
                 {"granted_rate", rate},
