--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The smallest use of the library: one class, two servers, one request and its answer.
+// A minimal use of the library, with one class, two servers, one request and its response.
 #include <cstdio>
 #include <variant>
 #include <vector>
@@ -20,7 +20,7 @@
   settings.max_attempts = 3;
   Balancer balancer(settings, /*seed=*/42);
 
-  // The caller owns the clock and the network: events in, actions out.
+  // The caller provides the time, passes events to the balancer and carries out the actions that it returns.
   TimePoint now{milliseconds(1000)};
   std::vector<Action> actions;
   ListUpdate list{ListKind::kFull, {}};
--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The public interface of load_balancer: settings, events, actions and the Balancer that maps events to
-/// actions.
+/// Declares the public interface of load_balancer: settings, events, actions, and the Balancer, which maps
+/// events to actions.
 ///
-/// A Balancer is pure and deterministic. It has no clock, I/O, threads or globals: the time comes in with
-/// each event and randomness derives from the seed alone. Classes, tenants, zones and kinds are indices into
-/// the lists of the settings, so no name can influence a decision.
+/// A Balancer is deterministic. It has no clock, I/O, threads or globals: the caller passes the time with
+/// each event, and all random numbers derive from the seed. Classes, tenants, zones and kinds are identified
+/// by their index in the lists of the settings, so their names cannot influence a decision.
 #ifndef LOAD_BALANCER_BALANCER_H_
 #define LOAD_BALANCER_BALANCER_H_
 
@@ -19,13 +19,13 @@
 
 namespace load_balancer {
 
-/// The caller's clock, in milliseconds. Its origin is arbitrary and it only advances.
+/// Clock is the caller's clock, in milliseconds. Its origin is arbitrary, and it never goes back.
 struct Clock {
   using duration = std::chrono::duration<double, std::milli>;
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<Clock>;
-  static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming): the standard's name
+  static constexpr bool is_steady = true;  // NOLINT(readability-identifier-naming): required by the standard
 };
 using Duration = Clock::duration;
 using TimePoint = Clock::time_point;
@@ -33,77 +33,81 @@
 using RequestId = std::uint64_t;
 using ServerId = std::uint32_t;
 
-/// Whether the requests of a class may run more than once.
+/// Idempotency states whether the requests of a class may run more than once.
 enum class Idempotency {
-  kIdempotent,      ///< without restriction
-  kIdempotencyKey,  ///< servers discard a repeat by its idempotency key, within a scope and a window
-  kNotIdempotent    ///< never
+  kIdempotent,      ///< A request may run any number of times.
+  kIdempotencyKey,  ///< Servers recognize a repeat by its idempotency key, within a scope and a time window.
+  kNotIdempotent    ///< A request must not run twice.
 };
 
-/// Which servers discard a repeat of a request that one of them has seen.
+/// IdempotencyScope is the set of servers that share idempotency keys: each of them discards the repeat of a
+/// request that another one has received. It is the whole fleet, the servers of a zone or those of a cell.
 enum class IdempotencyScope { kAll, kZone, kCell };
 
-/// A class of requests.
+/// ClassSettings holds the rules of one class of requests.
 struct ClassSettings {
   Idempotency idempotency = Idempotency::kNotIdempotent;
-  /// Idempotency::kIdempotencyKey only: the servers that discard each other's repeats.
+  /// The servers that share idempotency keys. Used with Idempotency::kIdempotencyKey only.
   IdempotencyScope idempotency_scope = IdempotencyScope::kAll;
-  /// Idempotency::kIdempotencyKey only: for how long they do.
+  /// The time for which servers remember an idempotency key. Used with Idempotency::kIdempotencyKey only.
   Duration idempotency_window{0};
   Duration latency_objective{0};
   Duration deadline{0};
   double priority_weight = 1;
-  /// Share of the priority weight, from 0 to 1, that a response after the latency objective still earns.
+  /// The share of the priority weight, from 0 to 1, that a response earns after the latency objective has
+  /// passed.
   double late_priority_share = 0;
 };
 
+/// TenantSettings holds the quota of one tenant.
 struct TenantSettings {
-  double quota_per_s = 0;  ///< requests a second over all proxies
+  double quota_per_s = 0;  ///< requests per second, over all proxies
 };
 
-/// The settings of one proxy. Defaults are the documented meaning of an absent optional setting; none of them
-/// steers a decision.
+/// Settings holds the settings of one proxy. The defaults are the documented values of absent optional
+/// settings; none of them tunes a decision.
 struct Settings {
-  int balancer_count = 1;  ///< proxies of the fleet
-  int balancer_index = 0;  ///< this one's, from 0
+  int balancer_count = 1;  ///< number of proxies in the fleet
+  int balancer_index = 0;  ///< index of this proxy, from 0
   int zone = 0;
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  /// Share of the priority weight, from 0 to 1, that requests over their tenant's quota have.
+  /// The share of the priority weight, from 0 to 1, that a request over its tenant's quota has.
   double over_quota_priority_share = 1;
-  /// Price of sending a request to another zone, in parts of a request's value.
+  /// The cost of sending a request to another zone, as a fraction of the request's value.
   double cross_zone_price = 0;
-  /// A server that has served a key recently serves it again with less work.
+  /// Whether a server that has recently served a key serves it again with less work.
   bool session_affinity = false;
-  /// The endpoint list is not pushed: Subscribe has to be repeated.
+  /// Whether discovery does not push the endpoint list, so that the proxy has to repeat Subscribe.
   bool must_poll_for_list = false;
   int max_attempts = 1;
-  /// The longest Retry-After that rejected clients heed; 0: they heed none.
+  /// The longest Retry-After that rejected clients obey; 0 if they ignore Retry-After.
   Duration max_retry_after{0};
-  /// How often the caller handles what has come in.
+  /// The interval at which the caller handles the events that it has received.
   Duration tick{1};
-  /// With must_poll_for_list: the longest time between two polls.
+  /// The longest time between two polls. Used with must_poll_for_list only.
   Duration max_poll_interval{0};
-  /// Share of its capacity that a server has at least when it starts.
+  /// The share of its capacity that a server has at least when it starts.
   double slow_start_min_share = 1;
-  /// Time after which a server that has started has its full capacity at the latest.
+  /// The longest time that a server needs after its start until it has its full capacity.
   Duration slow_start_window{0};
-  /// A server fails when it is sent more than this multiple of its present capacity within overload_window.
+  /// The overload limit: a server fails if it gets more work within overload_window than this multiple of its
+  /// present capacity.
   double overload_multiple = 1;
   Duration overload_window{0};
 };
 
 enum class ServerState { kGone, kReady, kDraining };
 
-/// How a ListUpdate relates to the updates before it.
+/// ListKind states how a ListUpdate relates to the updates before it.
 enum class ListKind {
-  kDelta,   ///< changes since the last update
-  kFull,    ///< the complete list
-  kCached,  ///< the complete list as it was before a restart; nothing is subscribed yet
-  kFailed   ///< a poll failed; there are no entries
+  kDelta,   ///< The update contains the changes since the last update.
+  kFull,    ///< The update contains the complete list.
+  kCached,  ///< The update contains the complete list from before a restart. No subscription exists yet.
+  kFailed   ///< A poll has failed. The update has no entries.
 };
 
-/// An endpoint as discovery describes it.
+/// ServerEntry is an endpoint as discovery describes it.
 struct ServerEntry {
   ServerId server = 0;
   int zone = 0;
@@ -111,143 +115,151 @@
   int cell = 0;
   ServerState state = ServerState::kReady;
   double weight = 1;
-  TimePoint up_since{};  ///< zero: long ago
+  TimePoint up_since{};  ///< time of the server's start; 0 if it started long ago
 };
 
-/// How an attempt ended. kOverloaded, kConnectFailed and kNotSent prove that the request did not run.
+/// Outcome states how an attempt ended. kOverloaded, kConnectFailed and kNotSent prove that the request did
+/// not run.
 enum class Outcome {
   kOk,
   kError,
-  kOverloaded,  ///< the server rejected it for lack of capacity
-  kTimeout,     ///< the attempt's time-out or the client's deadline passed
+  kOverloaded,  ///< The server rejected the attempt for lack of capacity.
+  kTimeout,     ///< The attempt's time-out or the client's deadline passed.
   kConnectFailed,
-  kReset,      ///< the connection broke
-  kCancelled,  ///< by the client
-  kNotSent,    ///< the proxy gave it up before it was sent, for a reason that tells nothing of the server
+  kReset,      ///< The connection broke.
+  kCancelled,  ///< The client cancelled the request.
+  kNotSent,    ///< The proxy cancelled the attempt before sending it, for a reason unrelated to the server.
   kUnknown
 };
 
-/// Whether a request is within its tenant's quota by an account that covers all proxies. kUnknown: there is
-/// no such account, and the tenant's quota divided by the number of proxies decides.
+/// QuotaStatus states whether a request is within its tenant's quota, as counted over all proxies. With
+/// kUnknown no such count exists, and the proxy checks the request against its own part of the quota: the
+/// quota divided by the number of proxies.
 enum class QuotaStatus { kUnknown, kWithinQuota, kOverQuota };
 
 // ---- events -------------------------------------------------------------------------------------------
 
-/// The endpoint list, or a change of it.
+/// ListUpdate delivers the endpoint list or changes to it.
 struct ListUpdate {
   ListKind kind = ListKind::kDelta;
   std::vector<ServerEntry> entries;
 };
 
-/// A client has sent a request.
+/// RequestReceived reports that a client has sent a request.
 struct RequestReceived {
   RequestId request = 0;
-  TimePoint due{};  ///< when the client gives up
+  TimePoint due{};  ///< the client's deadline
   int request_class = 0;
   int tenant = 0;
-  std::uint64_t key = 0;  ///< 0: none
-  bool has_hint = false;  ///< work_ms is set
+  std::uint64_t key = 0;  ///< session key; 0 if the request has none
+  bool has_hint = false;  ///< whether work_ms is set
   bool client_retry = false;
-  bool is_body_pending = false;  ///< the body is still to come: the request's time begins with BodyReceived
-  double work_ms = 0;            ///< hinted work on a standard core
+  bool is_body_pending = false;  ///< whether the body is incomplete; latency then counts from BodyReceived
+  double work_ms = 0;            ///< hinted work, in ms on a standard core
   QuotaStatus quota_status = QuotaStatus::kUnknown;
-  /// Overflow of another site. It is sent at once, within OverflowShare and behind all requests of this site,
-  /// or rejected at once. It is never queued nor retried, and no quota is charged for it.
+  /// Whether the request is overflow from another site. Such a request is sent at once, if OverflowShare
+  /// permits it and no request of this site is queued; otherwise it is rejected at once. It is never queued
+  /// or retried, and no quota is charged for it.
   bool is_overflow = false;
 };
 
-/// The body of a request that came with is_body_pending is complete.
+/// BodyReceived reports that the body of a request with RequestReceived::is_body_pending is complete.
 struct BodyReceived {
   RequestId request = 0;
   TimePoint due{};
 };
 
-/// An attempt's response has begun: its first bytes are on their way to the client.
+/// StreamStarted reports that an attempt's response has begun, and its first bytes go to the client.
 struct StreamStarted {
   RequestId request = 0;
   int attempt = 0;
 };
 
+/// AttemptEnded reports the outcome of an attempt.
 struct AttemptEnded {
   RequestId request = 0;
   int attempt = 0;
   ServerId server = 0;
-  bool is_request_finished = false;  ///< the client has its final response
-  bool is_replayable = true;         ///< false: the body that was sent is no longer available for a retry
+  bool is_request_finished = false;  ///< whether the client has its final response
+  bool is_replayable = true;         ///< whether the request's body is still available for a retry
   Outcome outcome = Outcome::kUnknown;
   Duration took{0};
 };
 
-/// The client has closed its connection or cancelled the request.
+/// ClientGone reports that the client has closed its connection or cancelled the request.
 struct ClientGone {
   RequestId request = 0;
 };
 
-/// A timer set by SetTimer has expired.
+/// TimerFired reports that a timer set by SetTimer has expired.
 struct TimerFired {
   std::uint64_t token = 0;
 };
 
-/// Operators take a server out of service, whatever endpoint lists say of it, until EndMaintenance.
+/// StartMaintenance takes a server out of service until EndMaintenance, whatever its state in the endpoint
+/// list. An operator requests it.
 struct StartMaintenance {
   ServerId server = 0;
 };
 
-/// Operators return a server to service. It has been restarted, so it is in slow start.
+/// EndMaintenance returns a server to service. The server has been restarted, so it is in slow start.
 struct EndMaintenance {
   ServerId server = 0;
 };
 
-/// How many processes are this one proxy now: two while one replaces the other.
+/// ProcessCount sets the number of processes that act as this proxy: two during a hot restart, otherwise one.
 struct ProcessCount {
   int processes = 1;
 };
 
-/// New settings apply from here on. Open requests keep the rules of their class as they were.
+/// NewSettings replaces the settings. Open requests keep the previous rules of their class.
 struct NewSettings {
   std::shared_ptr<const Settings> settings;
-  /// The index that each class and each tenant of the new settings had before; -1: it is new.
+  /// The index that each class and each tenant of the new settings had before; -1 if it is new.
   std::vector<int> previous_class_indices, previous_tenant_indices;
 };
 
-/// Another proxy of the fleet has ejected a server until then, on `failures` of `attempts`. It is advice.
+/// PeerEjection reports that another proxy of the fleet has ejected a server until `until`, because
+/// `failures` of `attempts` attempts had failed. This proxy may ignore it.
 struct PeerEjection {
   ServerId server = 0;
   TimePoint until{};
   int failures = 0, attempts = 0;
 };
 
-/// Another proxy has sent a request with this key to a server.
+/// PeerAffinity reports that another proxy has sent a request with the session key `key` to a server.
 struct PeerAffinity {
   ServerId server = 0;
   std::uint64_t key = 0;
   TimePoint sent_at{};
 };
 
-/// This proxy's part of the limit on requests in flight at one server; 0: no limit.
+/// ServerConcurrencyLimit sets this proxy's part of the limit on requests in flight at one server. 0 means no
+/// limit.
 struct ServerConcurrencyLimit {
   int max_in_flight = 0;
 };
 
-/// A former process of this proxy had ejected a server until then, for the `multiplier`-th time in a row.
+/// RestoredEjection reports that a former process of this proxy had ejected a server until `until`, for the
+/// `multiplier`-th time in a row.
 struct RestoredEjection {
   ServerId server = 0;
   TimePoint until{};
   int multiplier = 1;
 };
 
-/// What a Balancer has learned of the servers' rates, and what one takes over from a former process. All are
-/// 0 or more.
+/// LearnedRates holds the rates that a Balancer has measured. As an event it passes the rates of a former
+/// process to the Balancer of a new one. No value is negative.
 struct LearnedRates {
   double responses_per_ms = 0;
-  double work_per_ms = 0;       ///< of all servers
-  double warm_work_per_ms = 0;  ///< of one server that is not in slow start
-  double time_per_work = 0;     ///< response time over hinted work, of large requests
+  double work_per_ms = 0;       ///< work done by all servers
+  double warm_work_per_ms = 0;  ///< work done by one server that is not in slow start
+  double time_per_work = 0;     ///< ratio of response time to hinted work, for large requests
 };
 
-/// Overflow of other sites may be in flight up to this fraction, from 0 to 1, of the capacity that this
-/// proxy's own requests leave of its limit in flight. 0, as before the first such event: all overflow is
-/// rejected.
+/// OverflowShare limits the overflow requests in flight. `max_fraction`, from 0 to 1, is a fraction of this
+/// proxy's spare concurrency: its limit on requests in flight less its own requests in flight. With 0, which
+/// is also the value before the first such event, all overflow is rejected.
 struct OverflowShare {
   double max_fraction = 0;
 };
@@ -257,47 +269,50 @@
                  StartMaintenance, EndMaintenance, ProcessCount, NewSettings, BodyReceived, PeerEjection,
                  PeerAffinity, ServerConcurrencyLimit, RestoredEjection, LearnedRates, OverflowShare>;
 
-/// No ejection lasts longer, the jitter of return times included.
+/// The longest time that a server stays ejected, including jitter.
 inline constexpr Duration kMaxEjectionDuration{20000};
 
 // ---- actions ------------------------------------------------------------------------------------------
 
-/// Send a request, or a further attempt of it, to a server.
+/// Dispatch sends a request to a server, as its first attempt or as a retry.
 struct Dispatch {
   RequestId request = 0;
   ServerId server = 0;
-  Duration timeout{0};  ///< 0: until the client gives up
+  Duration timeout{0};  ///< the attempt's time-out; 0 if only the client's deadline limits it
 };
 
-/// Final: tell the client that the request did not run, so that it may retry.
+/// Reject ends a request and tells the client that it did not run, so that the client may retry it.
 struct Reject {
   RequestId request = 0;
-  Duration retry_after{0};  ///< 0: no advice
+  Duration retry_after{0};  ///< value of Retry-After; 0 if it is omitted
 };
 
-/// Final: tell the client that the request failed and may have run.
+/// FailRequest ends a request and tells the client that it failed and may have run.
 struct FailRequest {
   RequestId request = 0;
 };
 
+/// SetTimer asks for a TimerFired event at `at`.
 struct SetTimer {
   TimePoint at{};
   std::uint64_t token = 0;
 };
 
-/// Ask discovery for the changes from here on.
+/// Subscribe polls discovery for the endpoint list and its later changes.
 struct Subscribe {};
 
-/// Close this proxy's idle connections to a server.
+/// CloseIdle closes this proxy's idle connections to a server.
 struct CloseIdle {
   ServerId server = 0;
 };
 
+/// Log writes a line to the log.
 struct Log {
   std::string text;
 };
 
-/// This proxy has ejected a server until then on the responses that it got itself, for its peers to know.
+/// Ejected reports that this proxy has ejected a server until `until`, based on its own attempts. The caller
+/// notifies the other proxies.
 struct Ejected {
   ServerId server = 0;
   TimePoint until{};
@@ -307,16 +322,17 @@
 
 using Action = std::variant<Dispatch, Reject, FailRequest, SetTimer, Subscribe, CloseIdle, Log, Ejected>;
 
-/// What admission would still admit beyond the present traffic, as far as this proxy can tell: the remainder
-/// of its limit in flight, by Little's law, at the time that a request may take there. It is zero where
-/// requests are queued, or were rejected unsent within the last second, or no server is in service.
+/// SpareCapacity estimates the traffic that this proxy would admit in addition to its present traffic. By
+/// Little's law, it is the unused part of the limit on attempts in flight, divided by the response time that
+/// this limit allows. It is zero if requests are queued, if a request was rejected unsent within the last
+/// second, or if no server is in service.
 struct SpareCapacity {
-  double work_per_ms = 0;              ///< hinted work on standard cores, in the mean; 0 or more
-  double work_per_ms_lower_bound = 0;  ///< the same less one deviation of the number in flight; 0 or more
-  Duration wait{0};                    ///< that a request which came now would be queued for, about
+  double work_per_ms = 0;              ///< mean, as hinted work on standard cores; 0 or more
+  double work_per_ms_lower_bound = 0;  ///< the mean less one deviation of the number in flight; 0 or more
+  Duration wait{0};                    ///< estimated queueing time of a request that arrives now
 };
 
-/// Decides which server gets a request, and which request gets none.
+/// Balancer decides which server each request is sent to, and which requests are queued or rejected.
 class Balancer {
  public:
   Balancer(Settings settings, std::uint64_t seed);
@@ -324,14 +340,15 @@
   Balancer(Balancer&& other) noexcept;
   Balancer& operator=(Balancer&& other) noexcept;
 
-  /// Appends what is to be done at `now` because of `event`. Ignores what it does not know; never throws on
-  /// the content of an event.
+  /// Handles `event` at time `now` and appends the resulting actions to `actions`. Ignores references to
+  /// unknown requests and servers. Throws no exception because of an event's content.
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
-  /// What a process that replaces this one starts from.
+  /// Returns the measured rates, from which a process that replaces this one starts.
   [[nodiscard]] LearnedRates learned_rates() const;
 
-  /// As of the last event; `now` only ends the second after a rejection.
+  /// Returns the spare capacity as of the last event. `now` only determines whether the last rejection was
+  /// less than a second ago.
   [[nodiscard]] SpareCapacity EstimateSpareCapacity(TimePoint now) const;
 
  private:
