--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -9,18 +9,30 @@
 namespace load_balancer {
 namespace {
 
-constexpr double kMaxObjectiveShare = 0.33;  // of the latency objective that an attempt may take, in the mean
-constexpr double kChanceDeviations = 1;      // of the number in flight, that are no overload
-constexpr double kMaxCrowdedTime = 3;  // time of an attempt, in the mean, over that at uncrowded servers
-constexpr double kShedObjectiveShare =
-    0.7;  // share of the latency objective that responses take; the rest is spread
-constexpr double kShedCrowding = 2.5;       // crowding up to which all is admitted
-constexpr double kLowPressure = 0.7;        // of the pressure at which load is shed: a request delays nobody
-constexpr double kMaxMinLimit = 4;          // in flight while responses come as fast as ever
-constexpr double kMinLimitPerServer = 1.5;  // in flight at a server, of all proxies, that it always bears
-constexpr double kQuotaBurstMs = 2000;      // a quota's tokens last this long
-constexpr double kRetryElapsedShare = 0.5;  // of what the deadline leaves open, at a client's usual retry
-constexpr int kShedExponent = -2;           // of the pressure, in the probability to be admitted
+// Largest mean response time at the limit, as a fraction of the latency objective.
+constexpr double kMaxObjectiveShare = 0.33;
+// Largest mean response time at the limit, as a multiple of the response time of uncrowded servers.
+constexpr double kMaxCrowdedTime = 3;
+// Standard deviations of the number in flight that the limit adds to the mean, as random arrivals are no
+// overload.
+constexpr double kAllowedDeviations = 1;
+// Load is shed when responses use more than this share of the latency objective. The rest is left for the
+// spread of response times.
+constexpr double kShedObjectiveShare = 0.7;
+// Load is shed when crowding exceeds this value.
+constexpr double kShedCrowding = 2.5;
+// Below this fraction of the pressure at which load is shed, a request does not delay others.
+constexpr double kLowPressure = 0.7;
+// Largest value of the minimum limit, in attempts in flight. It applies while servers are not crowded.
+constexpr double kMaxMinLimit = 4;
+// Attempts in flight, from all proxies together, that each server can always handle.
+constexpr double kMinLimitPerServer = 1.5;
+// Time for which an unused quota accumulates, so that a tenant can send a burst.
+constexpr double kQuotaBurstMs = 2000;
+// The share of the possible elapsed time that is assumed if a client's retry has the usual time-out.
+constexpr double kRetryElapsedShare = 0.5;
+// The probability of admission is the pressure to this power.
+constexpr int kShedExponent = -2;
 constexpr int kOverQuotaShedExponent = -4;
 
 }  // namespace
@@ -30,7 +42,7 @@
       kMinLimitPerServer * servers_.listed_capacity() / context_.settings().balancer_count;
   const double min_limit = std::max(MinLimit(), per_proxy);
   const double mean = traffic_.responses_per_ms() * MaxResponseTime();
-  return std::max(min_limit, mean + kChanceDeviations * std::sqrt(mean));
+  return std::max(min_limit, mean + kAllowedDeviations * std::sqrt(mean));
 }
 
 double Admission::MaxResponseTime() const {
@@ -50,27 +62,27 @@
 
 void Admission::SetValue(const RequestReceived& received, Duration objective, Request* request) {
   const ClassSettings& rules = request->rules;
-  // The other site has charged the quota for its overflow.
-  const bool is_within_quota = received.is_overflow || TakeQuota(received.tenant, received.quota_status);
+  // The site that sent the overflow has already charged the quota.
+  const bool is_within_quota = received.is_overflow || ChargeQuota(received.tenant, received.quota_status);
   request->value =
       rules.priority_weight * (is_within_quota ? 1 : context_.settings().over_quota_priority_share);
-  const bool delays_nobody = servers_.is_traffic_sparse() && Pressure() < kLowPressure;
-  const bool is_time_known = !delays_nobody && traffic_.is_time_per_work_known();
-  const Duration time_alone(is_time_known ? request->work * traffic_.time_per_work() : 0);
-  if (time_alone > objective) {
-    const bool is_past_deadline = context_.now() + time_alone > request->due;
+  const bool is_underloaded = servers_.is_traffic_sparse() && Pressure() < kLowPressure;
+  const bool is_time_known = !is_underloaded && traffic_.is_time_per_work_known();
+  const Duration service_time(is_time_known ? request->work * traffic_.time_per_work() : 0);
+  if (service_time > objective) {
+    const bool is_past_deadline = context_.now() + service_time > request->due;
     request->value *= is_past_deadline ? 0 : rules.late_priority_share;
   }
-  if (time_alone > rules.latency_objective) traffic_.WeakenTimePerWork();
+  if (service_time > rules.latency_objective) traffic_.ReduceTimePerWork();
 }
 
 Duration Admission::ElapsedBeforeArrival(const RequestReceived& received, ClassStatistics& statistics) const {
   if (received.is_body_pending || received.is_overflow) return Duration(0);
-  const Duration allowed = received.due - context_.now();
-  const bool is_usual = statistics.usual_timeout.Observe(allowed, received.client_retry);
+  const Duration remaining = received.due - context_.now();
+  const bool is_usual = statistics.usual_timeout.Observe(remaining, received.client_retry);
   if (!statistics.usual_timeout.is_established()) return Duration(0);
   const Duration deadline = context_.settings().classes[received.request_class].deadline;
-  const Duration max_elapsed = std::max(Duration(0), deadline - allowed);
+  const Duration max_elapsed = std::max(Duration(0), deadline - remaining);
   if (!is_usual) return max_elapsed;
   return received.client_retry ? max_elapsed * kRetryElapsedShare : Duration(0);
 }
@@ -89,19 +101,20 @@
                             [] { return 1.0; });
 }
 
-// Bounds what many proxies make servers hold: the more crowded servers are, the less.
+// Returns the smallest limit on attempts in flight. It falls as servers become more crowded, since the
+// minimum limits of many proxies add up at the servers.
 double Admission::MinLimit() const {
   return std::clamp(1.5 * kMaxMinLimit / std::max(traffic_.crowding(), 0.1), 1.0, kMaxMinLimit);
 }
 
-// 1 where load begins to be shed.
+// Returns the load of the servers, as a multiple of the level at which load is shed.
 double Admission::Pressure() const {
   return std::max(traffic_.crowding() / kShedCrowding,
                   traffic_.latency_objective_used() / kShedObjectiveShare);
 }
 
-// Whether the request is within its tenant's quota, which it uses up.
-bool Admission::TakeQuota(int tenant, QuotaStatus status) {
+// Returns whether the request is within its tenant's quota, and takes a token from that quota if so.
+bool Admission::ChargeQuota(int tenant, QuotaStatus status) {
   if (status != QuotaStatus::kUnknown) return status == QuotaStatus::kWithinQuota;
   if (tenant < 0 || tenant >= static_cast<int>(quota_tokens_.size())) return true;
   if (quota_tokens_[tenant] < 1) return false;
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Admission control: how much this proxy has in flight, and the value of each request.
+/// Admission control: limits the attempts in flight of this proxy and determines the value of each request.
 #ifndef LOAD_BALANCER_SRC_POLICY_ADMISSION_H_
 #define LOAD_BALANCER_SRC_POLICY_ADMISSION_H_
 
@@ -11,36 +11,39 @@
 
 namespace load_balancer {
 
-/// Limits the attempts in flight, sheds load where the limit is too coarse, and values requests.
+/// Limits the attempts in flight, sheds load where that limit is too coarse, and computes the values by which
+/// requests are ordered.
 class Admission {
  public:
   Admission(Context& context, const ServerList& servers, TrafficStatistics& traffic)
       : context_(context), servers_(servers), traffic_(traffic) {}
 
-  /// The limit on attempts in flight, for when the whole fleet is slow. By Little's law these are the
-  /// responses a ms times their time: what takes more than a part of the latency objective at the rate of
-  /// late could only queue at servers, and so could what takes a multiple of the uncrowded time. Attempts
-  /// whose response is overdue do not count. Requests are counted, not weighed: a huge one must neither be
-  /// shut out nor shut out others.
+  /// Returns the limit on attempts in flight, which protects a fleet that is slow as a whole. By Little's law
+  /// it is the recent rate of responses times MaxResponseTime(): attempts beyond it would only queue at
+  /// servers. Attempts whose response is overdue do not count. Each request counts as one whatever its work,
+  /// so that a huge request is neither blocked by the limit nor uses it up alone.
   [[nodiscard]] double Limit() const;
 
-  /// The time in ms that a request may take at that limit.
+  /// Returns the response time in ms on which Limit() is based: a fraction of the latency objective, but no
+  /// more than a multiple of the response time of uncrowded servers.
   [[nodiscard]] double MaxResponseTime() const;
 
-  /// Whether to shed the request at random, by how crowded servers are. Only where traffic is sparse and a
-  /// limit of one or two in flight would be too coarse. Requests over their tenant's quota go first.
+  /// Decides at random whether to shed the request. The probability rises with the crowding of servers, and
+  /// is higher for requests over their tenant's quota. Sheds only if traffic is sparse, because a limit of
+  /// one or two attempts in flight is then too coarse.
   [[nodiscard]] bool ShouldShed(const Request& request) const;
 
-  /// Sets Request::value and charges the tenant's quota. `objective` is what is left of the latency
-  /// objective: what is too large to be in time even alone is worth less, as it must not take the place of
-  /// others.
+  /// Sets Request::value and charges the tenant's quota. `objective` is the remaining part of the latency
+  /// objective. A request that would exceed it even at an idle server gets a lower value, so that it does not
+  /// displace requests that can be in time.
   void SetValue(const RequestReceived& received, Duration objective, Request* request);
 
-  /// The part of a request's latency objective that had passed before it arrived here, as far as its deadline
-  /// tells: a client's last retry has what is left of its deadline, all others of a class have the same time.
+  /// Estimates how much of a request's latency objective had passed before the request arrived here. The
+  /// requests of a class usually arrive with the same remaining time. A shorter one indicates a client's last
+  /// retry, which has only the rest of the client's deadline.
   Duration ElapsedBeforeArrival(const RequestReceived& received, ClassStatistics& statistics) const;
 
-  /// Refills the tenants' quotas for `elapsed` ms.
+  /// Adds the tokens of `elapsed` ms to the tenants' quotas.
   void RefillQuotas(double elapsed);
 
   void HandleNewSettings(const std::vector<int>& previous_tenant_indices);
@@ -48,7 +51,7 @@
  private:
   [[nodiscard]] double MinLimit() const;
   [[nodiscard]] double Pressure() const;
-  bool TakeQuota(int tenant, QuotaStatus status);
+  bool ChargeQuota(int tenant, QuotaStatus status);
 
   Context& context_;
   const ServerList& servers_;
--- a/src/policy/admission_queue.h
+++ b/src/policy/admission_queue.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// The queue of requests that wait for capacity.
+/// A queue of the requests that wait for capacity.
 #ifndef LOAD_BALANCER_SRC_POLICY_ADMISSION_QUEUE_H_
 #define LOAD_BALANCER_SRC_POLICY_ADMISSION_QUEUE_H_
 
@@ -12,11 +12,11 @@
 
 namespace load_balancer {
 
-/// Orders queued requests by value, then by arrival: the most valuable first, of these the latest. Also knows
-/// when each of them has waited long enough. Maintains Request::is_queued.
+/// Orders queued requests by value, highest first, then by arrival, latest first. Also records the time at
+/// which each request expires. Maintains Request::is_queued.
 class AdmissionQueue {
  public:
-  /// A request's place in the queue.
+  /// Position is the key by which a request is ordered in the queue.
   struct Position {
     double value = 0;
     TimePoint arrived{};
@@ -27,13 +27,14 @@
 
   void Add(Request& request);
 
-  /// Does nothing if the request is not queued. Its expiry stays.
+  /// Removes the request, but leaves its expiry. Does nothing if the request is not queued.
   void Remove(Request& request);
 
   [[nodiscard]] std::optional<Position> First() const;
   [[nodiscard]] std::optional<Position> After(const Position& position) const;
 
-  /// Takes out the next expiry that has passed. Its request may be gone, or no longer queued.
+  /// Removes the earliest expiry, if it has passed, and returns its request. The request may be finished or
+  /// no longer queued.
   std::optional<RequestId> TakeExpired(TimePoint now);
   [[nodiscard]] TimePoint next_expiry() const;
 
--- a/src/policy/attempt_timeout.cpp
+++ b/src/policy/attempt_timeout.cpp
@@ -14,14 +14,15 @@
 
 Duration AttemptTimeout(const Request& request, const Server& server, bool has_retry_token, TimePoint now) {
   const ClassStatistics& statistics = *request.statistics;
-  if (!MayRetryAfterNextAttempt(request) || !has_retry_token || !statistics.is_known()) return Duration(0);
+  if (!MayRetryAfterNextAttempt(request) || !has_retry_token || !statistics.has_enough_samples())
+    return Duration(0);
   if (server.load.attempts() == 0) return Duration(0);
-  const Duration unlikely = statistics.UnlikelyLatency(request.work);
-  const bool is_silent = !(now - server.load.silent_since() < unlikely);
+  const Duration latency_bound = statistics.LatencyUpperBound(request.work);
+  const bool is_silent = !(now - server.load.silent_since() < latency_bound);
   const MeanAndDeviation& latency = statistics.latency;
-  const Duration retry((latency.mean() + latency.deviation()) * statistics.ScaleOf(request.work));
-  const bool is_retry_in_time = now + unlikely + retry <= request.due;
-  return is_silent && is_retry_in_time ? unlikely : Duration(0);
+  const Duration retry((latency.mean() + latency.deviation()) * statistics.LatencyScale(request.work));
+  const bool is_retry_in_time = now + latency_bound + retry <= request.due;
+  return is_silent && is_retry_in_time ? latency_bound : Duration(0);
 }
 
 }  // namespace load_balancer
--- a/src/policy/attempt_timeout.h
+++ b/src/policy/attempt_timeout.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Time-outs of attempts that are shorter than the client's own.
+/// Time-outs of attempts that end before the client's deadline.
 #ifndef LOAD_BALANCER_SRC_POLICY_ATTEMPT_TIMEOUT_H_
 #define LOAD_BALANCER_SRC_POLICY_ATTEMPT_TIMEOUT_H_
 
@@ -8,12 +8,13 @@
 
 namespace load_balancer {
 
-/// The time-out of the request's next attempt, at `server`, or 0 for that of the client.
+/// Returns the time-out of the request's next attempt, at `server`, or 0 if only the client's deadline limits
+/// the attempt.
 ///
-/// Only a server that has gone silent gets one: it has owed responses for longer than this class takes by its
-/// mean and four deviations. Timing out what is merely late would double its work. There is none either where
-/// no retry would be permitted, by the request or for lack of a token of the retry budget, or where it would
-/// come too late.
+/// A time-out is set only if the server is silent: it has outstanding attempts, and has sent no response for
+/// longer than this class's mean response time and four deviations. Timing out an attempt that is merely late
+/// would double its work. No time-out is set if the request permits no retry, if the retry budget has no
+/// token, or if a retry would end after the client's deadline.
 Duration AttemptTimeout(const Request& request, const Server& server, bool has_retry_token, TimePoint now);
 
 }  // namespace load_balancer
--- a/src/policy/attempts_in_flight.h
+++ b/src/policy/attempts_in_flight.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// The attempts that count against this proxy's limit in flight.
+/// The attempts that count against this proxy's limit on attempts in flight.
 #ifndef LOAD_BALANCER_SRC_POLICY_ATTEMPTS_IN_FLIGHT_H_
 #define LOAD_BALANCER_SRC_POLICY_ATTEMPTS_IN_FLIGHT_H_
 
@@ -11,24 +11,24 @@
 
 namespace load_balancer {
 
-/// Attempts whose response is awaited, until it begins or is overdue. The overflow of other sites is only
-/// counted: it takes nothing of the limit.
+/// Holds the attempts whose response has neither begun nor become overdue. Attempts for overflow of other
+/// sites are counted separately, as they do not count against the limit.
 class AttemptsInFlight {
  public:
-  /// The last attempt of the request awaits its response from now on, until Attempt::overdue_at.
+  /// Adds the last attempt of the request, until Attempt::overdue_at.
   void Add(const Request& request);
 
-  /// True if the attempt was awaited.
+  /// Removes an attempt; returns whether it was present.
   bool Remove(const Request& request, int attempt);
 
-  /// Removes overdue attempts; true if there were any.
+  /// Removes the overdue attempts; returns whether there were any.
   bool RemoveOverdue(TimePoint now);
 
-  [[nodiscard]] TimePoint next_overdue() const;  ///< kNever where no attempt is awaited
+  [[nodiscard]] TimePoint next_overdue() const;  ///< kNever if there is no attempt
   [[nodiscard]] std::size_t size() const { return awaited_.size(); }
   [[nodiscard]] bool empty() const { return awaited_.empty(); }
 
-  /// An attempt of an overflow request was sent, or has ended.
+  /// Counts an overflow attempt that was sent (AddOverflow) or has ended (RemoveOverflow).
   void AddOverflow() { ++overflow_; }
   void RemoveOverflow() { --overflow_; }
   [[nodiscard]] int overflow() const { return overflow_; }
--- a/src/policy/balancer.cpp
+++ b/src/policy/balancer.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Routes each event to the modules that it concerns, then does what is due. The ordinary path is gRFC A50
-// outlier detection and, among the servers in service, a pick of the one with the least hinted work of this
-// proxy's own in flight.
+// Passes each event to the components that handle it, then performs the tasks that are due. In the usual case
+// servers are ejected by gRFC A50 outlier detection, and a request goes to the server in service with the
+// least hinted work in flight from this proxy.
 #include "load_balancer/balancer.h"
 
 #include <algorithm>
@@ -14,8 +14,8 @@
 namespace load_balancer {
 namespace {
 
-constexpr Duration kSampleInterval{100};  // rates are sampled this often
-constexpr std::uint64_t kTimerToken = 0;  // there is one timer
+constexpr Duration kSampleInterval{100};  // interval at which rates are sampled
+constexpr std::uint64_t kTimerToken = 0;  // token of the only timer
 
 }  // namespace
 
@@ -27,7 +27,7 @@
 
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions) {
     context_.BeginEvent(now, actions);
-    // The event comes first: an endpoint list may forbid what is due.
+    // The event is handled before due tasks, as a new endpoint list may forbid a due dispatch.
     std::visit([this](const auto& concrete_event) { HandleEvent(concrete_event); }, event);
     HandleDue();
     requests_.DispatchQueued();
@@ -59,15 +59,15 @@
     poller_.HandleUpdate(event.kind);
     if (event.kind == ListKind::kFailed) return;
     servers_.ApplyUpdate(event);
-    requests_.CapacityChanged();
+    requests_.NotifyCapacityChange();
   }
 
   void HandleEvent(const StartMaintenance& event) {
-    if (servers_.StartMaintenance(event.server)) requests_.CapacityChanged();
+    if (servers_.StartMaintenance(event.server)) requests_.NotifyCapacityChange();
   }
 
   void HandleEvent(const EndMaintenance& event) {
-    if (servers_.EndMaintenance(event.server)) requests_.CapacityChanged();
+    if (servers_.EndMaintenance(event.server)) requests_.NotifyCapacityChange();
   }
 
   void HandleEvent(const NewSettings& event) {
@@ -76,8 +76,8 @@
     servers_.HandleNewSettings();
   }
 
-  // What a former process has learned is taken over only where nothing was learned here, and only if it has
-  // served anything.
+  // Ignores the rates of a former process if this process has measured its own, or if the former process has
+  // served no request.
   void HandleEvent(const LearnedRates& event) {
     if (traffic_.has_attempts() || event.responses_per_ms <= 0) return;
     traffic_.Restore(event);
@@ -95,7 +95,7 @@
   void HandleDue() {
     const TimePoint now = context_.now();
     if (now >= timer_at_) timer_at_ = kNever;
-    if (now >= servers_.next_return() && servers_.ReturnDue()) requests_.CapacityChanged();
+    if (now >= servers_.next_return() && servers_.ReturnDueServers()) requests_.NotifyCapacityChange();
     if (now >= detection_interval_end_) {
       detection_interval_end_ = now + servers_.detection_interval();
       servers_.EndDetectionInterval();
@@ -105,7 +105,7 @@
     requests_.HandleDue();
   }
 
-  // Updates the rates and what follows from them.
+  // Updates the measured rates and everything that depends on them.
   void Sample() {
     const TimePoint now = context_.now();
     const double elapsed = (now - last_sample_).count();
@@ -119,7 +119,7 @@
     requests_.RefillQuotas(elapsed);
     last_sample_ = now;
     next_sample_ = now + kSampleInterval;
-    requests_.CapacityChanged();  // servers in slow start can take more
+    requests_.NotifyCapacityChange();  // the capacity of servers in slow start grows with time
   }
 
   void SetTimerIfEarlier() {
--- a/src/policy/context.cpp
+++ b/src/policy/context.cpp
@@ -6,7 +6,7 @@
 namespace load_balancer {
 namespace {
 
-// The least time between two log lines of a topic.
+// Returns the shortest interval between two log lines of a topic.
 Duration LogInterval(LogTopic topic) {
   switch (topic) {
     case LogTopic::kPeerEjection:
--- a/src/policy/context.h
+++ b/src/policy/context.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// What all parts of the decision module share while they handle an event.
+/// The state that all components of the decision module share while they handle an event.
 #ifndef LOAD_BALANCER_SRC_POLICY_CONTEXT_H_
 #define LOAD_BALANCER_SRC_POLICY_CONTEXT_H_
 
@@ -14,15 +14,16 @@
 
 namespace load_balancer {
 
-/// Kinds of log lines. Each kind is limited in rate on its own.
+/// LogTopic is the kind of a log line. The rate of log lines is limited for each kind separately.
 enum class LogTopic { kPeerEjection, kEjection, kFinalResponse, kSlowStart };
 
-/// The settings, the random source, the time of the event, and the actions that it causes.
+/// Holds the settings, the random source, the time of the current event and the actions that it causes.
 class Context {
  public:
   Context(Settings settings, std::uint64_t seed);
 
-  /// Actions go to `actions`, which must outlive the call of EndEvent.
+  /// Starts an event at time `now`. Its actions are appended to `actions`, which must stay valid until
+  /// EndEvent.
   void BeginEvent(TimePoint now, std::vector<Action>* actions);
   void EndEvent();
 
@@ -33,7 +34,7 @@
 
   void Emit(Action action);
 
-  /// Emits the parts as one log line, unless one of its topic was emitted too recently.
+  /// Emits `parts` as one log line, unless a line of the same topic was emitted too recently.
   template <typename... Parts>
   void LogLine(LogTopic topic, const Parts&... parts) {
     if (!MayLog(topic)) return;
--- a/src/policy/list_poller.cpp
+++ b/src/policy/list_poller.cpp
@@ -6,11 +6,14 @@
 namespace load_balancer {
 namespace {
 
-constexpr Duration kMaxUnansweredTime{
-    3500};  // the next poll after one that fails or is not answered, counted from it
-constexpr Duration kMaxDelayAfterWatch{250};  // after a watch that fell silent was closed
-constexpr double kUnansweredFraction = 0.9;   // of the longest poll interval, where that is less
-constexpr double kMinBackoffDivisor = 20;     // of the longest poll interval
+// Longest time from a poll that fails or gets no response to the next poll.
+constexpr Duration kMaxUnansweredTime{3500};
+// The same limit as a fraction of Settings::max_poll_interval; the shorter of the two applies.
+constexpr double kUnansweredFraction = 0.9;
+// Longest delay of a poll after the closing of a watch that had become silent.
+constexpr Duration kMaxDelayAfterWatch{250};
+// Bounds of the backoff: Settings::max_poll_interval divided by these.
+constexpr double kMinBackoffDivisor = 20;
 constexpr double kMaxBackoffDivisor = 4;
 
 }  // namespace
@@ -19,8 +22,7 @@
   if (!context_.settings().must_poll_for_list) return;
   if (kind == ListKind::kFailed) return BackOff();
   backoff_ = Duration(0);
-  next_poll_ =
-      kind == ListKind::kCached ? context_.now() : kNever;  // after a restart nothing is subscribed yet
+  next_poll_ = kind == ListKind::kCached ? context_.now() : kNever;  // no subscription exists after a restart
 }
 
 void ListPoller::BackOff() {
--- a/src/policy/list_poller.h
+++ b/src/policy/list_poller.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// When to ask discovery for the endpoint list, where it has to be polled.
+/// Polling of discovery for the endpoint list, where discovery does not push it.
 #ifndef LOAD_BALANCER_SRC_POLICY_LIST_POLLER_H_
 #define LOAD_BALANCER_SRC_POLICY_LIST_POLLER_H_
 
@@ -9,18 +9,18 @@
 
 namespace load_balancer {
 
-/// Emits Subscribe so that Settings::max_poll_interval is kept, with a jittered exponential backoff after
-/// failures.
+/// Emits Subscribe often enough to keep within Settings::max_poll_interval. Applies a jittered exponential
+/// backoff after failures.
 class ListPoller {
  public:
   explicit ListPoller(Context& context) : context_(context) {}
 
-  /// An update has arrived, or a poll has failed.
+  /// Handles an update that has arrived or, with ListKind::kFailed, a poll that has failed.
   void HandleUpdate(ListKind kind);
 
   void PollIfDue();
 
-  [[nodiscard]] TimePoint next_poll() const { return next_poll_; }  ///< kNever: none is due
+  [[nodiscard]] TimePoint next_poll() const { return next_poll_; }  ///< kNever if no poll is due
 
  private:
   void BackOff();
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -8,23 +8,29 @@
 namespace load_balancer {
 namespace {
 
-constexpr Duration kMaxInterval{10000};      // A50's default
-constexpr Duration kBaseEjectionTime{2000};  // of the first ejection: one interval
-constexpr Duration kMaxEjectionTime{16000};  // a recovered server is tried again within this
-constexpr double kReturnJitterMin = 0.75;    // of the ejection time, where traffic is sparse
+constexpr Duration kMaxInterval{10000};      // default of A50
+constexpr Duration kBaseEjectionTime{2000};  // duration of the first ejection: one interval
+constexpr Duration kMaxEjectionTime{16000};  // time within which a recovered server is tried again
+constexpr double kReturnJitterMin = 0.75;    // applied to the ejection time if traffic is sparse
 constexpr double kReturnJitterRange = 0.5;
 static_assert(kMaxEjectionTime * (kReturnJitterMin + kReturnJitterRange) <= kMaxEjectionDuration);
 
-constexpr double kChanceOfSparseVolume =
-    0.01;  // sparse traffic: failures less likely than this suffice for a verdict
-constexpr double kChanceOfCoincidence =
-    0.001;                                  // failures more likely than this by the usual rate do not eject
-constexpr double kPriorFailures = 0.1;      // assumed elsewhere before anything is known
-constexpr int kMinimumHosts = 2;            // servers to compare with each other
-constexpr double kThreshold = 0.4;          // failure share; well over what noise and overlap produce
-constexpr double kMaxEjectionPercent = 50;  // the rest must be able to carry the load
-constexpr double kMaxAdvisedPercent = 25;   // bounds what a peer that reports wrongly can take out
-constexpr double kEnforcingPercent = 100;   // every verdict is enforced
+// With sparse traffic, attempts that all fail suffice for an ejection if that is less probable than this.
+constexpr double kSparseVolumeProbability = 0.01;
+// Failures do not eject if they are more probable than this at the usual failure rate.
+constexpr double kMaxCoincidenceProbability = 0.001;
+// Failures that are assumed at other hosts before any are counted.
+constexpr double kPriorFailures = 0.1;
+// Hosts with enough attempts that a comparison needs.
+constexpr int kMinimumHosts = 2;
+// Smallest failure share of an outlier. It is well above random fluctuation.
+constexpr double kThreshold = 0.4;
+// Largest share of ejected hosts. The others must be able to handle the load.
+constexpr double kMaxEjectionPercent = 50;
+// Largest share of hosts ejected because of peers' reports. Limits the effect of a peer with wrong reports.
+constexpr double kMaxPeerEjectedPercent = 25;
+// Share of the detected outliers that are ejected.
+constexpr double kEnforcingPercent = 100;
 
 }  // namespace
 
@@ -56,29 +62,30 @@
 }
 
 bool OutlierDetector::IsOutlier(const HostHealth& host) const {
-  // The threshold rises with the share that fails elsewhere: an overloaded fleet must not eject itself, but a
-  // server that always fails is ejected, however bad the rest.
+  // The threshold rises with the failure share of the other hosts, so that an overloaded fleet does not eject
+  // its servers. It stays below 1 unless all other attempts fail, so that a server that always fails is still
+  // ejected.
   const Counts others = current_.Without(host);
   const double others_share =
       others.attempts > 0 ? static_cast<double>(others.failures) / others.attempts : 0;
   const double threshold = std::max(kThreshold, others_share * (2 - others_share));
-  if (host.attempts() < MinVolume(others)) return false;
+  if (host.attempts() < MinRequestVolume(others)) return false;
   if (!(host.failures > threshold * host.attempts())) return false;
-  // Failures that come at a few percent everywhere, as when connections break on the way, are two of three at
-  // some host in every interval. They are no outliers.
+  // If a few percent of attempts fail at every host, as when the network breaks connections, two of three
+  // attempts fail at some host in each interval by chance. Such a host is no outlier.
   const double usual_share = std::min(1.0, (others.failures + previous_.failures + kPriorFailures) /
                                                (others.attempts + previous_.attempts + 1));
-  return !(BinomialTail(host.failures, host.attempts(), usual_share) > kChanceOfCoincidence);
+  return !(BinomialTail(host.failures, host.attempts(), usual_share) > kMaxCoincidenceProbability);
 }
 
-bool OutlierDetector::ApplyPeerEjection(HostHealth& host, const PeerEjection& peer, int advised_hosts,
+bool OutlierDetector::ApplyPeerEjection(HostHealth& host, const PeerEjection& peer, int peer_ejected_hosts,
                                         TimePoint now) {
   const int volume = is_traffic_sparse_ ? kMinimumHosts : kRequestVolume;
   if (host.is_ejected || peer.until <= now || peer.attempts < volume) return false;
   if (!(peer.failures > kThreshold * peer.attempts)) return false;
-  if (!MayEject() || !(100.0 * advised_hosts < kMaxAdvisedPercent * hosts_)) return false;
+  if (!MayEject() || !(100.0 * peer_ejected_hosts < kMaxPeerEjectedPercent * hosts_)) return false;
   host.return_at = std::min(peer.until, now + Eject(host));
-  host.is_advised = true;
+  host.is_peer_ejection = true;
   return true;
 }
 
@@ -116,20 +123,21 @@
 
 bool OutlierDetector::MayEject() const { return 100.0 * ejected_hosts_ < kMaxEjectionPercent * hosts_; }
 
-// Where traffic is sparse, the volume falls to as many attempts as could hardly all fail by chance, going by
-// the share that fails elsewhere.
-int OutlierDetector::MinVolume(const Counts& others) const {
+// Returns the number of attempts needed to evaluate a host. With sparse traffic it is as low as the number of
+// attempts that are unlikely to all fail by chance, given the failure share of the other hosts.
+int OutlierDetector::MinRequestVolume(const Counts& others) const {
   const double others_share = (others.failures + kPriorFailures) / (others.attempts + 1);
   if (!is_traffic_sparse_ || others_share >= 1) return kRequestVolume;
-  return std::min<int>(kRequestVolume, std::ceil(std::log(kChanceOfSparseVolume) / std::log(others_share)));
+  return std::min<int>(kRequestVolume,
+                       std::ceil(std::log(kSparseVolumeProbability) / std::log(others_share)));
 }
 
-// Returns for how long, by A50's backoff.
+// Ejects the host and returns the ejection time by the backoff of A50.
 Duration OutlierDetector::Eject(HostHealth& host) {
   ++host.multiplier;
   ++ejected_hosts_;
   host.is_ejected = true;
-  host.is_advised = false;
+  host.is_peer_ejection = false;
   current_ = current_.Without(host);
   const Duration base = interval_ * (kBaseEjectionTime / kDetectionInterval);
   return std::min(base * host.multiplier, std::max(base, kMaxEjectionTime));
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// gRFC A50 outlier detection by failure percentage. It is evaluated at each response instead of once an
-/// interval.
+/// Outlier detection by failure percentage, after gRFC A50. Unlike A50, it evaluates a host at each response
+/// instead of once per interval.
 #ifndef LOAD_BALANCER_SRC_POLICY_OUTLIER_DETECTION_H_
 #define LOAD_BALANCER_SRC_POLICY_OUTLIER_DETECTION_H_
 
@@ -10,57 +10,58 @@
 
 namespace load_balancer {
 
-/// The interval after which counts are reset, unless traffic is sparse.
+/// The interval at which counts are reset, unless traffic is sparse.
 inline constexpr Duration kDetectionInterval{2000};
 
-/// Attempts at one host within an interval below which it is not judged.
+/// The number of attempts within an interval below which a host is not evaluated.
 inline constexpr int kRequestVolume = 3;
 
-/// What the detector knows of one host. Written by OutlierDetector only.
+/// HostHealth holds the detector's state of one host. Only OutlierDetector modifies it.
 struct HostHealth {
   int successes = 0;
   int failures = 0;
-  int multiplier = 0;  ///< of the ejection time: ejections in a row
+  int multiplier = 0;  ///< of the ejection time; the number of ejections in a row
   bool is_ejected = false;
-  bool is_advised = false;  ///< ejected on a peer's advice
+  bool is_peer_ejection = false;  ///< whether the ejection is due to a peer's report
   TimePoint return_at{};
 
   [[nodiscard]] int attempts() const { return successes + failures; }
 };
 
-/// Counts the responses of all hosts and ejects outliers. It keeps running sums, so that a response does not
-/// cost a scan of the hosts. A host that is not listed as ready is still judged by late responses, but counts
-/// neither as a host nor as an ejected one.
+/// Counts the responses of all hosts and ejects outliers. Keeps running sums, so that a response does not
+/// require a scan of all hosts. A host that is not listed as ready is still evaluated by its late responses,
+/// but is included neither in the number of hosts nor in the number of ejected hosts.
 class OutlierDetector {
  public:
   void AddHost(const HostHealth& host);
   void RemoveHost(const HostHealth& host);
 
-  /// Counts a response and judges the host; true if it is ejected by it.
+  /// Counts a response and evaluates the host; returns whether this ejects the host.
   bool RecordResponse(HostHealth& host, bool is_listed, bool success, TimePoint now, RandomSource& random);
 
-  /// Ejects a listed host on a peer's advice, if the peer's sample would do for a verdict here and no more
-  /// than a part of the hosts is out on advice. `advised_hosts` are those listed ones that are. The host is
-  /// out no longer than by this proxy's own backoff and at the peer, so that all proxies return it together.
-  /// True if it is ejected.
-  bool ApplyPeerEjection(HostHealth& host, const PeerEjection& peer, int advised_hosts, TimePoint now);
+  /// Ejects a listed host that a peer has ejected; returns whether it is ejected. Requires that the peer's
+  /// counts would suffice for an ejection here, and that not too many hosts are ejected because of peers'
+  /// reports; `peer_ejected_hosts` is the number of listed hosts that are. The host returns at the peer's
+  /// time or after this proxy's own backoff, whichever is earlier, so that all proxies return it together.
+  bool ApplyPeerEjection(HostHealth& host, const PeerEjection& peer, int peer_ejected_hosts, TimePoint now);
 
-  /// Ejects a listed host again that a former process had ejected.
+  /// Ejects a listed host that a former process of this proxy had ejected.
   void RestoreEjection(HostHealth& host, const RestoredEjection& restored, TimePoint now);
 
-  /// Returns the host to service if its ejection time has passed; true if so.
+  /// Returns the host to service if its ejection time has passed; returns whether it did.
   bool ReturnIfDue(HostHealth& host, bool is_listed, TimePoint now);
 
-  /// Ends the interval; each host's part of it has to be ended by EndHostInterval.
+  /// Ends the interval. The caller must also call EndHostInterval for each host.
   void EndInterval();
   static void EndHostInterval(HostHealth& host);
 
-  /// The interval in which traffic brings kRequestVolume attempts to each host.
+  /// Sets the time in which the present traffic makes kRequestVolume attempts at each host. The detection
+  /// interval follows it within bounds.
   void SetVolumeInterval(Duration interval);
 
   [[nodiscard]] Duration interval() const { return interval_; }
 
-  /// Traffic does not bring kRequestVolume attempts to each host within kDetectionInterval.
+  /// Returns whether traffic makes fewer than kRequestVolume attempts at each host within kDetectionInterval.
   [[nodiscard]] bool is_traffic_sparse() const { return is_traffic_sparse_; }
 
  private:
@@ -75,14 +76,14 @@
 
   [[nodiscard]] bool IsOutlier(const HostHealth& host) const;
   [[nodiscard]] bool MayEject() const;
-  [[nodiscard]] int MinVolume(const Counts& others) const;
+  [[nodiscard]] int MinRequestVolume(const Counts& others) const;
   Duration Eject(HostHealth& host);
 
-  int hosts_ = 0;          // listed as ready
-  int ejected_hosts_ = 0;  // of these
+  int hosts_ = 0;          // hosts that are listed as ready
+  int ejected_hosts_ = 0;  // those of them that are ejected
   int hosts_with_volume_ = 0;
-  Counts current_;   // of this interval, hosts in service only
-  Counts previous_;  // of the interval before
+  Counts current_;   // counts of this interval, of hosts in service only
+  Counts previous_;  // counts of the previous interval
   Duration interval_{kDetectionInterval};
   bool is_traffic_sparse_ = false;
 };
--- a/src/policy/random_source.cpp
+++ b/src/policy/random_source.cpp
@@ -4,7 +4,7 @@
 namespace load_balancer {
 namespace {
 
-// A double has 53 bits of mantissa.
+// A double has a mantissa of 53 bits.
 constexpr int kDiscardedBits = 64 - 53;
 constexpr double kMantissaUnit = 0x1.0p-53;
 
--- a/src/policy/random_source.h
+++ b/src/policy/random_source.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// A random source whose draws are the same on every platform.
+/// A random number generator whose results are the same on every platform.
 #ifndef LOAD_BALANCER_SRC_POLICY_RANDOM_SOURCE_H_
 #define LOAD_BALANCER_SRC_POLICY_RANDOM_SOURCE_H_
 
@@ -9,16 +9,17 @@
 
 namespace load_balancer {
 
-/// Deterministic from its seed alone. The distributions of the standard library are not used, as their draws
-/// differ between implementations.
+/// Generates random numbers that depend on the seed alone. Does not use the distributions of the standard
+/// library, as their results differ between implementations.
 class RandomSource {
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  /// Uniform in [0, 1).
+  /// Returns a uniformly distributed number in [0, 1).
   double UniformReal();
 
-  /// Uniform in [0, bound). `bound` is small against 2^64, so the modulo's bias does not matter.
+  /// Returns a uniformly distributed integer in [0, bound). `bound` must be much smaller than 2^64, so that
+  /// the bias of the modulo operation is negligible.
   std::uint64_t UniformBelow(std::uint64_t bound);
 
  private:
--- a/src/policy/reindex.h
+++ b/src/policy/reindex.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Carries over what is kept by index when the indices change.
+/// Moves values that are stored by index to their new indices.
 #ifndef LOAD_BALANCER_SRC_POLICY_REINDEX_H_
 #define LOAD_BALANCER_SRC_POLICY_REINDEX_H_
 
@@ -9,8 +9,8 @@
 
 namespace load_balancer {
 
-/// `size` values under new indices. `previous_indices` has the index that each had in `values` before; one
-/// without such an index is made by `make_new`.
+/// Returns `size` values in the order of their new indices. `previous_indices` holds the index that each
+/// value had in `values`. A value without a valid previous index is created by `make_new`.
 template <typename T, typename MakeNew>
 std::vector<T> Reindexed(const std::vector<T>& values, std::size_t size,
                          const std::vector<int>& previous_indices, const MakeNew& make_new) {
@@ -18,8 +18,8 @@
   reindexed.reserve(size);
   for (std::size_t index = 0; index < size; ++index) {
     const int previous = index < previous_indices.size() ? previous_indices[index] : -1;
-    const bool is_kept = previous >= 0 && previous < static_cast<int>(values.size());
-    reindexed.push_back(is_kept ? values[previous] : make_new());
+    const bool has_previous = previous >= 0 && previous < static_cast<int>(values.size());
+    reindexed.push_back(has_previous ? values[previous] : make_new());
   }
   return reindexed;
 }
--- a/src/policy/request.cpp
+++ b/src/policy/request.cpp
@@ -7,23 +7,23 @@
 namespace load_balancer {
 namespace {
 
-constexpr double kUnlikelyDeviations = 4;  // as RFC 6298
-constexpr int kMinKnownSamples = 10;
-constexpr double kTimeoutTolerance = 0.04;  // fraction by which equal time-outs may differ
+constexpr double kLatencyBoundDeviations = 4;  // as in RFC 6298
+constexpr int kMinSamples = 10;
+constexpr double kTimeoutTolerance = 0.04;  // relative difference up to which time-outs count as equal
 constexpr int kMaxTimeoutVotes = 50;
-constexpr int kEstablishedTimeoutVotes = 10;  // below, clients may differ widely
+constexpr int kEstablishedTimeoutVotes = 10;  // with fewer votes, the clients' time-outs may differ widely
 
 }  // namespace
 
-bool UsualTimeout::Observe(Duration allowed, bool is_client_retry) {
-  if (std::abs((allowed - usual_).count()) <= kTimeoutTolerance * usual_.count()) {
+bool UsualTimeout::Observe(Duration timeout, bool is_client_retry) {
+  if (std::abs((timeout - usual_).count()) <= kTimeoutTolerance * usual_.count()) {
     votes_ = std::min(kMaxTimeoutVotes, votes_ + 1);
     return true;
   }
-  if (is_client_retry) return false;  // it may have been cut short by the client's deadline
+  if (is_client_retry) return false;  // the client's deadline may have shortened its time-out
   --votes_;
   if (votes_ < 0) {
-    usual_ = allowed;
+    usual_ = timeout;
     votes_ = 0;
   }
   return false;
@@ -31,16 +31,16 @@
 
 bool UsualTimeout::is_established() const { return votes_ >= kEstablishedTimeoutVotes; }
 
-double ClassStatistics::ScaleOf(double work_ms) const {
+double ClassStatistics::LatencyScale(double work_ms) const {
   const double ratio = work.mean() > 0 ? work_ms / work.mean() : 1;
   return ratio > 1 ? ratio : 0.5 + 0.5 * ratio;
 }
 
-Duration ClassStatistics::UnlikelyLatency(double work_ms) const {
-  return Duration((latency.mean() + kUnlikelyDeviations * latency.deviation()) * ScaleOf(work_ms));
+Duration ClassStatistics::LatencyUpperBound(double work_ms) const {
+  return Duration((latency.mean() + kLatencyBoundDeviations * latency.deviation()) * LatencyScale(work_ms));
 }
 
-bool ClassStatistics::is_known() const { return latency.samples() >= kMinKnownSamples; }
+bool ClassStatistics::has_enough_samples() const { return latency.samples() >= kMinSamples; }
 
 bool Request::HasOutstandingAttempt() const {
   return std::any_of(attempts.begin(), attempts.end(),
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// What is kept of a request, its attempts and its class.
+/// The state of a request, its attempts and its class.
 #ifndef LOAD_BALANCER_SRC_POLICY_REQUEST_H_
 #define LOAD_BALANCER_SRC_POLICY_REQUEST_H_
 
@@ -11,13 +11,13 @@
 
 namespace load_balancer {
 
-/// The time that clients of a class usually allow for an attempt, found by vote.
+/// Finds the time-out that clients of a class usually set for an attempt, by majority vote.
 class UsualTimeout {
  public:
-  /// Counts the time that a request allows; true if it is the usual one.
-  bool Observe(Duration allowed, bool is_client_retry);
+  /// Counts the time-out of a request; returns whether it is the usual one.
+  bool Observe(Duration timeout, bool is_client_retry);
 
-  /// Enough requests agree.
+  /// Returns whether enough requests had the same time-out.
   [[nodiscard]] bool is_established() const;
 
  private:
@@ -25,42 +25,45 @@
   int votes_ = 0;
 };
 
-/// What this proxy has measured of a class of requests.
+/// ClassStatistics holds this proxy's measurements of a class of requests.
 struct ClassStatistics {
-  MeanAndDeviation latency;  ///< response time in ms over ScaleOf the request's work
-  MeanAndDeviation work;     ///< hinted work
+  MeanAndDeviation latency;  ///< response time in ms, divided by LatencyScale
+  MeanAndDeviation work;     ///< hinted work, in ms
   UsualTimeout usual_timeout;
 
-  /// How response times of this class are expected to grow with the hinted work; 1 for mean work.
-  [[nodiscard]] double ScaleOf(double work_ms) const;
+  /// Returns the expected ratio of the response time of a request with `work_ms` of hinted work to that of a
+  /// request with the class's mean work.
+  [[nodiscard]] double LatencyScale(double work_ms) const;
 
-  /// The time that a response hardly exceeds: mean + 4 deviations, as RFC 6298 sets time-outs.
-  [[nodiscard]] Duration UnlikelyLatency(double work_ms) const;
+  /// Returns a response time that is rarely exceeded: mean + 4 deviations, like the time-outs of RFC 6298.
+  [[nodiscard]] Duration LatencyUpperBound(double work_ms) const;
 
-  /// There are enough responses to judge by.
-  [[nodiscard]] bool is_known() const;
+  /// Returns whether enough responses were measured for an estimate.
+  [[nodiscard]] bool has_enough_samples() const;
 };
 
+/// Attempt is one attempt of a request at a server.
 struct Attempt {
   ServerIndex server = 0;
   TimePoint sent_at{};
-  TimePoint overdue_at{};  ///< the response is not expected any more then
+  TimePoint overdue_at{};  ///< time after which no response is expected
   bool is_outstanding = true;
   bool may_have_run = true;
 };
 
-/// A request from its arrival until it has its final response and no attempt is outstanding.
+/// Request holds the state of a request from its arrival until it has its final response and no attempt is
+/// outstanding.
 struct Request {
   RequestId id = 0;
-  ClassSettings rules{};  ///< of its class when it arrived
+  ClassSettings rules{};  ///< settings of its class at its arrival
   std::shared_ptr<ClassStatistics> statistics{};
   int max_attempts = 1;
-  double work = 1;   ///< hinted, or the mean; ms on a standard core
-  double value = 0;  ///< priority weight that its response can still earn
+  double work = 1;   ///< hinted work or the mean, in ms on a standard core
+  double value = 0;  ///< priority weight that its response is expected to earn
   std::uint64_t key = 0;
   TimePoint arrived{};
   TimePoint due{};
-  TimePoint reject_at{};  ///< it is queued no longer than this
+  TimePoint reject_at{};  ///< time until which it may be queued
   std::vector<Attempt> attempts{};
   TimePoint response_began{};
   bool is_finished = false;
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -13,14 +13,20 @@
 namespace load_balancer {
 namespace {
 
-constexpr int kMaxFailedDispatches = 8;     // queued requests tried in a row without capacity for any
-constexpr double kMaxWork = 1e6;            // ms; a larger hint is taken as this
-constexpr Duration kRecentRejection{1000};  // for so long after a rejection there is no spare capacity
-constexpr double kMinRate = 1e-3;           // responses a ms, assumed for the waiting time in the queue
-constexpr double kMinQueueShare =
-    0.25;                       // of the latency objective; a request may be queued that long at least
-constexpr int kReplyTicks = 2;  // a rejection needs these to reach the client before its deadline
-constexpr int kRetryTicks = 4;  // a retry may be queued for these at least
+// Dispatching stops after this many queued requests that found no capacity.
+constexpr int kMaxFailedDispatches = 8;
+// Largest hinted work, in ms. A larger hint is reduced to it.
+constexpr double kMaxWork = 1e6;
+// Time after a rejection for which no spare capacity is reported.
+constexpr Duration kRecentRejection{1000};
+// Smallest response rate, in responses per ms, in the estimate of the queueing time.
+constexpr double kMinRate = 1e-3;
+// Share of the latency objective that any request may at least spend in the queue.
+constexpr double kMinQueueShare = 0.25;
+// Ticks that a rejection needs to reach the client before its deadline.
+constexpr int kReplyTicks = 2;
+// Ticks that any retry may at least spend in the queue.
+constexpr int kRetryTicks = 4;
 
 }  // namespace
 
@@ -39,7 +45,7 @@
 void RequestLifecycle::Receive(const RequestReceived& received) {
   if (requests_.contains(received.request)) return;
   const Settings& settings = context_.settings();
-  // Nothing is known of what a request of an unknown class may do. It never ran, so it may be rejected.
+  // The rules of an unknown class are not known. The request has not run, so it may be rejected.
   if (received.request_class < 0 || received.request_class >= static_cast<int>(settings.classes.size()))
     return context_.Emit(Reject{received.request, Duration(0)});
   Request request = NewRequest(received);
@@ -49,10 +55,10 @@
   SetWork(received, &request);
   traffic_.RecordArrival(request);
   admission_.SetValue(received, objective, &request);
-  if (request.value <= 0 || admission_.ShouldShed(request)) return FinishWithAdvice(request);
+  if (request.value <= 0 || admission_.ShouldShed(request)) return FinishWithRetryAfter(request);
   const MeanAndDeviation& latency = statistics.latency;
-  const Duration useful = objective - Duration(latency.mean() + latency.deviation());
-  const Duration max_queued = std::max(useful, request.rules.latency_objective * kMinQueueShare);
+  const Duration max_useful_wait = objective - Duration(latency.mean() + latency.deviation());
+  const Duration max_queued = std::max(max_useful_wait, request.rules.latency_objective * kMinQueueShare);
   request.reject_at = std::min(request.due - settings.tick * kReplyTicks, context_.now() + max_queued);
   if (request.is_overflow) request.reject_at = context_.now();
   Request& stored = requests_.emplace(request.id, std::move(request)).first->second;
@@ -75,30 +81,30 @@
 }
 
 void RequestLifecycle::SetWork(const RequestReceived& received, Request* request) {
-  const MeanAndDeviation& all = traffic_.request_work();
+  const MeanAndDeviation& request_work = traffic_.request_work();
   const bool is_hinted = received.has_hint && std::isfinite(received.work_ms) && received.work_ms > 0;
-  const bool is_first = all.samples() == 0;
-  const double mean = is_first ? 1 : all.mean();
+  const bool is_first = request_work.samples() == 0;
+  const double mean = is_first ? 1 : request_work.mean();
   request->work = is_hinted ? std::min(received.work_ms, kMaxWork) : mean;
   if (!is_hinted && !is_first) return;
   traffic_.RecordHintedWork(request->work);
   request->statistics->work.Add(request->work);
 }
 
-// A request's time, and that of its attempt, counts from its last byte.
+// The latency of a request and of its attempt counts from the last byte of the request's body.
 void RequestLifecycle::CompleteBody(const BodyReceived& body) {
   Request* request = Find(body.request);
   if (!request) return;
   const bool was_queued = request->is_queued;
-  queue_.Remove(*request);  // its position depends on its arrival
+  queue_.Remove(*request);  // the position depends on the time of arrival
   request->is_body_pending = false;
   request->arrived = context_.now();
   request->due = body.due;
   if (was_queued) queue_.Add(*request);
   if (!request->HasOutstandingAttempt()) return;
-  LastServer(*request).load.BodyComplete(context_.now());
+  LastServer(*request).load.MarkBodyComplete(context_.now());
   request->attempts.back().sent_at = context_.now();
-  Await(*request);
+  StartAwaitingResponse(*request);
 }
 
 void RequestLifecycle::Abandon(const ClientGone& gone) {
@@ -111,21 +117,21 @@
 // ---- dispatch -----------------------------------------------------------------------------------------
 
 bool RequestLifecycle::HasCapacity(const Request& request) const {
-  const double left = admission_.Limit() - static_cast<double>(in_flight_.size());
-  if (!request.is_overflow) return left > 0;
-  return queue_.empty() && in_flight_.overflow() + 1 <= max_overflow_fraction_ * left;
+  const double spare = admission_.Limit() - static_cast<double>(in_flight_.size());
+  if (!request.is_overflow) return spare > 0;
+  return queue_.empty() && in_flight_.overflow() + 1 <= max_overflow_fraction_ * spare;
 }
 
-// Sends, queues or finishes the request; true if it was sent.
+// Sends, queues or finishes the request; returns whether it was sent.
 bool RequestLifecycle::TryDispatch(Request& request) {
   const Permission permission = PermissionFor(request, context_.now(), servers_);
   const bool may_send = permission.may_dispatch && HasCapacity(request);
-  Server* server = may_send ? picker_.Pick(request, permission.anchor) : nullptr;
+  Server* server = may_send ? picker_.Pick(request, permission.first_run_server) : nullptr;
   if (server) {
     queue_.Remove(request);
     Send(request, *server);
   } else if (!permission.may_dispatch || context_.now() >= request.reject_at) {
-    FinishWithAdvice(request);
+    FinishWithRetryAfter(request);
   } else if (!request.is_queued) {
     queue_.Add(request);
   }
@@ -134,12 +140,12 @@
 
 void RequestLifecycle::DispatchQueued() {
   if (!std::exchange(has_capacity_changed_, false)) return;
-  int failed = 0;
+  int failed_dispatches = 0;
   std::optional<AdmissionQueue::Position> position = queue_.First();
-  while (position && failed < kMaxFailedDispatches) {
+  while (position && failed_dispatches < kMaxFailedDispatches) {
     const std::optional<AdmissionQueue::Position> next = queue_.After(*position);
     Request& request = requests_.at(position->request);
-    if (!TryDispatch(request)) ++failed;
+    if (!TryDispatch(request)) ++failed_dispatches;
     EraseIfComplete(request);
     position = next;
   }
@@ -159,28 +165,29 @@
   slow_start_.RecordSend(server, request.work);
   if (context_.settings().session_affinity && request.key != 0) affinity_.Record(request.key, index, now);
   request.attempts.push_back({.server = index, .sent_at = now});
-  if (!request.is_body_pending) Await(request);
+  if (!request.is_body_pending) StartAwaitingResponse(request);
   context_.Emit(Dispatch{request.id, server.entry.server, timeout});
 }
 
-// The server has all that it needs for the response of the last attempt.
-void RequestLifecycle::Await(Request& request) {
+// Adds the last attempt to those in flight, once the server has received the whole request.
+void RequestLifecycle::StartAwaitingResponse(Request& request) {
   const ClassStatistics& statistics = *request.statistics;
   request.attempts.back().overdue_at =
-      statistics.is_known() ? context_.now() + statistics.UnlikelyLatency(request.work) : kNever;
+      statistics.has_enough_samples() ? context_.now() + statistics.LatencyUpperBound(request.work) : kNever;
   if (!request.is_overflow) in_flight_.Add(request);
 }
 
 // ---- attempts -----------------------------------------------------------------------------------------
 
-// A response is in time by its first bytes: what a slow client takes of the rest is no work in flight.
+// An attempt is no longer in flight once its response has begun. The rest of the response may take long
+// because of a slow client, which is no work of the server.
 void RequestLifecycle::StartStream(const StreamStarted& stream) {
   Request* request = Find(stream.request);
   if (!request) return;
   request->is_streaming = true;
   request->response_began = context_.now();
   if (!FindAttempt(request, stream.attempt)) return;
-  if (in_flight_.Remove(*request, stream.attempt)) CapacityChanged();
+  if (in_flight_.Remove(*request, stream.attempt)) NotifyCapacityChange();
 }
 
 void RequestLifecycle::EndAttempt(const AttemptEnded& ended) {
@@ -193,7 +200,7 @@
       !is_overloaded && ended.outcome != Outcome::kConnectFailed && ended.outcome != Outcome::kNotSent;
   in_flight_.Remove(*request, ended.attempt);
   RecordOutcome(*request, ended, servers_.at(attempt->server));
-  CapacityChanged();
+  NotifyCapacityChange();
   if (ended.is_request_finished) request->is_finished = true;
   request->is_replayable = ended.is_replayable;
   if (!request->is_finished && !request->HasOutstandingAttempt() && !request->is_queued)
@@ -201,14 +208,16 @@
   EraseIfComplete(*request);
 }
 
-// Where a retry is permitted, and within the budget if it adds load.
+// Retries the request if this is permitted; otherwise finishes it. A retry that adds load needs a token of
+// the retry budget.
 void RequestLifecycle::Retry(Request& request, bool adds_load) {
   const bool has_budget = !adds_load || retry_budget_.HasToken();
   if (!PermissionFor(request, context_.now(), servers_).may_dispatch || !has_budget)
     return Finish(request, Duration(0));
   const Duration tick = context_.settings().tick;
-  const TimePoint last_reply = request.due - tick * kReplyTicks;
-  request.reject_at = std::max(request.reject_at, std::min(last_reply, context_.now() + tick * kRetryTicks));
+  const TimePoint last_reply_at = request.due - tick * kReplyTicks;
+  request.reject_at =
+      std::max(request.reject_at, std::min(last_reply_at, context_.now() + tick * kRetryTicks));
   TryDispatch(request);
 }
 
@@ -217,28 +226,29 @@
   const Outcome outcome = ended.outcome;
   server.load.Remove(request.work, outcome != Outcome::kTimeout, now);
   if (request.is_overflow) in_flight_.RemoveOverflow();
-  const bool tells_nothing =
+  const bool is_uninformative =
       outcome == Outcome::kCancelled || outcome == Outcome::kNotSent || outcome == Outcome::kUnknown;
-  if (tells_nothing) return;
+  if (is_uninformative) return;
   const bool ok = outcome == Outcome::kOk;
-  const Duration unlikely = request.statistics->UnlikelyLatency(request.work);
-  const double took = (ok ? ended.took : std::min(ended.took, unlikely)).count();
+  const Duration latency_bound = request.statistics->LatencyUpperBound(request.work);
+  const double took_ms = (ok ? ended.took : std::min(ended.took, latency_bound)).count();
   const TimePoint responded_at = request.is_streaming ? request.response_began : now;
   const bool is_in_time = ok && responded_at <= request.arrived + request.rules.latency_objective;
   picker_.RecordOutcome(request, server, is_in_time, ok);
-  // After a time-out, a server that has responded to others since has lost a response on the way, which tells
-  // nothing of its speed. Of one that has not, it tells that a response hardly comes any more: the class is
-  // as slow as that.
+  // A time-out counts as a response time if the server has sent no response since the attempt began: requests
+  // of this class then take at least that long. If the server has responded to other requests, the response
+  // of this attempt was probably lost on the way, which says nothing about the server's speed.
   const bool is_silent = server.load.silent_since() <= request.attempts[ended.attempt].sent_at;
-  const bool is_timed = ok || (outcome == Outcome::kTimeout && is_silent);
-  if (is_timed && std::isfinite(took) && took >= 0) RecordResponseTime(request, took, server);
-  traffic_.RecordAttempt(request, took, ok, is_timed);
+  const bool is_latency_sample = ok || (outcome == Outcome::kTimeout && is_silent);
+  if (is_latency_sample && std::isfinite(took_ms) && took_ms >= 0)
+    RecordResponseTime(request, took_ms, server);
+  traffic_.RecordAttempt(request, took_ms, ok, is_latency_sample);
   servers_.RecordOutcome(server, ok);
 }
 
-void RequestLifecycle::RecordResponseTime(const Request& request, double took, Server& server) {
+void RequestLifecycle::RecordResponseTime(const Request& request, double took_ms, Server& server) {
   MeanAndDeviation& latency = request.statistics->latency;
-  const double scaled = took / request.statistics->ScaleOf(request.work);
+  const double scaled = took_ms / request.statistics->LatencyScale(request.work);
   latency.Add(scaled);
   server.slowness.Record(scaled / std::max(latency.mean(), 1e-9), context_.now());
 }
@@ -246,20 +256,21 @@
 // ---- the end of a request -----------------------------------------------------------------------------
 
 void RequestLifecycle::HandleDue() {
-  if (in_flight_.RemoveOverdue(context_.now())) CapacityChanged();
+  if (in_flight_.RemoveOverdue(context_.now())) NotifyCapacityChange();
   while (const std::optional<RequestId> expired = queue_.TakeExpired(context_.now())) {
     Request* request = Find(*expired);
     if (!request) continue;
-    if (request->is_queued && context_.now() >= request->reject_at) FinishWithAdvice(*request);
+    if (request->is_queued && context_.now() >= request->reject_at) FinishWithRetryAfter(*request);
     EraseIfComplete(*request);
   }
 }
 
-// Where clients heed Retry-After, one whose objective could not be met would come back only to be late, and
-// take the place of one in time. It is told to stay away for as long as it would have come back.
-void RequestLifecycle::FinishWithAdvice(Request& request) {
-  const Duration advice = std::min(context_.settings().max_retry_after, request.rules.deadline);
-  Finish(request, request.is_overflow ? Duration(0) : advice);
+// Finishes a request that was not served in time. A client's retry of such a request would be late as well
+// and would displace a request that can be in time. If clients obey Retry-After, they are therefore asked to
+// wait for as long as they would otherwise retry.
+void RequestLifecycle::FinishWithRetryAfter(Request& request) {
+  const Duration retry_after = std::min(context_.settings().max_retry_after, request.rules.deadline);
+  Finish(request, request.is_overflow ? Duration(0) : retry_after);
 }
 
 void RequestLifecycle::Finish(Request& request, Duration retry_after) {
@@ -304,7 +315,7 @@
   classes_ = Reindexed(classes_, context_.settings().classes.size(), change.previous_class_indices,
                        std::make_shared<ClassStatistics>);
   admission_.HandleNewSettings(change.previous_tenant_indices);
-  CapacityChanged();
+  NotifyCapacityChange();
 }
 
 void RequestLifecycle::SetOverflowShare(const OverflowShare& share) {
@@ -313,21 +324,21 @@
 
 void RequestLifecycle::SetConcurrencyLimit(const ServerConcurrencyLimit& limit) {
   picker_.SetConcurrencyLimit(limit.max_in_flight);
-  CapacityChanged();
+  NotifyCapacityChange();
 }
 
 SpareCapacity RequestLifecycle::EstimateSpareCapacity(TimePoint now) const {
   const double limit = admission_.Limit();
   const double response_time = admission_.MaxResponseTime();
-  const double left = limit - static_cast<double>(in_flight_.size()) - in_flight_.overflow();
-  if (left <= 0 || !queue_.empty()) {
+  const double spare = limit - static_cast<double>(in_flight_.size()) - in_flight_.overflow();
+  if (spare <= 0 || !queue_.empty()) {
     const double rate = std::max(traffic_.responses_per_ms(), kMinRate);
     return {0, 0, Duration(static_cast<double>(queue_.size() + 1) / rate)};
   }
   const bool has_rejected = now - last_rejection_ < kRecentRejection;
   if (response_time <= 0 || servers_.capacity_in_service() <= 0 || has_rejected) return {};
-  const double work_per_ms = traffic_.request_work().mean() / response_time;  // of one request in flight
-  return {left * work_per_ms, std::max(0.0, left - std::sqrt(limit)) * work_per_ms, Duration(0)};
+  const double work_per_ms = traffic_.request_work().mean() / response_time;  // per request in flight
+  return {spare * work_per_ms, std::max(0.0, spare - std::sqrt(limit)) * work_per_ms, Duration(0)};
 }
 
 }  // namespace load_balancer
--- a/src/policy/request_lifecycle.h
+++ b/src/policy/request_lifecycle.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// The life of a request, from its arrival to its final response.
+/// The handling of a request from its arrival to its final response.
 #ifndef LOAD_BALANCER_SRC_POLICY_REQUEST_LIFECYCLE_H_
 #define LOAD_BALANCER_SRC_POLICY_REQUEST_LIFECYCLE_H_
 
@@ -17,8 +17,9 @@
 
 namespace load_balancer {
 
-/// Admits, queues, dispatches, retries and finishes requests. Overflow requests of other sites are dispatched
-/// behind all requests of this site, into a fraction of the capacity that these leave, or rejected at once.
+/// Admits, queues, dispatches, retries and finishes requests. An overflow request of another site is
+/// dispatched only if no request of this site is queued and a fraction of the spare concurrency suffices for
+/// it; otherwise it is rejected at once.
 class RequestLifecycle {
  public:
   RequestLifecycle(Context& context, ServerList& servers, TrafficStatistics& traffic, SlowStart& slow_start,
@@ -30,16 +31,16 @@
   void Abandon(const ClientGone& gone);
   void EndAttempt(const AttemptEnded& ended);
 
-  /// Open requests keep the rules and the statistics of their class.
+  /// Adapts to settings that have been replaced. Open requests keep the rules and statistics of their class.
   void HandleNewSettings(const NewSettings& change);
   void SetOverflowShare(const OverflowShare& share);
   void SetConcurrencyLimit(const ServerConcurrencyLimit& limit);
   void RefillQuotas(double elapsed) { admission_.RefillQuotas(elapsed); }
 
-  /// Something has changed that may let a queued request go.
-  void CapacityChanged() { has_capacity_changed_ = true; }
+  /// Notes a change that may allow a queued request to be dispatched.
+  void NotifyCapacityChange() { has_capacity_changed_ = true; }
 
-  /// Gives up overdue attempts, and rejects queued requests that have waited long enough.
+  /// Removes overdue attempts from those in flight, and rejects queued requests that have expired.
   void HandleDue();
 
   /// Dispatches queued requests if capacity has changed.
@@ -60,11 +61,11 @@
   bool HasCapacity(const Request& request) const;
   bool TryDispatch(Request& request);
   void Send(Request& request, Server& server);
-  void Await(Request& request);
+  void StartAwaitingResponse(Request& request);
   void Retry(Request& request, bool adds_load);
   void RecordOutcome(const Request& request, const AttemptEnded& ended, Server& server);
-  void RecordResponseTime(const Request& request, double took, Server& server);
-  void FinishWithAdvice(Request& request);
+  void RecordResponseTime(const Request& request, double took_ms, Server& server);
+  void FinishWithRetryAfter(Request& request);
   void Finish(Request& request, Duration retry_after);
   void EraseIfComplete(Request& request);
 
@@ -82,7 +83,8 @@
   std::unordered_map<RequestId, Request> requests_;
   double max_overflow_fraction_ = 0;
   bool has_capacity_changed_ = false;
-  TimePoint last_rejection_{Duration(-1e300)};  // of a request of this site that was never sent
+  // Time of the last rejection of a request of this site that was never sent.
+  TimePoint last_rejection_{Duration(-1e300)};
 };
 
 }  // namespace load_balancer
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -6,7 +6,8 @@
 namespace load_balancer {
 namespace {
 
-constexpr double kWindowMargin = 0.9;  // of the window in which servers discard repeats, for delays
+// Share of the idempotency window in which a retry is sent. The rest is left for delays.
+constexpr double kWindowMargin = 0.9;
 
 bool MayDispatchAgain(const Request& request, const Attempt& first_run, TimePoint now) {
   return request.rules.idempotency == Idempotency::kIdempotencyKey &&
@@ -29,7 +30,7 @@
   permission.may_reject = idempotency == Idempotency::kIdempotencyKey &&
                           request.rules.idempotency_scope == IdempotencyScope::kAll;
   permission.may_dispatch = permission.may_dispatch && MayDispatchAgain(request, *first_run, now);
-  permission.anchor = &servers.at(first_run->server);
+  permission.first_run_server = &servers.at(first_run->server);
   return permission;
 }
 
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Whether a request may be sent, sent again or rejected, by what its attempts may have done.
+/// Decides whether a request may be sent, retried or rejected, given which of its attempts may have run.
 #ifndef LOAD_BALANCER_SRC_POLICY_RETRY_POLICY_H_
 #define LOAD_BALANCER_SRC_POLICY_RETRY_POLICY_H_
 
@@ -9,14 +9,16 @@
 
 namespace load_balancer {
 
-/// What may be done with a request now.
+/// Permission states what may be done with a request at present.
 struct Permission {
   bool may_dispatch = false;
-  bool may_reject = false;         ///< otherwise it can only be failed: it may have run
-  const Server* anchor = nullptr;  ///< only servers that discard this one's repeats may get it; null: all may
+  bool may_reject = false;  ///< false if the request may have run, so that it can only be failed
+  /// The server where the request may first have run. Only servers that share idempotency keys with it may
+  /// get a retry. Null if all servers may.
+  const Server* first_run_server = nullptr;
 };
 
-/// The only place that decides it.
+/// Returns what may be done with the request at `now`. No other code makes this decision.
 Permission PermissionFor(const Request& request, TimePoint now, const ServerList& servers);
 
 }  // namespace load_balancer
--- a/src/policy/server.cpp
+++ b/src/policy/server.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr double kSlownessGain = 0.08;     // weight of one response
-constexpr double kMaxSlowness = 8;         // one response counts as no slower than this
+constexpr double kMaxSlowness = 8;         // limit of the value that one response counts as
 constexpr Duration kSlownessMemory{4000};  // decay time
 
 }  // namespace
@@ -23,10 +23,10 @@
   work_ -= work;
   if (responded) silent_since_ = now;
   --attempts_;
-  if (attempts_ == 0) work_ = 0;  // no rounding errors accumulate
+  if (attempts_ == 0) work_ = 0;  // prevents rounding errors from accumulating
 }
 
-void ServerLoad::BodyComplete(TimePoint now) {
+void ServerLoad::MarkBodyComplete(TimePoint now) {
   if (attempts_ == 1) silent_since_ = now;
 }
 
--- a/src/policy/server.h
+++ b/src/policy/server.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// What this proxy knows of one server.
+/// The state that this proxy keeps for one server.
 #ifndef LOAD_BALANCER_SRC_POLICY_SERVER_H_
 #define LOAD_BALANCER_SRC_POLICY_SERVER_H_
 
@@ -11,24 +11,25 @@
 
 namespace load_balancer {
 
-/// Index into the dense list of servers.
+/// ServerIndex is an index into ServerList.
 using ServerIndex = std::size_t;
 
-/// This proxy's own attempts in flight at a server.
+/// Counts this proxy's attempts in flight at a server.
 class ServerLoad {
  public:
   void Add(double work, TimePoint now);
 
-  /// `responded`: the attempt did not end by a time-out, so the server is not silent.
+  /// Removes an ended attempt. `responded` is false if it ended by a time-out.
   void Remove(double work, bool responded, TimePoint now);
 
-  /// The last attempt's body is complete: a server that owes nothing else begins to owe its response now.
-  void BodyComplete(TimePoint now);
+  /// Notes that the body of the last attempt is complete. If no other attempt is outstanding, silent_since()
+  /// starts from now.
+  void MarkBodyComplete(TimePoint now);
 
   [[nodiscard]] double work() const { return work_; }  ///< hinted work, in ms on a standard core
   [[nodiscard]] int attempts() const { return attempts_; }
 
-  /// Since when the server has owed responses without giving one.
+  /// Returns the time since which the server has had outstanding attempts without sending a response.
   [[nodiscard]] TimePoint silent_since() const { return silent_since_; }
 
  private:
@@ -37,13 +38,13 @@
   TimePoint silent_since_{};
 };
 
-/// How much slower a server responds than the fleet does to the like: 1 is as fast. Decays to 1 where it is
-/// not confirmed.
+/// Estimates the ratio of a server's response time to the fleet's for similar requests. 1 means equally fast.
+/// The estimate decays to 1 over time.
 class Slowness {
  public:
   [[nodiscard]] double At(TimePoint now) const;
 
-  /// `relative`: the time of a response over what the fleet takes for the like.
+  /// Records a response; `relative` is the ratio of its response time to the fleet's for similar requests.
   void Record(double relative, TimePoint now);
 
  private:
@@ -51,19 +52,20 @@
   TimePoint recorded_at_{};
 };
 
-/// Work sent to a server in slow start.
+/// SentWork is the work of an attempt that was sent to a server in slow start.
 struct SentWork {
   TimePoint sent_at{};
   double work = 0;
 };
 
-/// What SlowStart keeps of a server.
+/// SlowStartState is the state that SlowStart keeps for a server.
 struct SlowStartState {
-  std::vector<SentWork> sent;  ///< within the present window
-  TimePoint last_sent_at{};    ///< the last send of all, or the server's start as it was announced
-  double wait_fraction = 1;    ///< part of the time between two sends that has to pass before the next
+  std::vector<SentWork> sent;  ///< attempts sent within the overload window
+  TimePoint last_sent_at{};    ///< time of the last send, or of the start of slow start if it is later
+  double wait_fraction = 1;    ///< fraction of the time between sends after which the next is permitted
 };
 
+/// Server holds all state of one server.
 struct Server {
   ServerEntry entry;
   bool in_maintenance = false;
@@ -74,7 +76,7 @@
   Slowness slowness;
   SlowStartState slow_start;
 
-  /// Listed as ready and not in maintenance. It may be ejected nevertheless.
+  /// Returns whether the server is listed as ready and not in maintenance. A usable server may be ejected.
   [[nodiscard]] bool IsUsable() const { return entry.state == ServerState::kReady && !in_maintenance; }
 };
 
--- a/src/policy/server_list.cpp
+++ b/src/policy/server_list.cpp
@@ -9,23 +9,24 @@
 namespace load_balancer {
 namespace {
 
-constexpr Duration kForgetAfter{600000};  // a server that has been gone for this long loses its state
+// Time after its removal for which the state of a server is kept.
+constexpr Duration kForgetAfter{600000};
 
 }  // namespace
 
 void ServerList::ApplyUpdate(const ListUpdate& update) {
   if (update.kind != ListKind::kDelta) {
-    std::set<ServerId> named;
-    for (const ServerEntry& entry : update.entries) named.insert(entry.server);
+    std::set<ServerId> listed;
+    for (const ServerEntry& entry : update.entries) listed.insert(entry.server);
     for (Server& server : servers_) {
-      if (!named.contains(server.entry.server))
+      if (!listed.contains(server.entry.server))
         ChangeState(server, ServerState::kGone, server.in_maintenance);
     }
   }
   for (const ServerEntry& entry : update.entries) {
     const bool is_new = !index_.contains(entry.server);
     if (is_new) {
-      const ServerIndex index = NewServer();
+      const ServerIndex index = AllocateServer();
       index_[entry.server] = index;
     }
     Server& server = servers_[index_[entry.server]];
@@ -46,7 +47,7 @@
   return true;
 }
 
-// The server has been restarted: what was counted of it before tells nothing.
+// Resets the health of the server, as it has been restarted.
 bool ServerList::EndMaintenance(ServerId id) {
   if (in_maintenance_.erase(id) == 0) return false;
   Server* server = Find(id);
@@ -64,9 +65,9 @@
   HostHealth& health = server.health;
   if (!detector_.RecordResponse(health, server.IsUsable(), success, context_.now(), context_.random()))
     return;
-  LeaveService(server);
+  HandleEjection(server);
   if (is_traffic_sparse())
-    context_.Emit(CloseIdle{server.entry.server});  // other proxies may need the connection
+    context_.Emit(CloseIdle{server.entry.server});  // frees connections that other proxies may need
   context_.LogLine(LogTopic::kEjection, "server ", server.entry.server, " ejected: ", health.failures, " of ",
                    health.attempts(), " attempts failed");
   context_.Emit(
@@ -77,16 +78,16 @@
   Server* server = Find(peer.server);
   if (!server || !server->IsUsable()) return;
   const bool is_ejected =
-      detector_.ApplyPeerEjection(server->health, peer, AdvisedEjections(), context_.now());
+      detector_.ApplyPeerEjection(server->health, peer, CountPeerEjections(), context_.now());
   context_.LogLine(LogTopic::kPeerEjection, "server ", peer.server, is_ejected ? "" : " not",
                    " ejected on a peer's word: ", peer.failures, " of ", peer.attempts,
                    " attempts failed there");
-  if (is_ejected) LeaveService(*server);
+  if (is_ejected) HandleEjection(*server);
 }
 
-int ServerList::AdvisedEjections() const {
+int ServerList::CountPeerEjections() const {
   return static_cast<int>(std::count_if(servers_.begin(), servers_.end(), [](const Server& server) {
-    return server.IsUsable() && server.health.is_ejected && server.health.is_advised;
+    return server.IsUsable() && server.health.is_ejected && server.health.is_peer_ejection;
   }));
 }
 
@@ -94,10 +95,10 @@
   Server* server = Find(restored.server);
   if (!server || !server->IsUsable() || restored.until <= context_.now() || server->health.is_ejected) return;
   detector_.RestoreEjection(server->health, restored, context_.now());
-  LeaveService(*server);
+  HandleEjection(*server);
 }
 
-bool ServerList::ReturnDue() {
+bool ServerList::ReturnDueServers() {
   bool has_returned = false;
   next_return_ = kNever;
   for (Server& server : servers_) {
@@ -108,7 +109,7 @@
       next_return_ = std::min(next_return_, server.health.return_at);
     }
   }
-  ServiceChanged();
+  UpdateServersInService();
   return has_returned;
 }
 
@@ -121,16 +122,16 @@
   const double volume_s =
       kRequestVolume * static_cast<double>(subset_.size()) / std::max(requests_per_s, 1e-9);
   detector_.SetVolumeInterval(Duration(volume_s * 1000));
-  const auto judgeable =
+  const auto evaluable_servers =
       static_cast<std::size_t>(requests_per_s * kDetectionInterval.count() / 1000 / kRequestVolume);
   // The subset grows at once and shrinks by halves: each new server costs a connection.
-  if (judgeable <= judgeable_ && judgeable * 2 >= judgeable_) return;
-  judgeable_ = judgeable;
+  if (evaluable_servers <= evaluable_servers_ && evaluable_servers * 2 >= evaluable_servers_) return;
+  evaluable_servers_ = evaluable_servers;
   UpdateSubset();
 }
 
 void ServerList::RefreshCapacity() {
-  if (has_slow_start_) CountCapacity();
+  if (is_any_in_slow_start_) CountCapacity();
 }
 
 Server* ServerList::Find(ServerId id) {
@@ -156,11 +157,11 @@
     const std::uint32_t right_hash = MixBits(servers_[right].entry.server);
     return left_hash != right_hash ? left_hash < right_hash : left < right;
   });
-  ServiceChanged();
+  UpdateServersInService();
 }
 
-// What is listed or in service has changed.
-void ServerList::ServiceChanged() {
+// Recomputes the capacity and the subset after a change of the listed or ejected servers.
+void ServerList::UpdateServersInService() {
   CountCapacity();
   UpdateSubset();
 }
@@ -168,11 +169,11 @@
 void ServerList::CountCapacity() {
   listed_capacity_ = 0;
   capacity_in_service_ = 0;
-  has_slow_start_ = false;
+  is_any_in_slow_start_ = false;
   for (const Server& server : servers_) {
     if (!server.IsUsable()) continue;
     const double share = CapacityShare(server);
-    if (share < 1) has_slow_start_ = true;
+    if (share < 1) is_any_in_slow_start_ = true;
     listed_capacity_ += share;
     if (!server.health.is_ejected) capacity_in_service_ += share;
   }
@@ -181,17 +182,17 @@
 void ServerList::UpdateSubset() {
   std::erase_if(ring_, [this](ServerIndex index) { return !servers_[index].IsUsable(); });
   const std::vector<ServerIndex> previous =
-      std::exchange(subset_, ChooseSubset(servers_, ring_, context_.settings(), judgeable_));
+      std::exchange(subset_, ChooseSubset(servers_, ring_, context_.settings(), evaluable_servers_));
   for (const ServerIndex index : previous) {
     const bool is_dropped = std::find(subset_.begin(), subset_.end(), index) == subset_.end();
     if (is_dropped && servers_[index].IsUsable()) context_.Emit(CloseIdle{servers_[index].entry.server});
   }
 }
 
-// The detector has ejected the server.
-void ServerList::LeaveService(const Server& server) {
+// Adapts to the ejection of the server by the detector.
+void ServerList::HandleEjection(const Server& server) {
   next_return_ = std::min(next_return_, server.health.return_at);
-  ServiceChanged();
+  UpdateServersInService();
 }
 
 void ServerList::BeginSlowStart(Server& server) {
@@ -200,22 +201,23 @@
   server.slow_start.wait_fraction = context_.random().UniformReal();
 }
 
-// The place of a server that has been gone for so long that no request refers to it, or a new one.
-ServerIndex ServerList::NewServer() {
+// Returns the index for a new server. Reuses that of a server that was removed long ago and has no attempt
+// outstanding, if there is one.
+ServerIndex ServerList::AllocateServer() {
   const auto forgotten = std::find_if(servers_.begin(), servers_.end(), [this](const Server& server) {
     return server.entry.state == ServerState::kGone && server.load.attempts() == 0 &&
            context_.now() - server.gone_since > kForgetAfter;
   });
-  const auto place = static_cast<ServerIndex>(forgotten - servers_.begin());
+  const auto index = static_cast<ServerIndex>(forgotten - servers_.begin());
   if (forgotten == servers_.end()) {
     servers_.emplace_back();
   } else {
     index_.erase(forgotten->entry.server);
   }
-  servers_[place] = Server();
-  servers_[place].entry.state = ServerState::kGone;
-  servers_[place].gone_since = context_.now();
-  return place;
+  servers_[index] = Server();
+  servers_[index].entry.state = ServerState::kGone;
+  servers_[index].gone_since = context_.now();
+  return index;
 }
 
 void ServerList::ChangeState(Server& server, ServerState state, bool in_maintenance) {
--- a/src/policy/server_list.h
+++ b/src/policy/server_list.h
@@ -1,7 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// The servers that discovery names and operators leave in service, and those of them that this proxy picks
-/// from.
+/// The list of servers, from discovery and operators' commands, and the subset that this proxy uses.
 #ifndef LOAD_BALANCER_SRC_POLICY_SERVER_LIST_H_
 #define LOAD_BALANCER_SRC_POLICY_SERVER_LIST_H_
 
@@ -14,27 +13,28 @@
 
 namespace load_balancer {
 
-/// All servers that were ever listed and are not forgotten, with their health.
+/// Holds the state of all listed servers, and of removed servers for a while.
 class ServerList {
  public:
   explicit ServerList(Context& context) : context_(context) {}
 
   void ApplyUpdate(const ListUpdate& update);
 
-  /// Operators may do both before a list names the server. True if the servers in service may have changed.
+  /// Starts or ends the maintenance of a server, which need not be listed yet; returns whether the servers
+  /// in service may have changed.
   bool StartMaintenance(ServerId id);
   bool EndMaintenance(ServerId id);
 
   /// Adapts to settings that have been replaced.
   void HandleNewSettings() { RebuildRing(); }
 
-  /// Counts an attempt's outcome; may eject the server.
+  /// Records an attempt's outcome, which may eject the server.
   void RecordOutcome(Server& server, bool success);
   void ApplyPeerEjection(const PeerEjection& peer);
   void RestoreEjection(const RestoredEjection& restored);
 
-  /// Returns servers to service whose ejection is over; true if one returned.
-  bool ReturnDue();
+  /// Returns servers to service whose ejection time has passed; returns whether there were any.
+  bool ReturnDueServers();
   TimePoint next_return() const { return next_return_; }
 
   /// Ends an interval of outlier detection.
@@ -45,7 +45,7 @@
   /// Adapts outlier detection and the subset to the rate at which this proxy sends.
   void AdaptToRate(double requests_per_s);
 
-  /// Counts the capacity again if it changes with time.
+  /// Recomputes the capacity if it changes with time.
   void RefreshCapacity();
 
   Server& at(ServerIndex index) { return servers_[index]; }
@@ -55,40 +55,40 @@
   }
   Server* Find(ServerId id);
 
-  /// The share of its capacity that a server has at least, from the start of its process on.
+  /// Returns the share of its full capacity that a server has at least, given the time since its start.
   double CapacityShare(const Server& server) const;
 
-  /// Usable servers, in the order of a hash that all proxies share.
+  /// Returns the usable servers, ordered by a hash that is the same at all proxies.
   const std::vector<ServerIndex>& ring() const { return ring_; }
-  /// Those of them that this proxy picks from.
+  /// Returns the usable servers to which this proxy sends requests.
   const std::vector<ServerIndex>& subset() const { return subset_; }
 
-  /// Capacity of the usable servers, in servers at full capacity.
+  /// Returns the capacity of the usable servers, in servers at full capacity.
   double listed_capacity() const { return listed_capacity_; }
-  /// The same without ejected servers.
+  /// Returns the capacity of the usable servers that are not ejected, in servers at full capacity.
   double capacity_in_service() const { return capacity_in_service_; }
 
  private:
   void RebuildRing();
-  void ServiceChanged();
+  void UpdateServersInService();
   void CountCapacity();
   void UpdateSubset();
-  void LeaveService(const Server& server);
+  void HandleEjection(const Server& server);
   void BeginSlowStart(Server& server);
-  ServerIndex NewServer();
+  ServerIndex AllocateServer();
   void ChangeState(Server& server, ServerState state, bool in_maintenance);
-  int AdvisedEjections() const;
+  int CountPeerEjections() const;
 
   Context& context_;
   std::vector<Server> servers_;
   OutlierDetector detector_;
   double listed_capacity_ = 0;
   double capacity_in_service_ = 0;
-  bool has_slow_start_ = false;  // some usable server is in slow start
+  bool is_any_in_slow_start_ = false;  // whether a usable server is in slow start
   std::vector<ServerIndex> ring_, subset_;
   std::unordered_map<ServerId, ServerIndex> index_;
   std::set<ServerId> in_maintenance_;
-  std::size_t judgeable_ = 0;  // servers that this proxy's traffic suffices to judge
+  std::size_t evaluable_servers_ = 0;  // servers for which this proxy's traffic reaches kRequestVolume
   TimePoint next_return_ = kNever;
 };
 
--- a/src/policy/server_picker.cpp
+++ b/src/policy/server_picker.cpp
@@ -6,47 +6,56 @@
 namespace load_balancer {
 namespace {
 
-constexpr double kCrossingWork = 10;  // mean requests of work that a crossing price of 1 is worth
-constexpr double kZoneGain = 0.1;     // weight of one outcome in the losses of zones
-constexpr double kAffinityGain = 2;   // what affinity saves, in parts of the request's work
+// Cost of crossing zones at a cross_zone_price of 1, as a multiple of the mean work of a request.
+constexpr double kCrossingWork = 10;
+// Weight of one outcome in the losses of a zone, and step of own_zone_preference_.
+constexpr double kZoneGain = 0.1;
+// Work saved by session affinity, as a multiple of the request's work.
+constexpr double kAffinityGain = 2;
 constexpr int kTriedRank = 1;
 constexpr int kEjectedRank = 2;
 
-bool IsInScope(IdempotencyScope scope, const ServerEntry& anchor, const ServerEntry& entry) {
+bool IsInScope(IdempotencyScope scope, const ServerEntry& first_run_server, const ServerEntry& entry) {
   if (scope == IdempotencyScope::kAll) return true;
-  if (entry.zone != anchor.zone) return false;
-  return scope == IdempotencyScope::kZone || entry.cell == anchor.cell;
+  if (entry.zone != first_run_server.zone) return false;
+  return scope == IdempotencyScope::kZone || entry.cell == first_run_server.cell;
 }
 
 }  // namespace
 
-Server* ServerPicker::Pick(const Request& request, const Server* anchor) {
+Server* ServerPicker::Pick(const Request& request, const Server* first_run_server) {
   bool is_any_in_service = false;
-  Server* best = anchor ? nullptr : PickFrom(servers_.subset(), request, anchor, &is_any_in_service);
+  Server* best =
+      first_run_server ? nullptr : PickFrom(servers_.subset(), request, first_run_server, &is_any_in_service);
   if (best) return best;
-  const bool may_leave_subset = anchor || servers_.subset().size() < servers_.ring().size();
-  return may_leave_subset ? PickFrom(servers_.ring(), request, anchor, &is_any_in_service) : nullptr;
+  const bool may_leave_subset = first_run_server || servers_.subset().size() < servers_.ring().size();
+  return may_leave_subset ? PickFrom(servers_.ring(), request, first_run_server, &is_any_in_service)
+                          : nullptr;
 }
 
 Server* ServerPicker::PickFrom(const std::vector<ServerIndex>& indices, const Request& request,
-                               const Server* anchor, bool* is_any_in_service) {
+                               const Server* first_run_server, bool* is_any_in_service) {
   const double price = context_.settings().cross_zone_price;
-  const bool counts_crossing = price > 0 && context_.random().UniformReal() < own_zone_preference_;
-  const double crossing_cost = counts_crossing ? kCrossingWork * price * traffic_.request_work().mean() : 0;
+  const bool applies_crossing_cost = price > 0 && context_.random().UniformReal() < own_zone_preference_;
+  const double crossing_cost =
+      applies_crossing_cost ? kCrossingWork * price * traffic_.request_work().mean() : 0;
   Candidate best;
   for (const ServerIndex index : indices) {
     Server& server = servers_.at(index);
     if (!server.IsUsable()) continue;
-    if (anchor && !IsInScope(request.rules.idempotency_scope, anchor->entry, server.entry)) continue;
+    if (first_run_server &&
+        !IsInScope(request.rules.idempotency_scope, first_run_server->entry, server.entry))
+      continue;
     if (!server.health.is_ejected) *is_any_in_service = true;
-    if (HasCapacity(server, request)) KeepBetter(Evaluate(server, request, crossing_cost), &best);
+    if (HasCapacity(server, request)) UpdateBest(Evaluate(server, request, crossing_cost), &best);
   }
   const bool is_best_ejected = best.server && best.rank >= kEjectedRank;
   return is_best_ejected && *is_any_in_service ? nullptr : best.server;
 }
 
-// Of equal candidates, each of those seen so far is kept with the same probability.
-void ServerPicker::KeepBetter(const Candidate& candidate, Candidate* best) {
+// Replaces `best` if the candidate is better. Of equal candidates, each is kept with the same probability
+// (reservoir sampling).
+void ServerPicker::UpdateBest(const Candidate& candidate, Candidate* best) {
   if (best->server) {
     if (candidate.rank > best->rank) return;
     if (candidate.rank == best->rank && candidate.cost > best->cost) return;
@@ -83,8 +92,9 @@
   return candidate;
 }
 
-// Where the own zone loses more than the others by more than a crossing costs, the price would keep every
-// request there while other zones are idle. It counts in the share of picks that this finding leaves.
+// If this zone loses more priority weight than the other zones, and the difference exceeds the cost of
+// crossing, that cost would keep all requests here while other zones are idle. The share of picks that
+// include the cost is then reduced.
 void ServerPicker::RecordOutcome(const Request& request, const Server& server, bool is_in_time, bool ok) {
   const double late_loss = ok ? 1 - request.rules.late_priority_share : 1;
   const double loss = is_in_time ? 0 : late_loss;
@@ -92,9 +102,10 @@
   double& zone_loss = is_own_zone ? own_zone_loss_ : other_zones_loss_;
   zone_loss += kZoneGain * (loss - zone_loss);
   if (is_own_zone)
-    other_zones_loss_ *= 1 - kZoneGain / 4;  // what gets no traffic any more may have recovered
-  const bool leaves_zone = own_zone_loss_ - other_zones_loss_ > context_.settings().cross_zone_price;
-  own_zone_preference_ = std::clamp(own_zone_preference_ + (leaves_zone ? -kZoneGain : kZoneGain), 0.0, 1.0);
+    other_zones_loss_ *= 1 - kZoneGain / 4;  // other zones may have recovered while they get no traffic
+  const bool prefers_other_zones = own_zone_loss_ - other_zones_loss_ > context_.settings().cross_zone_price;
+  own_zone_preference_ =
+      std::clamp(own_zone_preference_ + (prefers_other_zones ? -kZoneGain : kZoneGain), 0.0, 1.0);
 }
 
 }  // namespace load_balancer
--- a/src/policy/server_picker.h
+++ b/src/policy/server_picker.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Which server an attempt goes to.
+/// The choice of the server for an attempt.
 #ifndef LOAD_BALANCER_SRC_POLICY_SERVER_PICKER_H_
 #define LOAD_BALANCER_SRC_POLICY_SERVER_PICKER_H_
 
@@ -12,9 +12,9 @@
 
 namespace load_balancer {
 
-/// Picks the server with the least cost; ties are broken at random. The cost is this proxy's own hinted work
-/// in flight there, and as work also the price of crossing zones, the time lost at a slow server, and what
-/// session affinity saves.
+/// Picks the server with the lowest cost; ties are broken at random. The cost is the hinted work that this
+/// proxy has in flight at the server, plus the cost of crossing zones and the time lost at a slow server,
+/// less the work saved by session affinity. All terms are converted to work.
 class ServerPicker {
  public:
   ServerPicker(Context& context, ServerList& servers, const SlowStart& slow_start,
@@ -25,28 +25,29 @@
         traffic_(traffic),
         affinity_(affinity) {}
 
-  /// The server for the request's next attempt; null if none has capacity. Servers that the request has tried
-  /// come last. An ejected server is picked only if none is in service, so that no request is lost for it.
-  /// With an anchor, only servers that discard its repeats qualify.
-  Server* Pick(const Request& request, const Server* anchor);
+  /// Returns the server for the request's next attempt, or null if no server has capacity. Prefers servers
+  /// that the request has not tried. An ejected server is picked only if no server is in service, so that
+  /// requests do not fail because all servers are ejected. If `first_run_server` is set, only servers that
+  /// share idempotency keys with it are considered.
+  Server* Pick(const Request& request, const Server* first_run_server);
 
-  /// Learns from an attempt's outcome whether the own zone serves worse than the others.
+  /// Records an attempt's outcome, to compare the losses of this proxy's zone with those of the other zones.
   void RecordOutcome(const Request& request, const Server& server, bool is_in_time, bool ok);
 
-  /// The limit on this proxy's attempts in flight at one server; 0: none.
+  /// Sets the limit on this proxy's attempts in flight at each server; 0 means no limit.
   void SetConcurrencyLimit(int max_in_flight) { max_in_flight_ = max_in_flight; }
 
  private:
   struct Candidate {
     Server* server = nullptr;
-    int rank = 0;  // lower ranks are preferred, whatever the cost
+    int rank = 0;  // compared before the cost; the lowest is preferred
     double cost = 0;
-    std::uint64_t ties = 1;  // candidates as good as this one, itself included
+    std::uint64_t ties = 1;  // number of candidates with this rank and cost, including this one
   };
 
-  Server* PickFrom(const std::vector<ServerIndex>& indices, const Request& request, const Server* anchor,
-                   bool* is_any_in_service);
-  void KeepBetter(const Candidate& candidate, Candidate* best);
+  Server* PickFrom(const std::vector<ServerIndex>& indices, const Request& request,
+                   const Server* first_run_server, bool* is_any_in_service);
+  void UpdateBest(const Candidate& candidate, Candidate* best);
   bool HasCapacity(Server& server, const Request& request);
   Candidate Evaluate(Server& server, const Request& request, double crossing_cost) const;
 
@@ -56,9 +57,9 @@
   const TrafficStatistics& traffic_;
   const SessionAffinity& affinity_;
   int max_in_flight_ = 0;
-  double own_zone_preference_ = 0.5;  // share of picks that count the price of crossing zones
-  double own_zone_loss_ = 0;          // share of priority weight lost at servers of the own zone
-  double other_zones_loss_ = 0;       // and of the others
+  double own_zone_preference_ = 0.5;  // share of picks that include the cost of crossing zones
+  double own_zone_loss_ = 0;          // share of priority weight lost at servers of this zone
+  double other_zones_loss_ = 0;       // share of priority weight lost at servers of other zones
 };
 
 }  // namespace load_balancer
--- a/src/policy/server_subset.cpp
+++ b/src/policy/server_subset.cpp
@@ -7,13 +7,18 @@
 namespace load_balancer {
 namespace {
 
-constexpr int kMinSubset = 8;           // half may be ejected, and the rest is still a choice
-constexpr int kMinCrowdedSubset = 3;    // where hundreds of proxies share few servers
-constexpr double kMaxConnections = 64;  // proxies that hold a connection to one server
-constexpr double kMinZonePrice = 0.02;  // of a crossing; below, an even choice among all zones is worth more
+// Smallest subset. If half of it is ejected, there is still a choice among the rest.
+constexpr int kMinSubset = 8;
+// Smallest subset where hundreds of proxies share few servers.
+constexpr int kMinCrowdedSubset = 3;
+// Number of proxies with a connection to the same server above which subsets are made smaller.
+constexpr double kMaxConnections = 64;
+// At a lower cross_zone_price, an even choice among all zones is worth more than avoiding crossings.
+constexpr double kMinZonePrice = 0.02;
 constexpr double kGoldenRatio = 0.6180339887498949;
 
-// Appends to `subset` the servers of the proxy's arc of `ring`, up to the first `in_service` ones in service.
+// Appends to `subset` the servers on the proxy's arc of `ring`. The arc ends at the `in_service`-th server
+// that is not ejected.
 void AppendArc(const std::vector<Server>& servers, const std::vector<ServerIndex>& ring, int balancer_index,
                std::size_t in_service, std::vector<ServerIndex>* subset) {
   const double start = std::fmod(balancer_index * kGoldenRatio, 1) * static_cast<double>(ring.size());
@@ -29,12 +34,12 @@
 
 std::vector<ServerIndex> ChooseSubset(const std::vector<Server>& servers,
                                       const std::vector<ServerIndex>& ring, const Settings& settings,
-                                      std::size_t judgeable) {
+                                      std::size_t evaluable_servers) {
   const double per_connection_limit =
       kMaxConnections * static_cast<double>(ring.size()) / settings.balancer_count;
   const auto min_size =
       static_cast<std::size_t>(std::clamp<double>(per_connection_limit, kMinCrowdedSubset, kMinSubset));
-  const std::size_t size = std::max(judgeable, min_size);
+  const std::size_t size = std::max(evaluable_servers, min_size);
   const bool prefers_own_zone = settings.cross_zone_price > kMinZonePrice;
   std::vector<ServerIndex> own_zone;
   std::vector<ServerIndex> other_zones;
--- a/src/policy/server_subset.h
+++ b/src/policy/server_subset.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Deterministic subsetting: which servers a proxy sends to where it does not send to all.
+/// Deterministic subsetting: chooses the servers that a proxy uses if it does not use all of them.
 #ifndef LOAD_BALANCER_SRC_POLICY_SERVER_SUBSET_H_
 #define LOAD_BALANCER_SRC_POLICY_SERVER_SUBSET_H_
 
@@ -11,16 +11,16 @@
 
 namespace load_balancer {
 
-/// Chooses from `ring`, the usable servers in the order of a hash that all proxies share, the arc that
-/// belongs to this proxy; of its own zone and of the others apart, where crossing zones has a price. Proxies
-/// stand evenly on the ring, by the golden ratio.
+/// Returns the servers on this proxy's arc of `ring`, which holds the usable servers in the order of a hash
+/// that is the same at all proxies. The proxies' arcs start at evenly spaced points, by the golden ratio. If
+/// crossing zones has a cost, this proxy's zone and the other zones have separate arcs.
 ///
-/// The subset has `judgeable` servers in service, as many as this proxy's traffic brings to the volume at
-/// which outlier detection judges, and no fewer than a minimum that falls where many proxies share few
-/// servers. Subsets bound the connections that each server has to accept.
+/// An arc contains `evaluable_servers` servers in service, the number for which this proxy's traffic reaches
+/// the request volume of outlier detection. It contains at least a minimum number, which is lower if many
+/// proxies share few servers. Subsets limit the number of connections to each server.
 std::vector<ServerIndex> ChooseSubset(const std::vector<Server>& servers,
                                       const std::vector<ServerIndex>& ring, const Settings& settings,
-                                      std::size_t judgeable);
+                                      std::size_t evaluable_servers);
 
 }  // namespace load_balancer
 
--- a/src/policy/session_affinity.cpp
+++ b/src/policy/session_affinity.cpp
@@ -4,7 +4,8 @@
 namespace load_balancer {
 namespace {
 
-constexpr Duration kKeyMemory{4000};  // how long a server is taken to have a key cached
+// Time for which a server is assumed to have a key cached.
+constexpr Duration kKeyMemory{4000};
 
 }  // namespace
 
--- a/src/policy/session_affinity.h
+++ b/src/policy/session_affinity.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Which servers have recently served which keys: such a server serves the key again with less work.
+/// Session affinity: records which servers have recently served a session key. Such a server serves the key
+/// again with less work.
 #ifndef LOAD_BALANCER_SRC_POLICY_SESSION_AFFINITY_H_
 #define LOAD_BALANCER_SRC_POLICY_SESSION_AFFINITY_H_
 
@@ -14,13 +15,13 @@
 
 namespace load_balancer {
 
-/// Remembers for a few seconds where the requests with a key were sent.
+/// Records for a few seconds to which servers the requests with a key were sent.
 class SessionAffinity {
  public:
-  /// A request with `key` was sent to the server with index `server` at `sent_at`.
+  /// Records that a request with `key` was sent to the server with index `server` at `sent_at`.
   void Record(std::uint64_t key, std::size_t server, TimePoint sent_at);
 
-  /// Whether that server has recently served the key.
+  /// Returns whether a request with `key` was recently sent to `server`, so that it has the key cached.
   bool IsWarm(std::uint64_t key, std::size_t server, TimePoint now) const;
 
  private:
@@ -31,7 +32,7 @@
 
   void ForgetExpired(TimePoint now);
 
-  std::unordered_map<std::uint64_t, std::map<std::size_t, TimePoint>> sent_at_;  // by key and server
+  std::unordered_map<std::uint64_t, std::map<std::size_t, TimePoint>> sent_at_;  // by key and server index
   std::deque<Expiry> expiries_;                                                  // in the order of recording
 };
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -6,10 +6,14 @@
 namespace load_balancer {
 namespace {
 
-constexpr double kSafetyFactor = 0.55;  // of the overload multiple: the rest is for chance and for late lists
-constexpr double kMinCores = 0.25;      // standard cores that a warm server has at the very least
-constexpr Duration kWarmRateMemory{30000};  // averaging time: servers do not lose their cores
-constexpr double kWindowFactor = 1.1;       // the budget's window over the overload window, for delays
+// Share of the overload multiple that is used. The rest is for random fluctuation and delayed list updates.
+constexpr double kSafetyFactor = 0.55;
+// Smallest capacity that a warm server can have, in standard cores.
+constexpr double kMinCores = 0.25;
+// Averaging time of the work rate of warm servers. It is long, as the servers' cores do not change.
+constexpr Duration kWarmRateMemory{30000};
+// Ratio of the budget's window to the overload window, which allows for delays.
+constexpr double kWindowFactor = 1.1;
 
 }  // namespace
 
@@ -23,26 +27,27 @@
   std::erase_if(state.sent, [&](const SentWork& sent) { return now - sent.sent_at > window; });
   double work_in_window = work;
   for (const SentWork& sent : state.sent) work_in_window += sent.work;
-  // Requests count by their work and by their number: slow servers get the small ones, many of which would
-  // fit.
+  // Both the work and the number of requests are limited: small requests tend to go to slow servers, and by
+  // their work alone many of them would be admitted.
   const double mean_work = traffic_.request_work().mean();
   const double counted = std::max(work_in_window, mean_work * static_cast<double>(state.sent.size() + 1));
   const double rate = BudgetRate(server, capacity_share);
   if (counted <= rate * settings.overload_window.count()) return true;
   const double min_rate = settings.overload_multiple * settings.slow_start_min_share * kMinCores /
                           (settings.balancer_count * processes_);
-  const double paid_rate = std::max(rate, min_rate);
-  if (!(paid_rate > 0)) return false;
-  const Duration between_sends = std::max(window, Duration(std::max(work, mean_work) / paid_rate));
+  const double effective_rate = std::max(rate, min_rate);
+  if (!(effective_rate > 0)) return false;
+  const Duration between_sends = std::max(window, Duration(std::max(work, mean_work) / effective_rate));
   return now - state.last_sent_at >= state.wait_fraction * between_sends;
 }
 
-// In ms of work a ms.
+// Returns the work that the server may be sent, in ms of work per ms.
 double SlowStart::BudgetRate(const Server& server, double capacity_share) const {
   const double slowness = server.slowness.At(context_.now());
-  const double weakness = std::max(1.0, slowness * capacity_share);  // against a warm server at that share
+  // The slowdown relative to a warm server that has only this share of its capacity.
+  const double slowdown = std::max(1.0, slowness * capacity_share);
   return kSafetyFactor * context_.settings().overload_multiple * capacity_share * warm_work_per_ms_ /
-         processes_ / weakness;
+         processes_ / slowdown;
 }
 
 void SlowStart::RecordSend(Server& server, double work) const {
@@ -52,9 +57,9 @@
   state.wait_fraction = 1;
 }
 
-// The rate is averaged over the servers, as one server's own responses are too few. A new proxy goes by what
-// it is asked for. What was seen once is kept for a while: during a rolling deploy there may be no warm
-// server to learn from.
+// The rate is an average over all servers, as the responses of a single one are too few. A new proxy uses the
+// work requested until it has enough attempts. The rate falls slowly, because during a rolling deploy there
+// may be no warm server to measure.
 void SlowStart::UpdateWarmRate(Duration elapsed) {
   if (servers_.capacity_in_service() <= 0) return;
   const double served = traffic_.work_served_per_ms();
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Slow start: how much work a server that has just started may be sent.
+/// Slow start: limits the work that a server may be sent just after its start.
 #ifndef LOAD_BALANCER_SRC_POLICY_SLOW_START_H_
 #define LOAD_BALANCER_SRC_POLICY_SLOW_START_H_
 
@@ -9,29 +9,31 @@
 
 namespace load_balancer {
 
-/// Limits the work that servers in slow start are sent, within the window of Settings::overload_window.
+/// Limits the work that a server in slow start is sent within Settings::overload_window. A server that is not
+/// in slow start is called warm.
 ///
-/// A server in slow start gets its present share of what a warm server serves for this proxy. If all proxies
-/// do so, the sum is that share of what a warm server can do, whatever part of the traffic each proxy has.
-/// Where that is less than one request, one may go once the budget has paid for it; the first at a random
-/// point of that time, since many proxies must not start together.
+/// The budget of a server is its present capacity share of the work that a warm server does for this proxy.
+/// If all proxies apply this rule, the server gets in total that share of a warm server's work, however the
+/// traffic is distributed among the proxies. If the budget is less than one request per window, the server is
+/// sent single requests, at the interval in which the budget adds up to one. The first of them is sent at a
+/// random time within that interval, so that many proxies do not send at the same time.
 class SlowStart {
  public:
   SlowStart(Context& context, const ServerList& servers, const TrafficStatistics& traffic)
       : context_(context), servers_(servers), traffic_(traffic) {}
 
-  /// Whether the server may be sent `work` now. Forgets sends that have left the window.
+  /// Returns whether the server may be sent `work` now. Discards sends that have left the window.
   bool Admits(Server& server, double work) const;
 
-  /// The server is sent `work` now.
+  /// Records that the server is sent `work` now.
   void RecordSend(Server& server, double work) const;
 
-  /// Learns what a warm server serves, `elapsed` after the last call.
+  /// Updates the work rate of a warm server; `elapsed` is the time since the last call.
   void UpdateWarmRate(Duration elapsed);
   void RestoreWarmRate(double work_per_ms) { warm_work_per_ms_ = work_per_ms; }
   [[nodiscard]] double warm_work_per_ms() const { return warm_work_per_ms_; }
 
-  /// Processes that are this one proxy: each takes its part of the budget.
+  /// Sets the number of processes that act as this proxy, which share the budget equally.
   void SetProcesses(int processes);
 
  private:
--- a/src/policy/statistics.cpp
+++ b/src/policy/statistics.cpp
@@ -7,7 +7,7 @@
 namespace load_balancer {
 namespace {
 
-constexpr double kMinGain = 0.02;  // weight of a sample once there are many
+constexpr double kMinGain = 0.02;  // weight of a sample after the first 50
 
 }  // namespace
 
--- a/src/policy/statistics.h
+++ b/src/policy/statistics.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Averages, probabilities and the hash that the decision module counts with. No decisions.
+/// Averages, probabilities and the hash function of the decision module.
 #ifndef LOAD_BALANCER_SRC_POLICY_STATISTICS_H_
 #define LOAD_BALANCER_SRC_POLICY_STATISTICS_H_
 
@@ -10,17 +10,18 @@
 
 namespace load_balancer {
 
-/// Later than any time of a caller's clock.
+/// A time later than any time of the caller's clock.
 inline constexpr TimePoint kNever{Duration(1e300)};
 
-/// A hash that is the same at every proxy: the finalizer of MurmurHash3.
+/// Returns a hash of `value` that is the same at every proxy: the finalizer of MurmurHash3.
 std::uint32_t MixBits(std::uint32_t value);
 
-/// The probability of `successes` or more in `trials` independent trials that each succeed with
-/// `probability`.
+/// Returns the probability of at least `successes` successes in `trials` independent trials, each of which
+/// succeeds with `probability`.
 double BinomialTail(int successes, int trials, double probability);
 
-/// Mean and mean absolute deviation, exponentially weighted. The first samples have equal weights.
+/// Computes the exponentially weighted mean and mean absolute deviation. The first samples have equal
+/// weights.
 class MeanAndDeviation {
  public:
   void Add(double value);
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -7,20 +7,32 @@
 namespace load_balancer {
 namespace {
 
+// Number of attempts after which the rate of work served is used.
 constexpr int kEnoughAttempts = 10;
-constexpr Duration kWorkRateMemory{8000};  // averaging time of the rates of work
-constexpr Duration kResponseRateMemory{
-    1500};                        // averaging time of the rate of responses, which sets the limit in flight
-constexpr Duration kPause{1000};  // without arrivals for this long, the response rate tells nothing
-constexpr double kNewProxyGain = 0.7;      // weight of a sample by which the rate of a new proxy rises
-constexpr double kCrowdingGain = 0.1;      // weight of one response
-constexpr Duration kCrowdingMemory{8000};  // decay time
-constexpr double kMaxCrowding = 16;        // one response counts as no slower than this
-constexpr double kTimePerWorkGain = 0.01;  // weight of a slower response
-constexpr double kFasterGainFactor = 10;   // a faster response counts this much more
-constexpr double kFindingFactor = 5;       // a finding counts as much as so many faster responses of time 0
-constexpr int kMinTimePerWorkVotes = 4;    // large requests; one slow response says little
-constexpr int kFirmTimePerWorkVotes = 10;  // up to here votes are averaged evenly
+// Averaging time of the rates of work.
+constexpr Duration kWorkRateMemory{8000};
+// Averaging time of the rate of responses, which determines the limit on attempts in flight.
+constexpr Duration kResponseRateMemory{1500};
+// After this time without arrivals, the response rate is not updated, as it says nothing about servers.
+constexpr Duration kArrivalPause{1000};
+// Weight of a sample that raises the response rate of a new proxy.
+constexpr double kNewProxyGain = 0.7;
+// Weight of one response in the crowding.
+constexpr double kCrowdingGain = 0.1;
+// Decay time of the crowding.
+constexpr Duration kCrowdingMemory{8000};
+// Largest crowding that one response counts as.
+constexpr double kMaxCrowding = 16;
+// Weight of a response that raises time_per_work.
+constexpr double kTimePerWorkGain = 0.01;
+// Ratio of the weight of a response that lowers time_per_work to kTimePerWorkGain.
+constexpr double kFasterGainFactor = 10;
+// ReduceTimePerWork reduces time_per_work by this multiple of kTimePerWorkGain.
+constexpr double kReductionFactor = 5;
+// Large requests needed for time_per_work, so that it does not depend on one slow response.
+constexpr int kMinTimePerWorkSamples = 4;
+// Number of first samples of time_per_work that have equal weights.
+constexpr int kMaxEvenlyWeightedSamples = 10;
 
 }  // namespace
 
@@ -32,44 +44,45 @@
   samples_ = kEnoughAttempts;
   if (rates.time_per_work > 0) {
     time_per_work_ = rates.time_per_work;
-    time_per_work_votes_ = kMinTimePerWorkVotes;
+    time_per_work_samples_ = kMinTimePerWorkSamples;
   }
 }
 
 void TrafficStatistics::RecordArrival(const Request& request) {
   latency_objective_.Add(request.rules.latency_objective.count());
   const TimePoint previous_arrival = std::exchange(last_arrival_, request.arrived);
-  if (request.arrived - previous_arrival > kPause) arrivals_since_ = request.arrived;
+  if (request.arrived - previous_arrival > kArrivalPause) arrivals_resumed_at_ = request.arrived;
   work_requested_ += request.work;
 }
 
-void TrafficStatistics::RecordAttempt(const Request& request, double took, bool ok, bool is_timed) {
+void TrafficStatistics::RecordAttempt(const Request& request, double took_ms, bool ok,
+                                      bool is_latency_sample) {
   attempts_ = std::min(kEnoughAttempts, attempts_ + 1);
   if (ok) {
     work_served_ += request.work;
     ++responses_;
   }
   const double objective = request.rules.latency_objective.count();
-  if (is_timed && time_per_work_ > 0 && took > 0) {
+  if (is_latency_sample && time_per_work_ > 0 && took_ms > 0) {
     const double uncrowded =
         std::min(time_per_work_ * std::max(request.work, request_work_.mean() / 2), 0.5 * objective);
-    crowding_ += kCrowdingGain * (std::min(took / uncrowded, kMaxCrowding) - crowding_);
+    crowding_ += kCrowdingGain * (std::min(took_ms / uncrowded, kMaxCrowding) - crowding_);
     latency_objective_used_ +=
-        kCrowdingGain * (std::min(took / objective, kMaxCrowding) - latency_objective_used_);
+        kCrowdingGain * (std::min(took_ms / objective, kMaxCrowding) - latency_objective_used_);
   }
-  if (!ok || request.work < request_work_.mean() || !(took > 0)) return;  // `took` may be no number
-  const double observed = took / request.work;
+  if (!ok || request.work < request_work_.mean() || !(took_ms > 0)) return;  // `took_ms` may be NaN
+  const double observed = took_ms / request.work;
   const double gain = observed < time_per_work_ ? kFasterGainFactor * kTimePerWorkGain : kTimePerWorkGain;
-  ++time_per_work_votes_;
-  const bool is_firm = time_per_work_votes_ > kFirmTimePerWorkVotes;
-  time_per_work_ += (is_firm ? gain : 1.0 / time_per_work_votes_) * (observed - time_per_work_);
+  ++time_per_work_samples_;
+  const bool has_many_samples = time_per_work_samples_ > kMaxEvenlyWeightedSamples;
+  time_per_work_ += (has_many_samples ? gain : 1.0 / time_per_work_samples_) * (observed - time_per_work_);
 }
 
 void TrafficStatistics::Sample(double elapsed, TimePoint now) {
-  // A new proxy counts from its first request, and one without arrivals for a while, as when it drains, from
-  // the next.
-  const Duration requested_for = std::min(Duration(elapsed), now - arrivals_since_);
-  if (requested_for.count() > 0 && now - last_arrival_ <= kPause)
+  // The response rate covers only the time since the first request of a new proxy, or since the first request
+  // after a pause in arrivals, such as while the proxy drains.
+  const Duration requested_for = std::min(Duration(elapsed), now - arrivals_resumed_at_);
+  if (requested_for.count() > 0 && now - last_arrival_ <= kArrivalPause)
     UpdateResponseRate(responses_ / requested_for.count(), requested_for);
   const double decay = std::min(1.0, elapsed / kCrowdingMemory.count());
   crowding_ += decay * (1 - crowding_);
@@ -83,7 +96,7 @@
   work_requested_ = 0;
 }
 
-// A new proxy follows a rising rate at once: its limit in flight starts from almost nothing.
+// A new proxy follows a rising rate quickly, as its limit on attempts in flight starts close to zero.
 void TrafficStatistics::UpdateResponseRate(double rate, Duration elapsed) {
   const bool rises_at_new_proxy = response_rate_samples_ < kEnoughAttempts && rate > responses_per_ms_;
   const double min_gain = rises_at_new_proxy ? kNewProxyGain : 0;
@@ -93,10 +106,10 @@
   responses_per_ms_ += gain * (rate - responses_per_ms_);
 }
 
-void TrafficStatistics::WeakenTimePerWork() { time_per_work_ *= 1 - kFindingFactor * kTimePerWorkGain; }
+void TrafficStatistics::ReduceTimePerWork() { time_per_work_ *= 1 - kReductionFactor * kTimePerWorkGain; }
 
 bool TrafficStatistics::is_time_per_work_known() const {
-  return time_per_work_votes_ >= kMinTimePerWorkVotes;
+  return time_per_work_samples_ >= kMinTimePerWorkSamples;
 }
 
 bool TrafficStatistics::has_enough_attempts() const { return attempts_ >= kEnoughAttempts; }
--- a/src/policy/traffic_statistics.h
+++ b/src/policy/traffic_statistics.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// What this proxy measures of its traffic: the rates of requests and responses, and how crowded servers are.
+/// Measurements of this proxy's traffic: the rates of requests and responses, and the crowding of servers.
 #ifndef LOAD_BALANCER_SRC_POLICY_TRAFFIC_STATISTICS_H_
 #define LOAD_BALANCER_SRC_POLICY_TRAFFIC_STATISTICS_H_
 
@@ -8,37 +8,39 @@
 
 namespace load_balancer {
 
-/// Measures this proxy's traffic, all classes together. Work is hinted work in ms on a standard core.
+/// Measures this proxy's traffic over all classes. Work is hinted work, in ms on a standard core.
 class TrafficStatistics {
  public:
-  /// Takes over what a former process has learned. Does nothing once an attempt has ended here.
+  /// Adopts the rates measured by a former process. Does nothing after an attempt of this process has ended.
   void Restore(const LearnedRates& rates);
 
-  /// Counts a request's hinted work.
+  /// Records a request's hinted work.
   void RecordHintedWork(double work) { request_work_.Add(work); }
   void RecordArrival(const Request& request);
 
-  /// An attempt has ended after `took` ms. `is_timed`: `took` tells how fast servers respond.
-  void RecordAttempt(const Request& request, double took, bool ok, bool is_timed);
+  /// Records an attempt that ended after `took_ms`. `is_latency_sample` states whether that time is a measure
+  /// of the servers' speed.
+  void RecordAttempt(const Request& request, double took_ms, bool ok, bool is_latency_sample);
 
-  /// Updates the rates from what was counted in the last `elapsed` ms.
+  /// Updates the rates from the counts of the last `elapsed` ms.
   void Sample(double elapsed, TimePoint now);
 
-  /// A request that takes longer than its latency objective even at an idle server was found: the finding
-  /// weakens the next, so that a slow spell does not shut out a class for good.
-  void WeakenTimePerWork();
+  /// Reduces time_per_work() after a request whose estimated time exceeded its latency objective even at an
+  /// idle server. Without this, a temporary slowdown could reject a class of requests permanently.
+  void ReduceTimePerWork();
 
-  /// Hinted work of requests, and the latency objectives that they came with in ms.
+  /// Return the hinted work of requests and their latency objectives in ms.
   [[nodiscard]] const MeanAndDeviation& request_work() const { return request_work_; }
   [[nodiscard]] const MeanAndDeviation& latency_objective() const { return latency_objective_; }
 
-  /// The share of their latency objective that responses take.
+  /// Returns the mean ratio of response time to latency objective.
   [[nodiscard]] double latency_objective_used() const { return latency_objective_used_; }
 
-  /// Response time over the time that uncrowded servers need; 1: they are not crowded.
+  /// Returns the ratio of response time to that of uncrowded servers; 1 means that servers are not crowded.
   [[nodiscard]] double crowding() const { return crowding_; }
 
-  /// The least response time over hinted work, of large requests; 0: not known.
+  /// Returns the ratio of response time to hinted work of large requests at uncrowded servers; 0 if it is not
+  /// known.
   [[nodiscard]] double time_per_work() const { return time_per_work_; }
   [[nodiscard]] bool is_time_per_work_known() const;
 
@@ -46,7 +48,8 @@
   [[nodiscard]] double work_served_per_ms() const { return work_served_per_ms_; }
   [[nodiscard]] double work_requested_per_ms() const { return work_requested_per_ms_; }
 
-  /// Attempts have ended. Until there are enough, what is requested stands for what is served.
+  /// Return whether any attempts have ended, and whether enough have. Until then the work requested is used
+  /// in place of the work served.
   [[nodiscard]] bool has_attempts() const { return attempts_ > 0; }
   [[nodiscard]] bool has_enough_attempts() const;
 
@@ -56,16 +59,16 @@
   MeanAndDeviation request_work_;
   MeanAndDeviation latency_objective_;
   double latency_objective_used_ = 0;
-  double crowding_ = 3;  // a new proxy assumes crowded servers
-  int time_per_work_votes_ = 0;
+  double crowding_ = 3;  // a new proxy assumes that servers are crowded
+  int time_per_work_samples_ = 0;
   double time_per_work_ = 0;
   int samples_ = 0;
   int response_rate_samples_ = 0;
   TimePoint last_arrival_{};
-  TimePoint arrivals_since_ = kNever;  // the first after a pause
-  int attempts_ = 0;                   // ended; counted as far as is needed
+  TimePoint arrivals_resumed_at_ = kNever;  // first arrival after a pause
+  int attempts_ = 0;                        // ended attempts, up to kEnoughAttempts
 
-  // Since the last sample.
+  // Counts since the last sample.
   double responses_ = 0;
   double work_served_ = 0;
   double work_requested_ = 0;
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -54,7 +54,7 @@
   const PeerEjection peer{7, At(9000), 3, 3};
   EXPECT_TRUE(detector_.ApplyPeerEjection(hosts_[0], peer, 0, At(1000)));
   EXPECT_EQ(hosts_[0].return_at, At(3000));
-  EXPECT_TRUE(hosts_[0].is_advised);
+  EXPECT_TRUE(hosts_[0].is_peer_ejection);
   EXPECT_FALSE(detector_.ApplyPeerEjection(hosts_[1], peer, 1, At(1000))) << "a quarter is out";
   EXPECT_FALSE(detector_.ApplyPeerEjection(hosts_[1], {7, At(9000), 2, 2}, 0, At(1000)))
       << "too few attempts";
--- a/tests/policy/server_state_test.cpp
+++ b/tests/policy/server_state_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_EQ(load.silent_since(), At(100));
   load.Remove(10, false, At(200));
   EXPECT_EQ(load.silent_since(), At(100)) << "a time-out is no response";
-  load.BodyComplete(At(210));
+  load.MarkBodyComplete(At(210));
   EXPECT_EQ(load.silent_since(), At(210)) << "nothing else is owed";
   load.Remove(5, true, At(300));
   EXPECT_EQ(load.silent_since(), At(300));
@@ -180,9 +180,9 @@
 };
 
 TEST_F(AttemptTimeoutTest, OnlyASilentServerGetsOne) {
-  const Duration unlikely = request_.statistics->UnlikelyLatency(request_.work);
-  EXPECT_EQ(TimeoutAt(unlikely.count() - 1).count(), 0);
-  EXPECT_EQ(TimeoutAt(unlikely.count() + 1), unlikely);
+  const Duration latency_bound = request_.statistics->LatencyUpperBound(request_.work);
+  EXPECT_EQ(TimeoutAt(latency_bound.count() - 1).count(), 0);
+  EXPECT_EQ(TimeoutAt(latency_bound.count() + 1), latency_bound);
   server_.load.Remove(1, true, At(10));
   EXPECT_EQ(TimeoutAt(1000).count(), 0) << "it owes nothing";
 }
