--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The limit in flight, the queue and the shedding of load.
+// Tests the limit on attempts in flight, the queue and load shedding.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,12 +15,12 @@
 namespace load_balancer {
 namespace {
 
-using testing::AnswerOne;
 using testing::At;
 using testing::DefaultSettings;
 using testing::Entry;
 using testing::next_id;
 using testing::Rig;
+using testing::SendAndRespond;
 
 TEST(Admission, ShedsLoadAtACrowdedFleetWhereTrafficIsSparse) {
   int sent[2] = {0, 0};
@@ -41,7 +41,7 @@
   EXPECT_LT(sent[true], 45);
 }
 
-// A proxy that starts at a crowded fleet must not take slow responses for the usual ones.
+// A proxy that starts while the fleet is crowded must not take the slow responses for normal ones.
 TEST(Admission, ANewProxyAtACrowdedFleetShedsLoadByTheLatencyObjective) {
   Settings settings = DefaultSettings();
   settings.balancer_count = 400;
@@ -53,26 +53,26 @@
     const RequestId id = next_id++;
     const auto s = rig.Send(id, 2, 10, 5000);
     if (s && i >= 60) ++sent;
-    if (s) rig.EndAttempt(id, 0, *s, Outcome::kOk, 240);  // of an aim of 200
+    if (s) rig.EndAttempt(id, 0, *s, Outcome::kOk, 240);  // the latency objective is 200
     rig.Tick(200);
   }
   EXPECT_LT(sent, 50);
 }
 
-TEST(Admission, QueuesBeyondTheLimitAndRejectsInTime) {
+TEST(Admission, QueuesRequestsBeyondTheLimitAndRejectsThemInTime) {
   Rig rig;
   rig.Servers(1);
-  rig.Tick(10000), rig.Tick(10000);  // not crowded, as far as it knows
+  rig.Tick(10000), rig.Tick(10000);  // the assumed crowding has decayed
   for (int i = 0; i < 4; ++i) ASSERT_TRUE(rig.Send(next_id++, 2, 10, 5000).has_value());
   EXPECT_FALSE(rig.Send(next_id++, 2, 10, 5000).has_value());
   double waited = 0;
   while (rig.Count<Reject>() == 0 && waited < 2000) rig.Tick(5), waited += 5;
   EXPECT_EQ(rig.Count<Reject>(), 1);
-  EXPECT_LE(waited, 205) << "within the aim, not at the deadline";
+  EXPECT_LE(waited, 205) << "it must be rejected within the latency objective, not at the deadline";
 }
 
-// With a fixed minimum limit, hundreds of proxies together would hold more in flight than servers bear.
-TEST(Admission, TheMinimumLimitFollowsHowCrowdedServersAre) {
+// With a fixed minimum limit, hundreds of proxies together would have more in flight than servers can handle.
+TEST(Admission, TheMinimumLimitFallsAsServersBecomeCrowded) {
   std::size_t in_flight[2];
   for (const bool crowded : {false, true}) {
     Settings settings = DefaultSettings();
@@ -94,7 +94,7 @@
 }
 
 // Requests must not be rejected with nothing in flight because the first response was slow.
-TEST(Admission, OneSlowFirstResponseShutsNothingOut) {
+TEST(Admission, OneSlowFirstResponseDoesNotCauseRejections) {
   Rig rig;
   rig.Servers(3);
   const RequestId first = next_id++;
@@ -102,10 +102,10 @@
   ASSERT_TRUE(s.has_value());
   rig.EndAttempt(first, 0, *s, Outcome::kOk, 190);
   EXPECT_TRUE(rig.Send(next_id++, 2, 20, 350).has_value())
-      << "380 ms at that pace, after the aim and its patience";
+      << "at that rate it would take 380 ms, longer than its latency objective and its deadline";
 }
 
-// The heaviest requests may have the highest priority weights: idle proxies admit them.
+// Large requests may have high priority weights, so a proxy admits them while servers are idle.
 TEST(Admission, ATooLargeRequestIsAdmittedAtIdleServersAndRejectedAtCrowdedOnes) {
   for (const bool crowded : {false, true}) {
     Settings settings = DefaultSettings();
@@ -118,11 +118,12 @@
       if (s) rig.EndAttempt(id, 0, *s, Outcome::kOk, crowded && i >= 30 ? 180 : 20);
       rig.Tick(200);
     }
-    EXPECT_EQ(rig.Send(next_id++, 0, 600, 900).has_value(), !crowded) << "1.2 s at this pace";
+    EXPECT_EQ(rig.Send(next_id++, 0, 600, 900).has_value(), !crowded)
+        << "at the measured rate it takes 1.2 s";
   }
 }
 
-TEST(Admission, TheHighestPriorityGoesFirst) {
+TEST(Admission, TheQueuedRequestWithTheHighestPriorityIsSentFirst) {
   Settings s = DefaultSettings();
   s.classes[2].priority_weight = 1;
   s.classes[0].priority_weight = 9;
@@ -131,25 +132,24 @@
   const RequestId first = next_id++;
   ASSERT_TRUE(rig.Send(first, 2, 10, 5000).has_value());
   ASSERT_TRUE(rig.Send(next_id++, 2, 10, 5000).has_value());
-  const RequestId poor = next_id++, rich = next_id++;
-  EXPECT_FALSE(rig.Send(poor, 2, 10, 5000).has_value());
-  EXPECT_FALSE(rig.Send(rich, 0, 10, 5000).has_value());
+  const RequestId low_priority = next_id++, high_priority = next_id++;
+  EXPECT_FALSE(rig.Send(low_priority, 2, 10, 5000).has_value());
+  EXPECT_FALSE(rig.Send(high_priority, 0, 10, 5000).has_value());
   rig.EndAttempt(first, 0, 1, Outcome::kOk, 10);
   std::vector<RequestId> order;
   for (const Dispatch& d : rig.sent) order.push_back(d.request);
-  const auto rich_at = std::find(order.begin(), order.end(), rich);
-  ASSERT_NE(rich_at, order.end());
-  EXPECT_EQ(std::find(order.begin(), rich_at, poor), rich_at);
+  const auto high_priority_at = std::find(order.begin(), order.end(), high_priority);
+  ASSERT_NE(high_priority_at, order.end());
+  EXPECT_EQ(std::find(order.begin(), high_priority_at, low_priority), high_priority_at);
 }
 
-// With heavy-tailed work, a few requests that cannot be in time must not take the place of all others.
-TEST(Admission, RequestsOverTheirTenantsQuotaGoLast) {
+TEST(Admission, RequestsOverTheirTenantsQuotaAreSentLast) {
   Settings s = DefaultSettings();
   s.tenants = {{1}, {1}};
   s.over_quota_priority_share = 0.2;
   Rig rig(s);
   rig.Servers(1);
-  auto ask = [&](RequestId id, int tenant) {
+  auto is_sent = [&](RequestId id, int tenant) {
     RequestReceived received;
     received.request = id;
     received.tenant = tenant;
@@ -157,17 +157,17 @@
     rig.Handle(received);
     return rig.SentTo(id).has_value();
   };
-  EXPECT_TRUE(ask(9001, 0));  // takes the one request a second of its share
-  EXPECT_TRUE(ask(9002, 0));
-  EXPECT_FALSE(ask(9003, 1));
+  EXPECT_TRUE(is_sent(9001, 0));  // uses up the quota of one request per second
+  EXPECT_TRUE(is_sent(9002, 0));
+  EXPECT_FALSE(is_sent(9003, 1));
   rig.now += 1;
-  EXPECT_FALSE(ask(9004, 0)) << "newer, but beyond its share";
+  EXPECT_FALSE(is_sent(9004, 0)) << "it is newer, but its tenant is over quota";
   rig.EndAttempt(9001, 0, 1, Outcome::kOk);
   EXPECT_TRUE(rig.SentTo(9003).has_value());
   EXPECT_FALSE(rig.SentTo(9004).has_value());
 }
 
-// Servers that have just started bear less than the others.
+// Servers that have just started can handle less than the others.
 TEST(Admission, ServersInSlowStartRaiseTheMinimumLimitByTheirCapacityOnly) {
   Settings s = DefaultSettings();
   s.balancer_count = 2;
@@ -176,11 +176,13 @@
   for (ServerId id = 3; id <= 10; ++id) list.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
   rig.List(list);
   for (int i = 0; i < 50; ++i) rig.Send(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.size(), 3u) << "2 + 8 x 0.25 servers, 1.5 each, of 2 proxies";
+  EXPECT_EQ(rig.sent.size(), 3u)
+      << "the capacity is 2 + 8 x 0.25 servers; 1.5 attempts for each, over 2 proxies";
 }
 
-// Oldest first, an overloaded proxy would send only requests that have hardly any of their objective left.
-TEST(Admission, OfEqualPriorityTheNewestGoesFirst) {
+// If the oldest request went first, an overloaded proxy would send only requests whose latency objective has
+// almost passed.
+TEST(Admission, OfEqualPriorityTheNewestRequestIsSentFirst) {
   Rig rig;
   rig.Servers(1);
   for (int i = 0; i < 2; ++i) ASSERT_TRUE(rig.Send(500 + static_cast<RequestId>(i), 0, 10, 900).has_value());
@@ -193,99 +195,102 @@
   EXPECT_FALSE(rig.SentTo(601).has_value());
 }
 
-// A new proxy that floods the fleet before it knows any rate leaves queues that last far longer.
-TEST(Admission, ANewProxyStartsFromLittle) {
+// If a new proxy sent everything before it has measured a rate, it would cause queues at servers that last
+// much longer.
+TEST(Admission, ANewProxyStartsWithASmallLimit) {
   Settings s = DefaultSettings();
   s.balancer_count = 2;
   Rig rig(s);
   rig.Servers(4);
   for (int i = 0; i < 50; ++i) rig.Send(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.size(), 3u) << "1.5 a server, of 2 proxies";
+  EXPECT_EQ(rig.sent.size(), 3u) << "1.5 attempts for each server, over 2 proxies";
 }
 
+// With heavy-tailed work, a few large requests that cannot be in time must not displace all others.
 TEST(Admission, ARequestTooLargeToBeInTimeIsRejectedAtOnce) {
   Rig rig;
   rig.Servers(3);
   for (int i = 0; i < 100; ++i) {
-    AnswerOne(rig, Outcome::kOk, {}, 15);
+    SendAndRespond(rig, Outcome::kOk, {}, 15);
     rig.Tick(50);
   }
   rig.Send(next_id++, 0, 1000, 900);
-  EXPECT_EQ(rig.Count<Reject>(), 1) << "about 1500 ms of 900";
+  EXPECT_EQ(rig.Count<Reject>(), 1) << "it would take about 1500 ms, and its deadline is in 900 ms";
   rig.Send(next_id++, 0, 100, 900);
   EXPECT_EQ(rig.Count<Dispatch>(), 1);
 }
 
-TEST(Admission, AHugeRequestIsNotShutOutByTheLimitOfTheProxy) {
+TEST(Admission, AHugeRequestIsNotBlockedByTheLimitOfTheProxy) {
   Rig rig;
   rig.Servers(3);
   for (int i = 0; i < 100; ++i) {
-    AnswerOne(rig, Outcome::kOk, {});
+    SendAndRespond(rig, Outcome::kOk, {});
     rig.Tick(50);
   }
   EXPECT_TRUE(rig.Send(next_id++, 2, 150, 5000).has_value());
 }
 
-// A client's last retry has what is left of its deadline. Served in its turn, it would be late for certain
-// and make others late.
-TEST(Admission, TimeElapsedOfTheDeadlineHasElapsedOfTheLatencyObjective) {
+// A client's last retry has only the rest of the client's deadline. If it were served in order, it would be
+// late for certain and would delay others.
+TEST(Admission, TimeThatHasPassedOfTheDeadlineIsSubtractedFromTheLatencyObjective) {
   Settings settings = DefaultSettings();
   settings.max_retry_after = Duration(300);
   Rig rig(settings);
   rig.Servers(3);
-  auto served = [&](double left, bool repeat = false) {
+  auto served = [&](double left, bool is_client_retry = false) {
     RequestReceived s;
     s.request = next_id++;
     s.request_class = 2;
     s.has_hint = true;
     s.work_ms = 10;
     s.due = At(rig.now + left);
-    s.client_retry = repeat;
+    s.client_retry = is_client_retry;
     rig.Handle(s);
     const auto server = rig.SentTo(s.request);
     if (server) rig.EndAttempt(s.request, 0, *server, Outcome::kOk);
     return server.has_value();
   };
-  for (int i = 0; i < 10; ++i) EXPECT_TRUE(served(i % 2 ? 600 : 500)) << "no usual time yet";
+  for (int i = 0; i < 10; ++i) EXPECT_TRUE(served(i % 2 ? 600 : 500)) << "there is no usual time-out yet";
   for (int i = 0; i < 20; ++i) EXPECT_TRUE(served(600));
-  EXPECT_TRUE(served(900)) << "100 of its 1000 are gone, of an aim of 200";
-  EXPECT_FALSE(served(780)) << "220 are";
-  EXPECT_FALSE(served(600, true)) << "200 or so: half of what may have passed before a marked repeat";
-  const auto* refused = std::get_if<Reject>(&rig.actions.front());
-  ASSERT_NE(refused, nullptr);
-  EXPECT_EQ(refused->retry_after.count(), 300) << "another try would be later still";
+  EXPECT_TRUE(served(900)) << "100 of its 1000 ms have passed, and the latency objective is 200";
+  EXPECT_FALSE(served(780)) << "220 of its 1000 ms have passed";
+  EXPECT_FALSE(served(600, true)) << "for a marked retry, half of the possible 400 ms counts as passed";
+  const auto* rejection = std::get_if<Reject>(&rig.actions.front());
+  ASSERT_NE(rejection, nullptr);
+  EXPECT_EQ(rejection->retry_after.count(), 300) << "a further retry would be even later";
   EXPECT_TRUE(served(600));
 }
 
-// Clients' retries must not keep an overloaded fleet overloaded, with every response late and none rejected.
-TEST(Admission, ASlowFleetGetsNoMoreThanItServesInTime) {
+// Guards against an overload that clients' retries sustain, in which every response is late and no request is
+// rejected.
+TEST(Admission, ASlowFleetGetsNoMoreRequestsThanItServesInTime) {
   Rig rig;
   rig.Servers(3);
-  std::deque<std::tuple<double, RequestId, ServerId>> out;
-  std::size_t most = 0;
+  std::deque<std::tuple<double, RequestId, ServerId>> outstanding;
+  std::size_t max_in_flight = 0;
   for (int i = 0; i < 2000; ++i) {
     rig.Tick(5);
     const RequestId id = next_id++;
-    if (const auto s = rig.Send(id, 2, 10, 900)) out.emplace_back(rig.now, id, *s);
-    // The fleet answers one in 20 ms, the oldest first.
-    if (i % 4 == 0 && !out.empty()) {
-      const auto [at, oldest, server] = out.front();
-      out.pop_front();
+    if (const auto s = rig.Send(id, 2, 10, 900)) outstanding.emplace_back(rig.now, id, *s);
+    // The fleet responds to one request every 20 ms, the oldest first.
+    if (i % 4 == 0 && !outstanding.empty()) {
+      const auto [at, oldest, server] = outstanding.front();
+      outstanding.pop_front();
       rig.EndAttempt(oldest, 0, server, Outcome::kOk, rig.now - at);
       for (const Dispatch& d : rig.sent) {
-        if (std::none_of(out.begin(), out.end(),
+        if (std::none_of(outstanding.begin(), outstanding.end(),
                          [&](const auto& o) { return std::get<1>(o) == d.request; }) &&
             rig.SentTo(d.request))
-          out.emplace_back(rig.now, d.request, d.server);
+          outstanding.emplace_back(rig.now, d.request, d.server);
       }
     }
-    if (i > 1000) most = std::max(most, out.size());
+    if (i > 1000) max_in_flight = std::max(max_in_flight, outstanding.size());
   }
-  EXPECT_LE(most, 8u) << "0.05 a ms x a third of the aim of 200 ms, and its deviation, is 5";
+  EXPECT_LE(max_in_flight, 8u) << "0.05 per ms x a third of the objective of 200 ms, and its deviation, is 5";
 }
 
-// Random arrivals are no overload: with few in flight, a limit at their mean would reject a tenth for
-// nothing.
+// Random arrivals are no overload. With few attempts in flight, a limit equal to the mean would reject a
+// tenth of the requests without need.
 TEST(Admission, TheLimitAllowsForRandomArrivals) {
   Settings settings = DefaultSettings();
   settings.classes[2].latency_objective = Duration(1000);
@@ -293,14 +298,14 @@
   Rig rig(settings);
   rig.Servers(3);
   for (int i = 0; i < 4000; ++i) {
-    AnswerOne(rig, Outcome::kOk, {});
+    SendAndRespond(rig, Outcome::kOk, {});
     rig.Tick(2);
   }
   for (int i = 0; i < 40; ++i) rig.Send(next_id++, 2, 10, 5000);
-  EXPECT_EQ(rig.sent.size() - 4000, 19u) << "0.5 a ms x 3 x 10 ms is 15, and its deviation 3.9";
+  EXPECT_EQ(rig.sent.size() - 4000, 19u) << "0.5 per ms x 3 x 10 ms is 15, and its deviation 3.9";
 }
 
-// Long objectives must not let queues grow until servers lose capacity to them.
+// With long latency objectives, queues at servers must not grow until they reduce the servers' capacity.
 TEST(Admission, LongLatencyObjectivesDoNotCrowdServers) {
   Settings settings = DefaultSettings();
   settings.classes[2].latency_objective = Duration(1000);
@@ -308,37 +313,39 @@
   Rig rig(settings);
   rig.Servers(3);
   for (int i = 0; i < 200; ++i) {
-    AnswerOne(rig, Outcome::kOk, {});
+    SendAndRespond(rig, Outcome::kOk, {});
     rig.Tick(20);
   }
   for (int i = 0; i < 40; ++i) rig.Send(next_id++, 2, 10, 5000);
-  const auto out = rig.sent.size() - 200;
-  EXPECT_EQ(out, 5u) << "0.05 a ms x 3 x 10 ms is less than 1.5 a server; a third of the aim would be 16";
+  const auto outstanding = rig.sent.size() - 200;
+  EXPECT_EQ(outstanding, 5u) << "0.05 per ms x 3 x 10 ms is less than 1.5 per server; a third of the latency "
+                                "objective would allow 16";
 }
 
-// Where a few percent of the attempts never get a response, they must not fill the limit until their
-// time-outs.
+// If a few percent of the attempts never get a response, they must not use up the limit until they
+// time out.
 TEST(Admission, OverdueAttemptsDoNotCountAgainstTheLimit) {
   Rig rig;
   rig.Servers(3);
   for (int i = 0; i < 200; ++i) {
-    AnswerOne(rig, Outcome::kOk, {});
+    SendAndRespond(rig, Outcome::kOk, {});
     rig.Tick(20);
   }
   RequestId last = 0;
   do last = next_id++;
   while (rig.Send(last, 2, 10, 900).has_value());
   rig.Tick(5);
-  EXPECT_FALSE(rig.SentTo(last).has_value()) << "the limit is reached, and no answer is overdue";
+  EXPECT_FALSE(rig.SentTo(last).has_value()) << "the limit is reached, and no response is overdue";
   while (!rig.SentTo(last) && rig.Count<Reject>() == 0) rig.Tick(5);
-  EXPECT_TRUE(rig.SentTo(last).has_value()) << "answers take 10 ms; those that are out have taken far longer";
+  EXPECT_TRUE(rig.SentTo(last).has_value()) << "responses take 10 ms, and the outstanding ones are overdue";
 }
 
-// Nor may their time-outs count as response times of the class, by which the next attempts are overdue.
-TEST(Admission, TimeOutsOfAFewDoNotMakeAllLookSlow) {
+// Time-outs of lost responses must not count as response times of the class. Otherwise later attempts would
+// become overdue much too late.
+TEST(Admission, TimeOutsOfAFewAttemptsDoNotCountAsResponseTimes) {
   Rig rig;
   rig.Servers(3);
-  std::deque<std::pair<RequestId, ServerId>> lost;  // one in six, each out for 900 ms
+  std::deque<std::pair<RequestId, ServerId>> lost;  // one in six attempts, each outstanding for 900 ms
   for (int i = 0; i < 600; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Send(id, 2, 10, 900);
@@ -358,7 +365,7 @@
   double waited = 0;
   while (!rig.SentTo(last) && rig.Count<Reject>() == 0) rig.Tick(5), waited += 5;
   EXPECT_TRUE(rig.SentTo(last).has_value());
-  EXPECT_LE(waited, 25) << "10 ms that answers take and four deviations of 2 ms";
+  EXPECT_LE(waited, 25) << "responses take 10 ms, plus four deviations of 2 ms";
 }
 
 }  // namespace
--- a/tests/policy/edge_cases_test.cpp
+++ b/tests/policy/edge_cases_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Log lines, malformed events, extreme lists, and determinism.
+// Tests log lines, malformed events, extreme lists and determinism.
 #include <gtest/gtest.h>
 
 #include <limits>
@@ -20,25 +20,25 @@
 using testing::next_id;
 using testing::Rig;
 
-TEST(Logs, FewLinesEachNamingServerAndReason) {
+TEST(Logs, LinesAreRareAndStateServerAndReason) {
   Rig rig;
   std::vector<std::string> lines;
-  auto note = [&] {
+  auto collect_lines = [&] {
     for (const Action& a : rig.actions)
       if (const auto* log = std::get_if<Log>(&a)) lines.push_back(log->text);
   };
   for (int i = 0; i < 5; ++i) {
     rig.Send(next_id++, 0, 10, -50);  // due in the past
-    note();
+    collect_lines();
   }
-  ASSERT_EQ(lines.size(), 1u) << "others within ten seconds are not told";
+  ASSERT_EQ(lines.size(), 1u) << "further lines within ten seconds are suppressed";
   EXPECT_NE(lines[0].find("refusing: not in time"), std::string::npos) << lines[0];
   rig.Tick(20000);
   rig.Tick(20000);
   rig.List({Entry(1, 0, 0, ServerState::kReady, rig.now)});
   for (int i = 0; i < 30; ++i) {
     rig.Send(next_id++);
-    note();
+    collect_lines();
   }
   ASSERT_EQ(lines.size(), 2u);
   EXPECT_NE(lines[1].find("server 1 held back: cold, at 25%"), std::string::npos) << lines[1];
@@ -47,13 +47,13 @@
 TEST(MalformedEvents, AreIgnoredOrRejected) {
   const double inf = std::numeric_limits<double>::infinity(), nan = std::numeric_limits<double>::quiet_NaN();
   Rig rig;
-  EXPECT_FALSE(rig.Send(1, 0).has_value()) << "no list yet: held";
+  EXPECT_FALSE(rig.Send(1, 0).has_value()) << "it is queued, as there is no list yet";
   rig.List({});
   rig.EndAttempt(77, 0, 1, Outcome::kOk);
   rig.Handle(ClientGone{77});
   rig.Handle(StreamStarted{77, 0});
   rig.Servers(1);
-  EXPECT_EQ(rig.SentTo(1), ServerId{1}) << "held ones go once a server is listed";
+  EXPECT_EQ(rig.SentTo(1), ServerId{1}) << "queued requests are sent once a server is listed";
   rig.EndAttempt(1, 9, 1, Outcome::kOk);
   rig.EndAttempt(1, -1, 1, Outcome::kOk);
   rig.Send(1, 0);
@@ -104,7 +104,7 @@
   EXPECT_EQ(rig.SentTo(id), std::optional<ServerId>(9));
 }
 
-TEST(EdgeCases, AThousandServersAndNoHints) {
+TEST(EdgeCases, RequestsWithoutHintsAreSentInAFleetOfAThousandServers) {
   Settings settings = DefaultSettings();
   settings.balancer_count = 3000;
   settings.balancer_index = 2999;
@@ -119,7 +119,7 @@
   }
 }
 
-TEST(Determinism, SameEventsSameActions) {
+TEST(Determinism, SameEventsCauseSameActions) {
   Rig a(DefaultSettings(), 7), b(DefaultSettings(), 7);
   for (Rig* rig : {&a, &b}) {
     rig->Servers(5);
--- a/tests/policy/fleet_events_test.cpp
+++ b/tests/policy/fleet_events_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What other proxies and a former process tell the module, and the polling of the list.
+// Tests the events that report the state of other proxies and of a former process, and the polling of the
+// list.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -18,52 +19,52 @@
 using testing::next_id;
 using testing::Rig;
 
-TEST(PeerEjections, EjectAServerForNoLongerThanItsOwnBackoff) {
+TEST(PeerEjections, EjectAServerForNoLongerThanThisProxysBackoff) {
   Rig rig;
   rig.Servers(4);
-  const auto advise = [&](ServerId server, double until, int failures, int attempts) {
+  const auto report = [&](ServerId server, double until, int failures, int attempts) {
     rig.Handle(PeerEjection{server, At(rig.now + until), failures, attempts});
   };
-  const auto serves = [&](ServerId server) {
+  const auto is_used = [&](ServerId server) {
     std::set<ServerId> used;
     for (int i = 0; i < 4; ++i) used.insert(*rig.Send(next_id, 0, 10, 900)), ++next_id;
     for (const Dispatch& sent : std::vector<Dispatch>(rig.sent.end() - 4, rig.sent.end()))
       rig.EndAttempt(sent.request, 0, sent.server, Outcome::kOk);
     return used.contains(server);
   };
-  advise(1, 1500, 2, 2);
-  EXPECT_TRUE(serves(1)) << "a sample that would not do for its own rule";
-  advise(1, 1500, 3, 9);
-  EXPECT_TRUE(serves(1)) << "a share that would not";
-  advise(1, -1, 3, 3);
-  EXPECT_TRUE(serves(1)) << "over already";
-  advise(1, 60000, 3, 3);
-  EXPECT_EQ(rig.Count<Ejected>(), 0) << "not its own finding: it is not passed on";
-  EXPECT_FALSE(serves(1));
-  advise(2, 1500, 3, 3);
-  EXPECT_TRUE(serves(2)) << "a quarter of the servers are out by advice";
+  report(1, 1500, 2, 2);
+  EXPECT_TRUE(is_used(1)) << "two attempts are fewer than the request volume";
+  report(1, 1500, 3, 9);
+  EXPECT_TRUE(is_used(1)) << "the failure share is below the threshold";
+  report(1, -1, 3, 3);
+  EXPECT_TRUE(is_used(1)) << "the ejection is over already";
+  report(1, 60000, 3, 3);
+  EXPECT_EQ(rig.Count<Ejected>(), 0) << "an ejection because of a peer's report is not reported to peers";
+  EXPECT_FALSE(is_used(1));
+  report(2, 1500, 3, 3);
+  EXPECT_TRUE(is_used(2)) << "a quarter of the servers are already ejected because of peers' reports";
   rig.Tick(1999);
-  EXPECT_FALSE(serves(1));
+  EXPECT_FALSE(is_used(1));
   rig.Tick(2);
-  EXPECT_TRUE(serves(1)) << "its own backoff is 2 s, whatever the peer says";
+  EXPECT_TRUE(is_used(1)) << "this proxy's backoff is 2 s, whatever the peer reports";
 }
 
-TEST(PeerEjections, AnOwnEjectionIsReportedWithItsSampleAndItsEnd) {
+TEST(PeerEjections, AnEjectionByThisProxyIsReportedWithItsCountsAndItsEnd) {
   Rig rig;
   rig.Servers(3);
-  std::vector<Ejected> told;
-  for (int i = 0; i < 30 && told.empty(); ++i) {
+  std::vector<Ejected> reported;
+  for (int i = 0; i < 30 && reported.empty(); ++i) {
     const RequestId id = next_id++;
     const ServerId server = *rig.Send(id, 2, 10, 900);
     rig.EndAttempt(id, 0, server, server == 1 ? Outcome::kError : Outcome::kOk, 10, true);
     for (const Action& action : rig.actions)
-      if (const auto* ejected = std::get_if<Ejected>(&action)) told.push_back(*ejected);
+      if (const auto* ejected = std::get_if<Ejected>(&action)) reported.push_back(*ejected);
   }
-  ASSERT_EQ(told.size(), 1u);
-  EXPECT_EQ(told[0].server, ServerId{1});
-  EXPECT_EQ(told[0].until, At(rig.now + 2000));
-  EXPECT_EQ(told[0].failures, told[0].attempts);
-  EXPECT_GE(told[0].attempts, 3);
+  ASSERT_EQ(reported.size(), 1u);
+  EXPECT_EQ(reported[0].server, ServerId{1});
+  EXPECT_EQ(reported[0].until, At(rig.now + 2000));
+  EXPECT_EQ(reported[0].failures, reported[0].attempts);
+  EXPECT_GE(reported[0].attempts, 3);
 }
 
 TEST(Restart, RestoredEjectionsLastForTheirRemainingTime) {
@@ -100,7 +101,7 @@
   EXPECT_GT(sent_at_once({0.5, 5, 0.25, 1}), cold);
 }
 
-TEST(Restart, LearnedRatesAreHandedOn) {
+TEST(Restart, ANewProcessStartsFromTheLearnedRates) {
   Rig rig;
   rig.Servers(2);
   EXPECT_EQ(rig.learned_rates().responses_per_ms, 0);
@@ -119,7 +120,8 @@
   EXPECT_EQ(next.learned_rates().responses_per_ms, rates.responses_per_ms);
 }
 
-// Guards against a predecessor without traffic making its successor learn more slowly than a new proxy.
+// Guards against a former process without traffic whose rates would make its successor adapt more slowly than
+// a new proxy.
 TEST(Restart, RatesOfAProcessThatServedNothingAreIgnored) {
   const auto learned = [](bool restores) {
     Rig rig;
@@ -137,7 +139,7 @@
   EXPECT_EQ(learned(true), learned(false));
 }
 
-TEST(ServerConcurrencyLimit, NoServerHasMoreInFlight) {
+TEST(ServerConcurrencyLimit, LimitsTheAttemptsInFlightAtEachServer) {
   Rig rig;
   rig.Servers(1);
   rig.Handle(ServerConcurrencyLimit{1});
@@ -145,12 +147,12 @@
   for (int i = 0; i < 3; ++i) in_flight += rig.Send(next_id++, 0, 10, 900).has_value();
   EXPECT_EQ(in_flight, 1);
   rig.EndAttempt(rig.sent.front().request, 0, 1, Outcome::kOk);
-  EXPECT_EQ(rig.Count<Dispatch>(), 1) << "one that was held takes the place";
+  EXPECT_EQ(rig.Count<Dispatch>(), 1) << "a queued request is sent instead";
   rig.Handle(ServerConcurrencyLimit{0});
-  EXPECT_EQ(rig.Count<Dispatch>(), 1) << "no limit: what is held goes";
+  EXPECT_EQ(rig.Count<Dispatch>(), 1) << "without a limit, the queued request is sent";
 }
 
-TEST(PeerAffinity, AKeyIsWarmWhereAPeerHasSentItAndForgottenInTime) {
+TEST(PeerAffinity, AKeyGoesToTheServerThatAPeerUsedUntilThatExpires) {
   Settings settings = DefaultSettings();
   settings.session_affinity = true;
   Rig rig(settings);
@@ -172,13 +174,13 @@
   rig.List({Entry(1)}, ListKind::kCached);
   EXPECT_EQ(rig.Count<Subscribe>(), 1);
   rig.Tick(100);
-  EXPECT_EQ(rig.Count<Subscribe>(), 0) << "one call at a time";
+  EXPECT_EQ(rig.Count<Subscribe>(), 0) << "there is one poll at a time";
   rig.List({}, ListKind::kFailed);
   double waited = 0;
   while (rig.Count<Subscribe>() == 0 && waited < 20000) rig.Tick(10), waited += 10;
   EXPECT_GE(waited, 200);
   EXPECT_LE(waited, 2500);
-  EXPECT_EQ(rig.Send(next_id++), ServerId{1}) << "the old list serves";
+  EXPECT_EQ(rig.Send(next_id++), ServerId{1}) << "the cached list is used";
   rig.List({Entry(1)});
   for (int i = 0; i < 1000; ++i) {
     rig.Tick(100);
--- a/tests/policy/invariants_test.cpp
+++ b/tests/policy/invariants_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Random but legal events with fixed seeds, checked by a small oracle of the four operating rules that shares
-// no code with the module.
+// Tests the decision module with random but valid events from fixed seeds. The actions are checked against
+// the four operating rules by an implementation that shares no code with the module.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -21,29 +21,30 @@
 using testing::DefaultSettings;
 using testing::Entry;
 
-struct Try {
+struct AttemptRecord {
   ServerId server;
   double sent_at;
   double ends_at;
   Outcome outcome;
-  bool out = true;
+  bool is_outstanding = true;
 };
-struct Open {
-  int cls;
+struct RequestRecord {
+  int request_class;
   double due;
-  std::vector<Try> tries;
-  int finals = 0;
+  std::vector<AttemptRecord> attempts;
+  int final_responses = 0;
 };
 
-class World {
+class RandomEvents {
  public:
-  World(Settings settings, std::uint64_t seed) : settings_(settings), rng_(seed), balancer_(settings, seed) {
+  RandomEvents(Settings settings, std::uint64_t seed)
+      : settings_(settings), rng_(seed), balancer_(settings, seed) {
     for (ServerId id = 1; id <= 8; ++id) servers_[id] = Entry(id, id % 2, id % 3);
   }
 
-  void Play() {
-    Push(ListKind::kCached, All());
-    for (now_ = 1000; now_ < 9000; now_ += 1 + Roll(8)) {
+  void Run() {
+    SendList(ListKind::kCached, All());
+    for (now_ = 1000; now_ < 9000; now_ += 1 + RandomBelow(8)) {
       if (now_ > 7000) {
         Step(false);
       } else {
@@ -52,12 +53,12 @@
     }
     now_ += 5000;
     Step(false);
-    for (const auto& [id, r] : open_) EXPECT_EQ(r.finals, 1) << "request " << id;
+    for (const auto& [id, r] : requests_) EXPECT_EQ(r.final_responses, 1) << "request " << id;
   }
   std::size_t attempts = 0;
 
  private:
-  int Roll(int n) { return static_cast<int>(rng_() % static_cast<unsigned>(n)); }
+  int RandomBelow(int n) { return static_cast<int>(rng_() % static_cast<unsigned>(n)); }
 
   std::vector<ServerEntry> All() const {
     std::vector<ServerEntry> all;
@@ -65,120 +66,128 @@
     return all;
   }
 
-  void Push(ListKind kind, std::vector<ServerEntry> entries) { Do(ListUpdate{kind, std::move(entries)}); }
+  void SendList(ListKind kind, std::vector<ServerEntry> entries) {
+    Handle(ListUpdate{kind, std::move(entries)});
+  }
 
   void Step(bool load) {
-    // Timers, attempts that end and arrivals of one batch, in a random order.
+    // Handles timers, ends of attempts, arrivals and list changes in random order.
     std::vector<int> order = {0, 1, 2, 3};
     std::shuffle(order.begin(), order.end(), rng_);
-    for (int what : order) {
-      while (what == 0 && !timers_.empty() && *timers_.begin() <= now_) {
+    for (int task : order) {
+      while (task == 0 && !timers_.empty() && *timers_.begin() <= now_) {
         timers_.erase(timers_.begin());
-        Do(TimerFired{});
+        Handle(TimerFired{});
       }
-      if (what == 1) EndTries();
-      if (what == 2 && load) {
-        for (int k = Roll(4); k > 0; --k) Arrive();
+      if (task == 1) EndAttempts();
+      if (task == 2 && load) {
+        for (int k = RandomBelow(4); k > 0; --k) Arrive();
       }
-      if (what == 3 && Roll(20) == 0) ChangeList();
+      if (task == 3 && RandomBelow(20) == 0) ChangeList();
     }
-    for (auto& [id, r] : open_) {
-      if (r.finals == 0 && r.due + 20 < now_)
-        ADD_FAILURE() << "request " << id << " due " << r.due << " has no answer at " << now_;
+    for (auto& [id, r] : requests_) {
+      if (r.final_responses == 0 && r.due + 20 < now_)
+        ADD_FAILURE() << "request " << id << " due " << r.due << " has no final response at " << now_;
     }
   }
 
   void Arrive() {
     RequestReceived s;
     s.request = ++last_id_;
-    s.request_class = Roll(3);
-    s.due = At(now_ + 30 + Roll(700));
-    s.has_hint = Roll(3) > 0;
-    s.work_ms = 1 + Roll(60);
-    open_[s.request] = Open{s.request_class, s.due.time_since_epoch().count(), {}};
-    Do(s);
+    s.request_class = RandomBelow(3);
+    s.due = At(now_ + 30 + RandomBelow(700));
+    s.has_hint = RandomBelow(3) > 0;
+    s.work_ms = 1 + RandomBelow(60);
+    requests_[s.request] = RequestRecord{s.request_class, s.due.time_since_epoch().count(), {}};
+    Handle(s);
   }
 
   void ChangeList() {
-    const ServerId id = 1 + static_cast<ServerId>(Roll(8));
+    const ServerId id = 1 + static_cast<ServerId>(RandomBelow(8));
     ServerEntry& e = servers_[id];
-    e.state = static_cast<ServerState>(Roll(3));
-    if (e.state == ServerState::kReady && Roll(2)) e.up_since = At(now_);
-    Push(Roll(5) ? ListKind::kDelta : ListKind::kFull, Roll(5) ? std::vector<ServerEntry>{e} : All());
+    e.state = static_cast<ServerState>(RandomBelow(3));
+    if (e.state == ServerState::kReady && RandomBelow(2)) e.up_since = At(now_);
+    SendList(RandomBelow(5) ? ListKind::kDelta : ListKind::kFull,
+             RandomBelow(5) ? std::vector<ServerEntry>{e} : All());
   }
 
-  void EndTries() {
+  void EndAttempts() {
     std::vector<std::pair<RequestId, int>> ended;
-    for (auto& [id, r] : open_) {
-      for (std::size_t i = 0; i < r.tries.size(); ++i) {
-        if (r.tries[i].out && r.tries[i].ends_at <= now_) ended.emplace_back(id, static_cast<int>(i));
+    for (auto& [id, r] : requests_) {
+      for (std::size_t i = 0; i < r.attempts.size(); ++i) {
+        if (r.attempts[i].is_outstanding && r.attempts[i].ends_at <= now_)
+          ended.emplace_back(id, static_cast<int>(i));
       }
     }
     std::shuffle(ended.begin(), ended.end(), rng_);
     for (const auto& [id, i] : ended) {
-      Open& r = open_[id];
-      Try& t = r.tries[static_cast<std::size_t>(i)];
-      t.out = false;
-      if (t.outcome == Outcome::kOk && r.finals == 0) r.finals = 1;
+      RequestRecord& r = requests_[id];
+      AttemptRecord& t = r.attempts[static_cast<std::size_t>(i)];
+      t.is_outstanding = false;
+      if (t.outcome == Outcome::kOk && r.final_responses == 0) r.final_responses = 1;
       AttemptEnded e;
       e.request = id;
       e.attempt = i;
       e.server = t.server;
       e.outcome = t.outcome;
-      e.is_request_finished = r.finals > 0;
+      e.is_request_finished = r.final_responses > 0;
       e.took = Duration(now_ - t.sent_at);
-      Do(e);
+      Handle(e);
     }
   }
 
-  void Do(const Event& event) {
-    // The lists that the instance was told decide about drains.
+  void Handle(const Event& event) {
+    // A dispatch is checked against the last list that the balancer received.
     if (const auto* list = std::get_if<ListUpdate>(&event)) {
-      if (list->kind != ListKind::kDelta) told_.clear();
-      for (const ServerEntry& e : list->entries) told_[e.server] = e;
+      if (list->kind != ListKind::kDelta) listed_.clear();
+      for (const ServerEntry& e : list->entries) listed_[e.server] = e;
     }
     std::vector<Action> actions;
     balancer_.Handle(At(now_), event, &actions);
-    for (const Action& a : actions) Judge(a);
+    for (const Action& a : actions) CheckAction(a);
   }
 
-  static bool NeverRan(const Try& t) {
-    return !t.out && (t.outcome == Outcome::kOverloaded || t.outcome == Outcome::kConnectFailed ||
-                      t.outcome == Outcome::kNotSent);
+  static bool DidNotRun(const AttemptRecord& t) {
+    return !t.is_outstanding && (t.outcome == Outcome::kOverloaded || t.outcome == Outcome::kConnectFailed ||
+                                 t.outcome == Outcome::kNotSent);
   }
 
-  void Judge(const Action& action) {
+  void CheckAction(const Action& action) {
     if (const auto* d = std::get_if<Dispatch>(&action)) {
       ++attempts;
-      Open& r = open_.at(d->request);
-      EXPECT_EQ(r.finals, 0) << "sent after its final answer";
-      EXPECT_LT(static_cast<int>(r.tries.size()), settings_.max_attempts);
-      EXPECT_TRUE(told_.count(d->server) && told_[d->server].state == ServerState::kReady) << "drain";
-      const Idempotency idempotency = settings_.classes[static_cast<std::size_t>(r.cls)].idempotency;
-      for (const Try& t : r.tries) {
-        EXPECT_TRUE(!t.out) << "two at once";
-        if (NeverRan(t)) continue;
-        EXPECT_NE(idempotency, Idempotency::kNotIdempotent) << "an effect twice";
+      RequestRecord& r = requests_.at(d->request);
+      EXPECT_EQ(r.final_responses, 0) << "sent after its final response";
+      EXPECT_LT(static_cast<int>(r.attempts.size()), settings_.max_attempts);
+      EXPECT_TRUE(listed_.count(d->server) && listed_[d->server].state == ServerState::kReady)
+          << "sent to a server that is not listed as ready";
+      const Idempotency idempotency =
+          settings_.classes[static_cast<std::size_t>(r.request_class)].idempotency;
+      for (const AttemptRecord& t : r.attempts) {
+        EXPECT_TRUE(!t.is_outstanding) << "two attempts at the same time";
+        if (DidNotRun(t)) continue;
+        EXPECT_NE(idempotency, Idempotency::kNotIdempotent)
+            << "a request that is not idempotent may have run twice";
         if (idempotency == Idempotency::kIdempotencyKey) {
           EXPECT_EQ(servers_[t.server].cell, servers_[d->server].cell);
           EXPECT_LE(now_ - t.sent_at,
-                    settings_.classes[static_cast<std::size_t>(r.cls)].idempotency_window.count());
+                    settings_.classes[static_cast<std::size_t>(r.request_class)].idempotency_window.count());
         }
       }
-      Try t{d->server, now_, now_ + Roll(400), static_cast<Outcome>(Roll(9))};
+      AttemptRecord t{d->server, now_, now_ + RandomBelow(400), static_cast<Outcome>(RandomBelow(9))};
       const double timeout = d->timeout.count() > 0 ? std::min(now_ + d->timeout.count(), r.due) : r.due;
       if (t.ends_at > timeout) t.ends_at = timeout, t.outcome = Outcome::kTimeout;
-      r.tries.push_back(t);
-    } else if (const auto* refuse = std::get_if<Reject>(&action)) {
-      Open& r = open_.at(refuse->request);
-      EXPECT_EQ(++r.finals, 1);
-      for (const Try& t : r.tries) {
-        EXPECT_TRUE(NeverRan(t) || settings_.classes[static_cast<std::size_t>(r.cls)].idempotency ==
-                                       Idempotency::kIdempotent)
-            << "refused though it may have run";
+      r.attempts.push_back(t);
+    } else if (const auto* rejection = std::get_if<Reject>(&action)) {
+      RequestRecord& r = requests_.at(rejection->request);
+      EXPECT_EQ(++r.final_responses, 1);
+      for (const AttemptRecord& t : r.attempts) {
+        EXPECT_TRUE(DidNotRun(t) ||
+                    settings_.classes[static_cast<std::size_t>(r.request_class)].idempotency ==
+                        Idempotency::kIdempotent)
+            << "rejected though it may have run";
       }
     } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
-      EXPECT_EQ(++open_.at(fail->request).finals, 1);
+      EXPECT_EQ(++requests_.at(fail->request).final_responses, 1);
     } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
       timers_.insert(std::max(now_ + 1, timer->at.time_since_epoch().count()));
     }
@@ -190,18 +199,19 @@
   double now_ = 500;
   std::multiset<double> timers_;
   RequestId last_id_ = 0;
-  std::map<ServerId, ServerEntry> servers_, told_;
-  std::map<RequestId, Open> open_;
+  std::map<ServerId, ServerEntry> servers_, listed_;
+  std::map<RequestId, RequestRecord> requests_;
 };
 
-// Rule four over many proxies: what all together send a server in slow start within the rule's window stays
-// under the multiple of what it can do then. The fleet has a load of 0.7; servers restart at random and are
-// as slow to warm as the settings allow.
+// Checks operating rule four (slow start) for many proxies: the work that all of them send to a server in
+// slow start within the overload window must stay below the overload multiple of the server's present
+// capacity. The fleet has a load of 0.7. Servers restart at random and take as long as the settings allow to
+// reach their full capacity.
 TEST(Invariants, ManyProxiesDoNotOverloadServersInSlowStart) {
   constexpr int kProxies = 60, kServers = 12;
   constexpr double kWork = 10, kEveryMs = 200, kWindow = 1000;
-  const double capacity = kProxies * kWork / kEveryMs / kServers / 0.7;  // work a ms of a warm server
-  std::size_t to_cold = 0;
+  const double capacity = kProxies * kWork / kEveryMs / kServers / 0.7;  // work per ms of a warm server
+  std::size_t sent_in_slow_start = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SCOPED_TRACE(seed);
     std::mt19937_64 rng(seed);
@@ -209,8 +219,8 @@
     Settings settings = DefaultSettings();
     settings.balancer_count = kProxies;
     settings.overload_window = Duration(kWindow);
-    for (int me = 0; me < kProxies; ++me) {
-      settings.balancer_index = me;
+    for (int index = 0; index < kProxies; ++index) {
+      settings.balancer_index = index;
       proxies.emplace_back(settings, rng());
     }
     std::vector<ServerEntry> list;
@@ -246,7 +256,7 @@
         recent.push_back(now);
         while (now - recent.front() > kWindow) recent.pop_front();
         if (e.up_since != TimePoint{} && age < settings.slow_start_window.count()) {
-          ++to_cold;
+          ++sent_in_slow_start;
           const double share = settings.slow_start_min_share +
                                (1 - settings.slow_start_min_share) * age / settings.slow_start_window.count();
           EXPECT_LE(static_cast<double>(recent.size()) * kWork,
@@ -263,19 +273,20 @@
       }
     }
   }
-  EXPECT_GT(to_cold, 1000u) << "cold servers must be used at all";
+  EXPECT_GT(sent_in_slow_start, 1000u) << "servers in slow start must be used";
 }
 
-// Three proxies and servers of unequal speed, each a queue before its cores, asked for requests of two sizes.
-// The slowest restarts, and soon after two others fail whatever they get. Rule four as the operators count
-// it, in requests of the mean's work: N may go, and chance may add three roots of N and three.
+// Simulates three proxies and servers of different speeds, each with a queue in front of its cores, and
+// requests of two sizes. The slowest server restarts, and soon after that all requests at two other servers
+// fail. Operating rule four (slow start) is checked in requests of mean work: if N may be sent, random
+// fluctuation may add 3 * sqrt(N) + 3.
 struct SlowColdServer {
   static constexpr double kLoad = 0.7, kWindow = 1500, kRestart = 20000, kFailure = 22000;
   static constexpr double kSmall = 20, kLarge = 450, kLargeShare = 0.2;
   static constexpr double kMean = kLargeShare * kLarge + (1 - kLargeShare) * kSmall;
-  static constexpr ServerId kServers = 10, kCold = kServers;
+  static constexpr ServerId kServers = 10, kColdServer = kServers;
   static constexpr std::size_t kCores = 5;
-  struct Answer {
+  struct Response {
     std::size_t proxy;
     RequestId id;
     int attempt;
@@ -283,7 +294,7 @@
     double sent_at;
   };
 
-  SlowColdServer(std::uint64_t seed, double slowest) : rng(seed), slow(slowest) {
+  SlowColdServer(std::uint64_t seed, double slowest) : rng(seed), cold_speed(slowest) {
     Settings settings = DefaultSettings();
     settings.balancer_count = 3;
     settings.classes = {testing::Class(Idempotency::kIdempotent, 600)};
@@ -292,68 +303,71 @@
          ++settings.balancer_index)
       rigs.emplace_back(settings, rng());
   }
-  double Unit() { return static_cast<double>(rng() >> 11) * 0x1.0p-53; }
-  double Speed(ServerId s) const { return s == kCold ? slow : s <= 2 ? 1.3 : 1; }
-  double Share() const { return now < kRestart ? 1 : std::min(1.0, 0.25 + 0.75 * (now - kRestart) / 10000); }
+  double RandomReal() { return static_cast<double>(rng() >> 11) * 0x1.0p-53; }
+  double Speed(ServerId s) const { return s == kColdServer ? cold_speed : s <= 2 ? 1.3 : 1; }
+  double CapacityShare() const {
+    return now < kRestart ? 1 : std::min(1.0, 0.25 + 0.75 * (now - kRestart) / 10000);
+  }
   bool Fails(ServerId s) const { return now >= kFailure && s <= 2; }
 
-  void Take(std::size_t proxy) {
+  void HandleDispatches(std::size_t proxy) {
     for (const Action& a : std::vector<Action>(rigs[proxy].actions)) {
       const auto* d = std::get_if<Dispatch>(&a);
       if (!d) continue;
-      auto& cores = free_at[d->server - 1];
+      auto& cores = core_free_at[d->server - 1];
       auto& core = *std::min_element(cores.begin(), cores.end());
-      const double speed = Speed(d->server) * (d->server == kCold ? Share() : 1);
+      const double speed = Speed(d->server) * (d->server == kColdServer ? CapacityShare() : 1);
       if (!Fails(d->server)) core = std::max(core, now) + work.at(d->request) / speed;
-      answers.emplace(Fails(d->server) ? now : core,
-                      Answer{proxy, d->request, attempts[d->request]++, d->server, now});
-      if (d->server == kCold && now >= kRestart) to_cold.push_back(now);
+      responses.emplace(Fails(d->server) ? now : core,
+                        Response{proxy, d->request, attempts[d->request]++, d->server, now});
+      if (d->server == kColdServer && now >= kRestart) sent_to_cold_at.push_back(now);
     }
   }
 
-  void Ask() {
+  void SendRequest() {
     const auto proxy = static_cast<std::size_t>(rng() % rigs.size());
-    work[++last] = Unit() < kLargeShare ? kLarge : kSmall;
-    rigs[proxy].Send(last, 0, work[last]);
-    Take(proxy);
+    work[++last_id] = RandomReal() < kLargeShare ? kLarge : kSmall;
+    rigs[proxy].Send(last_id, 0, work[last_id]);
+    HandleDispatches(proxy);
   }
 
-  // The most that went to the cold server in a window, over what may go.
-  double Play() {
+  // Returns the largest ratio of the requests sent to the cold server within a window to those permitted.
+  double Run() {
     std::vector<ServerEntry> list;
-    double speed = 0, due = 0, most = 0;
+    double speed = 0, requests_due = 0, max_ratio = 0;
     for (ServerId id = 1; id <= kServers; ++id) list.push_back(Entry(id)), speed += Speed(id);
     for (testing::Rig& rig : rigs) rig.now = now, rig.List(list, ListKind::kCached);
     for (; now < 30000; now += 5) {
       for (testing::Rig& rig : rigs) {
         rig.now = now;
-        if (now == kRestart) rig.List({Entry(kCold, 0, 0, ServerState::kReady, now)}, ListKind::kDelta);
+        if (now == kRestart) rig.List({Entry(kColdServer, 0, 0, ServerState::kReady, now)}, ListKind::kDelta);
       }
-      while (!answers.empty() && answers.begin()->first <= now) {
-        const Answer a = answers.begin()->second;
-        answers.erase(answers.begin());
+      while (!responses.empty() && responses.begin()->first <= now) {
+        const Response a = responses.begin()->second;
+        responses.erase(responses.begin());
         rigs[a.proxy].EndAttempt(a.id, a.attempt, a.server, Fails(a.server) ? Outcome::kError : Outcome::kOk,
                                  now - a.sent_at);
-        Take(a.proxy);
+        HandleDispatches(a.proxy);
       }
-      for (due += 5 * kLoad * speed * kCores / kMean; due >= 1; --due) Ask();
-      const auto sent =
-          std::count_if(to_cold.begin(), to_cold.end(), [this](double at) { return now - at <= kWindow; });
-      const double n = 3 * slow * kCores * Share() * kWindow / kMean;
-      most = std::max(most, static_cast<double>(sent) / (n + 3 * std::sqrt(n) + 3));
+      for (requests_due += 5 * kLoad * speed * kCores / kMean; requests_due >= 1; --requests_due)
+        SendRequest();
+      const auto sent = std::count_if(sent_to_cold_at.begin(), sent_to_cold_at.end(),
+                                      [this](double at) { return now - at <= kWindow; });
+      const double n = 3 * cold_speed * kCores * CapacityShare() * kWindow / kMean;
+      max_ratio = std::max(max_ratio, static_cast<double>(sent) / (n + 3 * std::sqrt(n) + 3));
     }
-    return most;
+    return max_ratio;
   }
 
   std::mt19937_64 rng;
-  double slow;
+  double cold_speed;
   std::vector<testing::Rig> rigs;
-  std::vector<std::vector<double>> free_at{kServers, std::vector<double>(kCores)};
-  std::multimap<double, Answer> answers;
+  std::vector<std::vector<double>> core_free_at{kServers, std::vector<double>(kCores)};
+  std::multimap<double, Response> responses;
   std::map<RequestId, double> work;
   std::map<RequestId, int> attempts;
-  std::vector<double> to_cold;  // sent after the restart
-  RequestId last = 0;
+  std::vector<double> sent_to_cold_at;  // times of the sends after the restart
+  RequestId last_id = 0;
   double now = 1000;
 };
 
@@ -361,8 +375,8 @@
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     for (const double slowest : {0.45, 0.2}) {
       SlowColdServer world(seed, slowest);
-      EXPECT_LE(world.Play(), 1) << "seed " << seed << ", speed " << slowest;
-      EXPECT_GT(world.to_cold.size(), 50u) << "and it is used";
+      EXPECT_LE(world.Run(), 1) << "seed " << seed << ", speed " << slowest;
+      EXPECT_GT(world.sent_to_cold_at.size(), 50u) << "the server in slow start must be used";
     }
   }
 }
@@ -375,11 +389,11 @@
     s.max_attempts = 1 + static_cast<int>(seed % 5);
     s.tenants = {{10}, {10}};
     s.over_quota_priority_share = 0.2;
-    World world(s, seed);
-    world.Play();
-    attempts += world.attempts;
+    RandomEvents events(s, seed);
+    events.Run();
+    attempts += events.attempts;
   }
-  EXPECT_GT(attempts, 2000u) << "the rounds must exercise something";
+  EXPECT_GT(attempts, 2000u) << "the test must make enough attempts to be meaningful";
 }
 
 }  // namespace
--- a/tests/policy/maintenance_test.cpp
+++ b/tests/policy/maintenance_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The module's part in operators' commands: maintenance of servers, hot restart, and changed settings.
+// Tests the events that operators' commands cause: maintenance of servers, hot restart and changed settings.
 #include <gtest/gtest.h>
 
 #include "harness.h"
@@ -8,9 +8,9 @@
 namespace load_balancer::testing {
 namespace {
 
-TEST(Maintenance, NothingIsDispatchedToItsServerWhateverListsSay) {
+TEST(Maintenance, NoRequestIsSentToAServerInMaintenanceThatIsListedAsReady) {
   Rig rig;
-  rig.Handle(StartMaintenance{2});  // before any list names it
+  rig.Handle(StartMaintenance{2});  // before a list contains the server
   rig.Servers(2);
   RequestId id = 0;
   for (int i = 0; i < 20; ++i) {
@@ -25,7 +25,7 @@
   }
 }
 
-TEST(Maintenance, ARetryDoesNotGoToItsServer) {
+TEST(Maintenance, ARetryIsNotSentToAServerInMaintenance) {
   Rig rig;
   rig.Servers(2);
   const auto first = rig.Send(1);
@@ -35,7 +35,7 @@
   EXPECT_NE(rig.SentTo(1), 3 - *first);
 }
 
-TEST(Maintenance, StartedTwiceAndEndedOnceIsOver) {
+TEST(Maintenance, EndsWithTheFirstEndEvenIfStartedTwice) {
   Rig rig;
   rig.Servers(1);
   rig.Handle(StartMaintenance{1});
@@ -47,16 +47,16 @@
   EXPECT_EQ(rig.Send(2), 1u);
 }
 
-// Responses of two equally fast servers for `ms`.
+// Sends requests for `ms` and returns the number of successful attempts at each server.
 std::map<ServerId, int> Serve(Rig& rig, RequestId& id, double ms) {
-  std::map<ServerId, int> got;
+  std::map<ServerId, int> responses;
   for (double end = rig.now + ms; rig.now < end; rig.now += 10) {
     const auto server = rig.Send(++id, 0, 20);
     if (!server) continue;
-    ++got[*server];
+    ++responses[*server];
     rig.EndAttempt(id, 0, *server, Outcome::kOk, 5);
   }
-  return got;
+  return responses;
 }
 
 TEST(Maintenance, AServerThatReturnsIsInSlowStartAndIsUsedSoon) {
@@ -67,12 +67,12 @@
   rig.Handle(StartMaintenance{1});
   EXPECT_EQ(Serve(rig, id, 3000)[1], 0);
   rig.Handle(EndMaintenance{1});
-  auto got = Serve(rig, id, 1000);
-  EXPECT_GT(got[1], 0);
-  EXPECT_LT(got[1], got[2]);
+  auto responses = Serve(rig, id, 1000);
+  EXPECT_GT(responses[1], 0);
+  EXPECT_LT(responses[1], responses[2]);
 }
 
-TEST(Maintenance, EjectionEndsWithTheReturn) {
+TEST(Maintenance, TheEndOfMaintenanceEndsAnEjection) {
   Rig rig;
   rig.Servers(4);
   RequestId id = 0;
@@ -80,7 +80,7 @@
     const auto server = rig.Send(++id, 2);
     if (server) rig.EndAttempt(id, 0, *server, *server == 1 ? Outcome::kError : Outcome::kOk);
   }
-  const auto of_one = [&] {
+  const auto count_picks = [&] {
     int picked = 0;
     for (int i = 0; i < 20; ++i) {
       const auto server = rig.Send(++id, 2);
@@ -89,11 +89,11 @@
     }
     return picked;
   };
-  ASSERT_EQ(of_one(), 0) << "ejected";
+  ASSERT_EQ(count_picks(), 0) << "it is ejected";
   rig.Handle(StartMaintenance{1});
   rig.Handle(EndMaintenance{1});
   rig.Tick(1200);
-  EXPECT_GT(of_one(), 0);
+  EXPECT_GT(count_picks(), 0);
 }
 
 TEST(Maintenance, TwoProcessesShareOneSlowStartBudget) {
@@ -111,38 +111,39 @@
   EXPECT_LT(shared, alone);
 }
 
-// ---- settings that change -----------------------------------------------------------------------------
-// The classes of DefaultSettings(): 0 idempotent, 1 by idempotency key, 2 not idempotent.
-NewSettings Change(std::vector<int> kept, int max_attempts = 4) {
+// ---- changed settings ---------------------------------------------------------------------------------
+// Returns new settings with the classes `previous_indices` of DefaultSettings(): 0 is idempotent, 1 has an
+// idempotency key, 2 is not idempotent. -1 stands for a new idempotent class.
+NewSettings Change(std::vector<int> previous_indices, int max_attempts = 4) {
   Settings settings = DefaultSettings();
   std::vector<ClassSettings> classes;
-  for (const int from : kept)
-    classes.push_back(from < 0 ? Class(Idempotency::kIdempotent)
-                               : settings.classes[static_cast<std::size_t>(from)]);
+  for (const int previous_index : previous_indices)
+    classes.push_back(previous_index < 0 ? Class(Idempotency::kIdempotent)
+                                         : settings.classes[static_cast<std::size_t>(previous_index)]);
   settings.classes = classes;
   settings.max_attempts = max_attempts;
   NewSettings change;
   change.settings = std::make_shared<const Settings>(settings);
-  change.previous_class_indices = std::move(kept);
+  change.previous_class_indices = std::move(previous_indices);
   return change;
 }
 
 TEST(SettingsChange, OpenRequestsKeepTheRulesOfTheirClass) {
   Rig rig;
   rig.Servers(3);
-  const auto unsafe = rig.Send(1, 2);
-  const auto safe = rig.Send(2, 0);
-  ASSERT_TRUE(unsafe && safe);
-  rig.Handle(Change({2, 0}));  // 1 is dropped, the others change places
-  rig.EndAttempt(1, 0, *unsafe, Outcome::kReset);
-  EXPECT_FALSE(rig.SentTo(1)) << "unsafe still, though its index is a safe class now";
+  const auto not_idempotent = rig.Send(1, 2);
+  const auto idempotent = rig.Send(2, 0);
+  ASSERT_TRUE(not_idempotent && idempotent);
+  rig.Handle(Change({2, 0}));  // class 1 is removed, the others change places
+  rig.EndAttempt(1, 0, *not_idempotent, Outcome::kReset);
+  EXPECT_FALSE(rig.SentTo(1)) << "it is still not idempotent, though an idempotent class has its index now";
   EXPECT_EQ(rig.Count<FailRequest>(), 1);
-  rig.EndAttempt(2, 0, *safe, Outcome::kReset);
+  rig.EndAttempt(2, 0, *idempotent, Outcome::kReset);
   EXPECT_TRUE(rig.SentTo(2));
-  const auto fresh = rig.Send(3, 0);
-  ASSERT_TRUE(fresh);
-  rig.EndAttempt(3, 0, *fresh, Outcome::kReset);
-  EXPECT_EQ(rig.Count<FailRequest>(), 1) << "the unsafe class has index 0 now";
+  const auto later = rig.Send(3, 0);
+  ASSERT_TRUE(later);
+  rig.EndAttempt(3, 0, *later, Outcome::kReset);
+  EXPECT_EQ(rig.Count<FailRequest>(), 1) << "the class that is not idempotent has index 0 now";
 }
 
 TEST(SettingsChange, ARequestOfADroppedClassIsFinished) {
@@ -156,20 +157,20 @@
   const auto second = rig.SentTo(1);
   ASSERT_TRUE(second);
   rig.EndAttempt(1, 1, *second, Outcome::kOk);
-  EXPECT_FALSE(rig.Send(2, 2)) << "the class is gone";
+  EXPECT_FALSE(rig.Send(2, 2)) << "the class has been removed";
   EXPECT_EQ(rig.Count<Reject>(), 1);
 }
 
-TEST(SettingsChange, TheNumberOfAttemptsBindsForNewRequests) {
+TEST(SettingsChange, ANewMaximumNumberOfAttemptsAppliesToNewRequestsOnly) {
   Rig rig;
   rig.Servers(3);
-  const auto old = rig.Send(1);
+  const auto earlier = rig.Send(1);
   rig.Handle(Change({0, 1, 2}, 1));
-  const auto fresh = rig.Send(2);
-  ASSERT_TRUE(old && fresh);
-  rig.EndAttempt(2, 0, *fresh, Outcome::kOverloaded);
+  const auto later = rig.Send(2);
+  ASSERT_TRUE(earlier && later);
+  rig.EndAttempt(2, 0, *later, Outcome::kOverloaded);
   EXPECT_FALSE(rig.SentTo(2));
-  rig.EndAttempt(1, 0, *old, Outcome::kOverloaded);
+  rig.EndAttempt(1, 0, *earlier, Outcome::kOverloaded);
   EXPECT_TRUE(rig.SentTo(1));
 }
 
--- a/tests/policy/outlier_detection_test.cpp
+++ b/tests/policy/outlier_detection_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Outlier detection alone. outlier_ejection_test.cpp tests it with traffic.
+// Tests OutlierDetector by itself. outlier_ejection_test.cpp tests it with traffic.
 #include "policy/outlier_detection.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
   RandomSource random_{1};
 };
 
-TEST_F(OutlierDetectorTest, EjectsForTheBaseTimeAndLongerEachTime) {
+TEST_F(OutlierDetectorTest, EjectsForTheBaseTimeAndLowersTheMultiplierAtReturn) {
   Record(0, true, 20);
   Record(2, true, 20);
   EXPECT_TRUE(Record(1, false, 3));
@@ -41,24 +41,26 @@
   EXPECT_EQ(hosts_[1].multiplier, 0);
 }
 
-TEST_F(OutlierDetectorTest, NoMoreThanHalfAreEjected) {
+TEST_F(OutlierDetectorTest, EjectsNoMoreThanHalfOfTheHosts) {
   Record(3, true, 200);
   EXPECT_TRUE(Record(0, false, 3));
   EXPECT_TRUE(Record(1, false, 3));
   EXPECT_FALSE(Record(2, false, 3));
   detector_.RemoveHost(hosts_[0]);
-  EXPECT_TRUE(Record(2, false)) << "one of the three that are left is out";
+  EXPECT_TRUE(Record(2, false)) << "one of the three remaining hosts is ejected";
 }
 
-TEST_F(OutlierDetectorTest, FollowsAPeerNoLongerThanItsOwnBackoffAndUpToAQuarter) {
+TEST_F(OutlierDetectorTest, AppliesPeerEjectionsForItsOwnBackoffAndToAQuarterOfTheHosts) {
   const PeerEjection peer{7, At(9000), 3, 3};
   EXPECT_TRUE(detector_.ApplyPeerEjection(hosts_[0], peer, 0, At(1000)));
   EXPECT_EQ(hosts_[0].return_at, At(3000));
   EXPECT_TRUE(hosts_[0].is_peer_ejection);
-  EXPECT_FALSE(detector_.ApplyPeerEjection(hosts_[1], peer, 1, At(1000))) << "a quarter is out";
+  EXPECT_FALSE(detector_.ApplyPeerEjection(hosts_[1], peer, 1, At(1000)))
+      << "a quarter of the hosts are already ejected because of peers' reports";
   EXPECT_FALSE(detector_.ApplyPeerEjection(hosts_[1], {7, At(9000), 2, 2}, 0, At(1000)))
       << "too few attempts";
-  EXPECT_FALSE(detector_.ApplyPeerEjection(hosts_[1], {7, At(1000), 3, 3}, 0, At(1000))) << "it is over";
+  EXPECT_FALSE(detector_.ApplyPeerEjection(hosts_[1], {7, At(1000), 3, 3}, 0, At(1000)))
+      << "the peer's ejection is over";
 }
 
 TEST_F(OutlierDetectorTest, RestoresAnEjectionWithItsMultiplierAndWithinBounds) {
@@ -81,7 +83,7 @@
   EXPECT_EQ(detector_.interval(), Duration(10000));
 }
 
-TEST_F(OutlierDetectorTest, AnIntervalResetsCountsAndLowersTheMultiplierOfHostsInService) {
+TEST_F(OutlierDetectorTest, TheEndOfAnIntervalResetsCountsAndLowersTheMultiplierOfHostsInService) {
   Record(0, true, 20);
   Record(1, false, 2);
   hosts_[1].multiplier = 2;
@@ -89,7 +91,7 @@
   for (HostHealth& host : hosts_) OutlierDetector::EndHostInterval(host);
   EXPECT_EQ(hosts_[1].attempts(), 0);
   EXPECT_EQ(hosts_[1].multiplier, 1);
-  EXPECT_FALSE(Record(1, false, 3)) << "no other host has the volume in this interval";
+  EXPECT_FALSE(Record(1, false, 3)) << "no other host has reached the request volume in this interval";
 }
 
 }  // namespace
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Outlier detection with traffic: when a server is ejected, and when it returns.
+// Tests outlier detection with traffic: when a server is ejected and when it returns.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -14,68 +14,70 @@
 namespace load_balancer {
 namespace {
 
-using testing::AnswerOne;
-using testing::Answers;
 using testing::At;
-using testing::Busy;
 using testing::DefaultSettings;
 using testing::Entry;
-using testing::InService;
+using testing::IsInService;
 using testing::next_id;
+using testing::RespondFromEachServer;
 using testing::Rig;
+using testing::SendAndRespond;
+using testing::SendBusyTraffic;
 
 TEST(OutlierDetection, EjectsAtTheRequestVolumeAndNotBelow) {
   Rig rig;
   rig.Servers(3);
-  Answers(rig, 2, 2);
-  EXPECT_TRUE(InService(rig, 1)) << "two attempts are under the volume floor";
-  Answers(rig, 1, 1);
-  EXPECT_FALSE(InService(rig, 1));
+  RespondFromEachServer(rig, 2, 2);
+  EXPECT_TRUE(IsInService(rig, 1)) << "two attempts are below the request volume";
+  RespondFromEachServer(rig, 1, 1);
+  EXPECT_FALSE(IsInService(rig, 1));
 }
 
-TEST(OutlierDetection, TheRequestVolumeIsTheServersOwn) {
+TEST(OutlierDetection, TheRequestVolumeIsCountedForEachServer) {
   Rig rig;
   rig.Servers(3);
-  Answers(rig, 3, 3, Outcome::kCancelled);  // the others qualify, server 1 has no answer that counts
-  Answers(rig, 2, 2);
-  EXPECT_TRUE(InService(rig, 1));
-  Answers(rig, 1, 1);
-  EXPECT_FALSE(InService(rig, 1));
+  // The other servers reach the volume. The attempts at server 1 do not count, as they are cancelled.
+  RespondFromEachServer(rig, 3, 3, Outcome::kCancelled);
+  RespondFromEachServer(rig, 2, 2);
+  EXPECT_TRUE(IsInService(rig, 1));
+  RespondFromEachServer(rig, 1, 1);
+  EXPECT_FALSE(IsInService(rig, 1));
 }
 
-TEST(OutlierDetection, NoMoreThanHalfAreEjected) {
+TEST(OutlierDetection, EjectsNoMoreThanHalfOfTheServers) {
   Settings settings = DefaultSettings();
   settings.max_attempts = 1;
   Rig rig(settings);
   rig.Servers(6);
-  std::set<ServerId> late_on;
+  std::set<ServerId> used_late;
   for (int i = 0; i < 120; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Send(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
-    if (i >= 80) late_on.insert(*s);
+    if (i >= 80) used_late.insert(*s);
     rig.EndAttempt(id, 0, *s, *s <= 4 ? Outcome::kReset : Outcome::kOk);
   }
-  EXPECT_EQ(late_on.size(), 3u) << "four of six always fail; three are out";
+  EXPECT_EQ(used_late.size(), 3u) << "four of six always fail, and three are ejected";
 }
 
-TEST(OutlierDetection, ThresholdIsStrict) {
+TEST(OutlierDetection, AFailureShareEqualToTheThresholdDoesNotEject) {
   Rig at;
   at.Servers(3);
-  // 2 of 5 failing is exactly 0.4; successes first so that no shorter prefix is over the threshold.
-  for (int i = 0; i < 5; ++i) Answers(at, 1, i >= 3 ? 1 : 0);
-  EXPECT_TRUE(InService(at, 1));
+  // 2 failures of 5 are exactly 0.4. The successes come first, so that the share is not above the threshold
+  // earlier.
+  for (int i = 0; i < 5; ++i) RespondFromEachServer(at, 1, i >= 3 ? 1 : 0);
+  EXPECT_TRUE(IsInService(at, 1));
   Rig over;
   over.Servers(3);
-  for (int i = 0; i < 4; ++i) Answers(over, 1, i >= 2 ? 1 : 0);
-  EXPECT_FALSE(InService(over, 1));
+  for (int i = 0; i < 4; ++i) RespondFromEachServer(over, 1, i >= 2 ? 1 : 0);
+  EXPECT_FALSE(IsInService(over, 1));
 }
 
-TEST(OutlierDetection, MinimumHosts) {
+TEST(OutlierDetection, TheOnlyServerIsNotEjected) {
   Rig rig;
   rig.Servers(1);
-  for (int i = 0; i < 10; ++i) AnswerOne(rig, Outcome::kError, {1});
-  EXPECT_TRUE(InService(rig, 1)) << "there is nothing to compare a lone server with";
+  for (int i = 0; i < 10; ++i) SendAndRespond(rig, Outcome::kError, {1});
+  EXPECT_TRUE(IsInService(rig, 1)) << "there is no other server to compare it with";
 }
 
 TEST(OutlierDetection, CancelledAndUnsentAttemptsDoNotCount) {
@@ -84,45 +86,46 @@
     settings.max_attempts = 1;
     Rig rig(settings);
     rig.Servers(3);
-    Answers(rig, 6, 6, outcome);
-    EXPECT_TRUE(InService(rig, 1));
+    RespondFromEachServer(rig, 6, 6, outcome);
+    EXPECT_TRUE(IsInService(rig, 1));
   }
 }
 
-TEST(OutlierDetection, EveryFailureCounts) {
+TEST(OutlierDetection, EveryKindOfFailureCounts) {
   for (Outcome outcome :
        {Outcome::kError, Outcome::kOverloaded, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
     Settings s = DefaultSettings();
     s.max_attempts = 1;
     Rig rig(s);
     rig.Servers(3);
-    Answers(rig, 3, 3, outcome);
-    EXPECT_FALSE(InService(rig, 1)) << static_cast<int>(outcome);
+    RespondFromEachServer(rig, 3, 3, outcome);
+    EXPECT_FALSE(IsInService(rig, 1)) << static_cast<int>(outcome);
   }
 }
 
-TEST(OutlierDetection, ReturnsByTimerAndBacksOffByMultiplier) {
+TEST(OutlierDetection, AServerReturnsByTimerAfterTheBaseEjectionTime) {
   Rig rig;
   rig.Servers(3);
-  Answers(rig, 3, 3);
-  EXPECT_FALSE(InService(rig, 1));
+  RespondFromEachServer(rig, 3, 3);
+  EXPECT_FALSE(IsInService(rig, 1));
   rig.Tick(1999);
-  EXPECT_FALSE(InService(rig, 1));
+  EXPECT_FALSE(IsInService(rig, 1));
   rig.Tick(1);
-  EXPECT_TRUE(InService(rig, 1)) << "base ejection time x 1";
+  EXPECT_TRUE(IsInService(rig, 1)) << "the base ejection time has passed";
 }
 
-TEST(OutlierDetection, MultiplierFallsAtReturnAndPerInterval) {
+TEST(OutlierDetection, TheMultiplierFallsAtReturnAndAtEachInterval) {
   Rig rig;
   rig.Servers(3);
-  Busy(rig);
+  SendBusyTraffic(rig);
   rig.Tick(1500);
-  // 1 at ejection, 0 at return, 1 at the next: the same time again, as A50's step 6b has it.
+  // The multiplier is 1 at the ejection, 0 at the return and 1 at the next ejection, which therefore lasts as
+  // long (gRFC A50, step 6b).
   for (int round = 0; round < 3; ++round) {
-    Answers(rig, 3, 3);
-    EXPECT_FALSE(InService(rig, 1));
+    RespondFromEachServer(rig, 3, 3);
+    EXPECT_FALSE(IsInService(rig, 1));
     rig.Tick(2000);
-    EXPECT_TRUE(InService(rig, 1));
+    EXPECT_TRUE(IsInService(rig, 1));
     rig.Tick(2000);
   }
 }
@@ -130,21 +133,23 @@
 TEST(OutlierDetection, TheMultiplierFallsAtReturnBeforeAnyInterval) {
   Rig rig;
   rig.Servers(3);
-  Busy(rig);
+  SendBusyTraffic(rig);
   rig.Tick(1500);
-  rig.Tick(1000);  // half way through an interval
-  Answers(rig, 3, 3);
-  rig.Tick(1500);  // it ends while the server is out
+  rig.Tick(1000);  // half of an interval has passed
+  RespondFromEachServer(rig, 3, 3);
+  rig.Tick(1500);  // the interval ends while the server is ejected
   rig.Tick(500);
-  EXPECT_TRUE(InService(rig, 1));
-  Answers(rig, 3, 3);
-  EXPECT_FALSE(InService(rig, 1));
+  EXPECT_TRUE(IsInService(rig, 1));
+  RespondFromEachServer(rig, 3, 3);
+  EXPECT_FALSE(IsInService(rig, 1));
   rig.Tick(2000);
-  EXPECT_TRUE(InService(rig, 1)) << "twice as long had the multiplier not fallen";
+  EXPECT_TRUE(IsInService(rig, 1))
+      << "the ejection would last twice as long if the multiplier had not fallen";
 }
 
-// In a large fleet a proxy never makes three attempts at one server within an interval.
-TEST(OutlierDetection, SparseTrafficEjectsOnFailuresUnlikelyByChance) {
+// In a large fleet, a proxy never reaches the request volume of three attempts at a server within an
+// interval.
+TEST(OutlierDetection, WithSparseTrafficFailuresThatAreUnlikelyByChanceEject) {
   for (const bool failing_elsewhere : {false, true}) {
     Rig rig;
     rig.Servers(8);
@@ -159,9 +164,11 @@
       if (*s == 1 && ++sent > 2) ++after_two;
     }
     if (!failing_elsewhere) {
-      EXPECT_LE(sent, 7) << "one or two failures eject; an eighth of 120 would be 15";
+      EXPECT_LE(sent, 7)
+          << "one or two failures eject; without ejections it would get an eighth of 120, which is 15";
     } else {
-      EXPECT_GT(after_two, 2) << "a third fails everywhere: two failures say little";
+      EXPECT_GT(after_two, 2)
+          << "a third of the attempts fail at all servers, so two failures are not significant";
     }
   }
 }
@@ -175,15 +182,15 @@
     ASSERT_TRUE(s.has_value());
     rig.EndAttempt(id, 0, *s, Outcome::kError);
   }
-  std::set<ServerId> in;
+  std::set<ServerId> in_service;
   for (ServerId s = 1; s <= 4; ++s) {
-    if (InService(rig, s)) in.insert(s);
+    if (IsInService(rig, s)) in_service.insert(s);
   }
-  EXPECT_GE(in.size(), 2u) << "never more than half";
+  EXPECT_GE(in_service.size(), 2u) << "no more than half of the servers are ejected";
 }
 
-// Plays six servers for 20 s, of whose responses `usual` percent fail, and `worse` percent at server 1.
-// Returns how often server 1 and how often the others were ejected.
+// Simulates six servers for 20 s. `worse` percent of the attempts at server 1 fail, and `usual` percent at
+// the others. Returns the number of ejections of server 1 and of the others.
 std::pair<int, int> Ejections(int usual, int worse) {
   Rig rig;
   rig.Servers(6);
@@ -192,7 +199,7 @@
   for (int i = 0; i < 10000; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Send(id, 2, 10, 5000);
-    if (!s) ADD_FAILURE() << "held";
+    if (!s) ADD_FAILURE() << "the request was queued";
     if (!s) break;
     const bool fails = static_cast<int>(chance() % 100) < (*s == 1 ? worse : usual);
     rig.EndAttempt(id, 0, *s, fails ? Outcome::kReset : Outcome::kOk);
@@ -206,7 +213,7 @@
   return {first, others};
 }
 
-// Connections that break on the way to every server fail two of three attempts somewhere in every interval.
+// If connections to all servers break at random, two of three attempts fail at some server in each interval.
 TEST(OutlierDetection, FailuresAtAllServersEjectNoneByChance) {
   const auto [first, others] = Ejections(10, 10);
   EXPECT_LE(first + others, 1);
@@ -220,37 +227,38 @@
   }
 }
 
-TEST(OutlierDetection, AFleetFailingThroughoutDoesNotEjectItself) {
+TEST(OutlierDetection, AFleetThatAlwaysFailsEjectsNoServer) {
   Rig rig;
   rig.Servers(3);
-  for (int i = 0; i < 40; ++i) AnswerOne(rig, Outcome::kError, {1, 2, 3});
-  int in = 0;
-  for (ServerId s = 1; s <= 3; ++s) in += InService(rig, s);
-  EXPECT_EQ(in, 3);
+  for (int i = 0; i < 40; ++i) SendAndRespond(rig, Outcome::kError, {1, 2, 3});
+  int in_service = 0;
+  for (ServerId s = 1; s <= 3; ++s) in_service += IsInService(rig, s);
+  EXPECT_EQ(in_service, 3);
 }
 
-// With half the fleet failing, twice the failure share elsewhere would be a threshold over 1.
-TEST(OutlierDetection, AServerThatAlwaysFailsIsEjectedHoweverBadTheRest) {
+// If half of the other attempts fail, a threshold of twice their failure share would be 1 or more.
+TEST(OutlierDetection, AServerThatAlwaysFailsIsEjectedEvenIfOthersFailHalfOfTheTime) {
   Settings settings = DefaultSettings();
   settings.max_attempts = 1;
   Rig rig(settings);
   rig.Servers(4);
-  for (int i = 0; i < 64; ++i) {  // of 16, six that fail elsewhere half of the time may fail all by chance
+  // Each server gets 16 attempts, since six attempts may all fail by chance at a failure rate of one half.
+  for (int i = 0; i < 64; ++i) {
     const RequestId id = next_id++;
     const auto s = rig.Send(id, 2, 10, 5000);
     ASSERT_TRUE(s.has_value());
     rig.EndAttempt(id, 0, *s, *s == 1 || i % 2 ? Outcome::kError : Outcome::kOk);
   }
-  EXPECT_FALSE(InService(rig, 1));
+  EXPECT_FALSE(IsInService(rig, 1));
 }
 
-TEST(OutlierDetection, StateIsKeptWhenListedAgain) {
+TEST(OutlierDetection, AnEjectionOutlastsARemovalFromTheList) {
   Rig rig;
   rig.Servers(3);
-  Answers(rig, 3, 3);
+  RespondFromEachServer(rig, 3, 3);
   rig.List({Entry(1, 0, 0, ServerState::kGone)}, ListKind::kDelta);
   rig.List({Entry(1)}, ListKind::kDelta);
-  EXPECT_FALSE(InService(rig, 1));
+  EXPECT_FALSE(IsInService(rig, 1));
 }
 
 }  // namespace
--- a/tests/policy/request_bodies_test.cpp
+++ b/tests/policy/request_bodies_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The module's part in relayed bodies: what is in flight, and what may be retried.
+// Tests requests whose bodies the proxy relays: what counts as in flight, and what may be retried.
 #include <gtest/gtest.h>
 
 #include "harness.h"
@@ -19,8 +19,8 @@
   return s;
 }
 
-// One server, and a new proxy, which has a limit of two in flight.
-TEST(RequestBodies, AnUploadIsNoWorkInFlightBeforeItsLastByte) {
+// There is one server, and the proxy is new, so its limit is two attempts in flight.
+TEST(RequestBodies, AnUploadIsNotInFlightBeforeItsLastByte) {
   Rig rig;
   rig.Servers(1);
   for (RequestId id = 1; id <= 5; ++id) {
@@ -44,7 +44,7 @@
   EXPECT_TRUE(rig.SentTo(3));
 }
 
-TEST(RequestBodies, ARequestsTimeCountsFromItsLastByte) {
+TEST(RequestBodies, TheLatencyOfARequestCountsFromItsLastByte) {
   Rig rig;
   rig.Servers(2);
   rig.Handle(Upload(rig, 1, 100));
@@ -53,11 +53,11 @@
   rig.now += 5000;
   rig.Handle(BodyReceived{1, At(rig.now + 1000)});
   rig.EndAttempt(1, 0, *first, Outcome::kOverloaded);
-  EXPECT_TRUE(rig.SentTo(1)) << "there is time for another";
+  EXPECT_TRUE(rig.SentTo(1)) << "there is time for another attempt";
 }
 
-// The queue is ordered by arrival, which the end of an upload changes.
-TEST(RequestBodies, AQueuedRequestWhoseUploadEndsGoesInItsTurnOrIsForgotten) {
+// The queue is ordered by arrival, and the end of an upload changes the time of arrival.
+TEST(RequestBodies, AQueuedRequestWhoseUploadEndsIsSentInOrderUnlessItIsCancelled) {
   Rig rig;
   rig.Servers(1);
   EXPECT_TRUE(rig.Send(1));
--- a/tests/policy/request_state_test.cpp
+++ b/tests/policy/request_state_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The admission queue, the attempts in flight and the retry budget, each alone.
+// Unit tests of the admission queue, the attempts in flight and the retry budget.
 #include <gtest/gtest.h>
 
 #include "policy/admission_queue.h"
@@ -35,7 +35,7 @@
   EXPECT_EQ(queue.size(), 4u);
 }
 
-TEST(AdmissionQueue, KeepsTheRequestsFlagAndIgnoresARequestThatIsNotQueued) {
+TEST(AdmissionQueue, SetsIsQueuedAndIgnoresTheRemovalOfARequestThatIsNotQueued) {
   AdmissionQueue queue;
   Request request = Queued(1, 5, 10, 100);
   queue.Remove(request);
@@ -86,7 +86,7 @@
   EXPECT_TRUE(in_flight.empty());
 }
 
-TEST(AttemptsInFlight, OverflowIsCountedApart) {
+TEST(AttemptsInFlight, OverflowIsCountedSeparately) {
   AttemptsInFlight in_flight;
   in_flight.AddOverflow();
   in_flight.AddOverflow();
@@ -100,7 +100,7 @@
   int retries = 0;
   for (; budget.HasToken(); ++retries) budget.RecordRetry();
   EXPECT_EQ(retries, 20);
-  budget.RecordRetry();  // one that adds no load needs no token, and takes none that is not there
+  budget.RecordRetry();  // a retry that adds no load is made without a token, and the count stays at 0
   for (int attempt = 0; attempt < 9; ++attempt) budget.RecordFirstAttempt();
   EXPECT_FALSE(budget.HasToken());
   budget.RecordFirstAttempt();
@@ -108,7 +108,7 @@
   EXPECT_TRUE(budget.HasToken());
   for (int attempt = 0; attempt < 1000; ++attempt) budget.RecordFirstAttempt();
   for (retries = 0; budget.HasToken(); ++retries) budget.RecordRetry();
-  EXPECT_EQ(retries, 20) << "no more than the burst is stored";
+  EXPECT_EQ(retries, 20) << "the budget stores no more than 20 tokens";
 }
 
 }  // namespace
--- a/tests/policy/retries_test.cpp
+++ b/tests/policy/retries_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Retries and time-outs of attempts.
+// Tests retries and time-outs of attempts.
 #include <gtest/gtest.h>
 
 #include "policy/scripted_traffic.h"
@@ -8,22 +8,23 @@
 namespace load_balancer {
 namespace {
 
-using testing::AnswerOne;
-using testing::AskAndEnd;
 using testing::DefaultSettings;
 using testing::Entry;
 using testing::next_id;
 using testing::Rig;
+using testing::SendAndFinish;
+using testing::SendAndRespond;
 
-// What follows an attempt of each class that ended in each way: a retry, a rejection or a failure.
-struct Verdict {
-  int cls;
+// ExpectedResult states what follows the first attempt of a request of class `request_class` that ended with
+// `outcome`: whether it is retried and, if no attempt is left, whether it is rejected rather than failed.
+struct ExpectedResult {
+  int request_class;
   Outcome outcome;
-  bool again, refusable;
+  bool is_retried, may_reject;
 };
 
 TEST(Retries, OnlyPermittedRequestsAreRetriedOrRejected) {
-  const Verdict verdicts[] = {
+  const ExpectedResult expected_results[] = {
       {0, Outcome::kError, true, true},         {0, Outcome::kTimeout, true, true},
       {0, Outcome::kReset, true, true},         {0, Outcome::kOverloaded, true, true},
       {0, Outcome::kConnectFailed, true, true}, {1, Outcome::kError, true, false},
@@ -34,28 +35,29 @@
       {2, Outcome::kOverloaded, true, true},    {2, Outcome::kConnectFailed, true, true},
       {2, Outcome::kCancelled, false, false},
   };
-  for (const Verdict& v : verdicts) {
-    SCOPED_TRACE(::testing::Message() << "class " << v.cls << " outcome " << static_cast<int>(v.outcome));
+  for (const ExpectedResult& expected : expected_results) {
+    SCOPED_TRACE(::testing::Message()
+                 << "class " << expected.request_class << " outcome " << static_cast<int>(expected.outcome));
     Rig rig;
     rig.Servers(3);
-    const auto first = rig.Send(1, v.cls);
+    const auto first = rig.Send(1, expected.request_class);
     ASSERT_TRUE(first.has_value());
-    rig.EndAttempt(1, 0, *first, v.outcome);
-    EXPECT_EQ(rig.SentTo(1).has_value(), v.again);
-    if (v.again) {
-      EXPECT_NE(rig.SentTo(1), first) << "elsewhere";
+    rig.EndAttempt(1, 0, *first, expected.outcome);
+    EXPECT_EQ(rig.SentTo(1).has_value(), expected.is_retried);
+    if (expected.is_retried) {
+      EXPECT_NE(rig.SentTo(1), first) << "the retry goes to another server";
     } else {
       EXPECT_EQ(rig.Count<FailRequest>(), 1);
     }
-    // And with no attempt left: refused only where that is permitted.
+    // If no attempt is left, the request is rejected if that is permitted, and otherwise failed.
     Settings s = DefaultSettings();
     s.max_attempts = 1;
     Rig last(s);
     last.Servers(3);
-    const auto only = last.Send(1, v.cls);
-    last.EndAttempt(1, 0, *only, v.outcome);
-    EXPECT_EQ(last.Count<Reject>(), v.refusable ? 1 : 0);
-    EXPECT_EQ(last.Count<FailRequest>(), v.refusable ? 0 : 1);
+    const auto only_server = last.Send(1, expected.request_class);
+    last.EndAttempt(1, 0, *only_server, expected.outcome);
+    EXPECT_EQ(last.Count<Reject>(), expected.may_reject ? 1 : 0);
+    EXPECT_EQ(last.Count<FailRequest>(), expected.may_reject ? 0 : 1);
   }
 }
 
@@ -80,11 +82,11 @@
   }
 }
 
-// No hedged requests: they would take more capacity from others than they win.
-TEST(Retries, OneAttemptAtATime) {
+// There are no hedged requests, as they would cost others more capacity than they gain.
+TEST(Retries, ARequestHasOneAttemptAtATime) {
   Rig rig;
   rig.Servers(3);
-  for (int i = 0; i < 30; ++i) AnswerOne(rig, Outcome::kOk, {});
+  for (int i = 0; i < 30; ++i) SendAndRespond(rig, Outcome::kOk, {});
   for (int i = 0; i < 30; ++i) {
     const RequestId id = next_id++;
     rig.EndAttempt(id, 0, *rig.Send(id, 0), Outcome::kOk);
@@ -96,20 +98,20 @@
   EXPECT_TRUE(rig.sent.empty());
 }
 
-// Timing out what is merely late would double its work; a silent server must still be found before the
-// client's deadline.
-TEST(Retries, OnlyASilentServerGetsATimeOut) {
+// Timing out an attempt that is merely late would double its work. Only a silent server must be detected
+// before the client's deadline.
+TEST(Retries, AnAttemptAtAServerThatIsNotSilentHasNoTimeOut) {
   Rig rig;
   rig.Servers(1);
-  for (int i = 0; i < 40; ++i) AskAndEnd(rig);
+  for (int i = 0; i < 40; ++i) SendAndFinish(rig);
   rig.Send(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "it owes nothing yet";
+  EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "it has no outstanding attempt yet";
   rig.Tick(5);
   rig.Send(next_id++, 0, 10, 900);
-  EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "what it owes is not overdue";
+  EXPECT_EQ(rig.sent.back().timeout.count(), 0) << "its outstanding attempt is not overdue";
 }
 
-TEST(Retries, ASilentServerGetsATimeOutWhereARetryIsPermitted) {
+TEST(Retries, AnAttemptAtASilentServerHasATimeOutIfARetryIsPermitted) {
   for (int cls : {0, 1, 2}) {
     Rig rig;
     rig.Servers(1);
@@ -150,7 +152,8 @@
       s = rig.SentTo(id);
     }
   }
-  EXPECT_LE(rig.sent.size(), 300u + 20u + 61u) << "a store of 20, and a fifth of the first sends";
+  EXPECT_LE(rig.sent.size(), 300u + 20u + 61u)
+      << "a budget of 20 tokens, and at most a fifth of the first attempts";
   EXPECT_GE(rig.sent.size(), 300u + 20u);
 }
 
--- a/tests/policy/scripted_traffic.h
+++ b/tests/policy/scripted_traffic.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests with their responses in one call each, for tests of the decision module.
+// Helpers for tests of the decision module, which send requests and end their attempts in one call.
 #ifndef LOAD_BALANCER_TESTS_POLICY_SCRIPTED_TRAFFIC_H_
 #define LOAD_BALANCER_TESTS_POLICY_SCRIPTED_TRAFFIC_H_
 
@@ -18,23 +18,26 @@
 
 inline RequestId next_id = 1;
 
-// One request and its answer, which fails if it came from one of `failing`.
-inline void AnswerOne(Rig& rig, Outcome outcome, std::set<ServerId> failing, double took = 10) {
+// Sends a request and ends its attempt: with `outcome` if the server is one of `failing`, otherwise
+// successfully.
+inline void SendAndRespond(Rig& rig, Outcome outcome, std::set<ServerId> failing, double took = 10) {
   const RequestId id = next_id++;
-  const auto server = rig.Send(id, 2, 10, 5000);  // unsafe: one attempt, so nothing is sent again
+  const auto server = rig.Send(id, 2, 10, 5000);  // class 2 is not idempotent, so there is no retry
   ASSERT_TRUE(server.has_value());
   const bool fails = failing.count(*server) > 0;
   rig.EndAttempt(id, 0, *server, fails ? outcome : Outcome::kOk, took);
 }
 
-inline std::optional<ServerId> AskAndEnd(Rig& rig) {
+// Sends a request and ends it successfully. Returns its server, if it was sent.
+inline std::optional<ServerId> SendAndFinish(Rig& rig) {
   const RequestId id = next_id++;
   const auto server = rig.Send(id);
   if (server) rig.EndAttempt(id, 0, *server, Outcome::kOk);
   return server;
 }
 
-inline bool InService(Rig& rig, ServerId server) {
+// Returns whether one of three requests in flight is at `server`.
+inline bool IsInService(Rig& rig, ServerId server) {
   std::vector<std::pair<RequestId, ServerId>> open;
   bool seen = false;
   for (int i = 0; i < 3; ++i) {
@@ -48,8 +51,8 @@
   return seen;
 }
 
-// Gives each of three servers `per_server` answers; `failures` of server 1's fail, first ones first.
-inline void Answers(Rig& rig, int per_server, int failures, Outcome outcome = Outcome::kError) {
+// Ends `per_server` attempts at each of three servers. The first `failures` of them at server 1 fail.
+inline void RespondFromEachServer(Rig& rig, int per_server, int failures, Outcome outcome = Outcome::kError) {
   for (int i = 0; i < per_server; ++i) {
     std::map<ServerId, RequestId> open;
     for (int k = 0; k < 3; ++k) {
@@ -58,7 +61,7 @@
       ASSERT_TRUE(s.has_value());
       open[*s] = id;
     }
-    // Server 1 last: the others qualify by then.
+    // Server 1 comes last, so that the others have reached the request volume.
     for (auto it = open.rbegin(); it != open.rend(); ++it) {
       const auto [s, id] = *it;
       rig.EndAttempt(id, 0, s, s == 1 && i < failures ? outcome : Outcome::kOk);
@@ -66,9 +69,9 @@
   }
 }
 
-// Traffic that brings the volume to each server within the interval.
-inline void Busy(Rig& rig) {
-  for (int i = 0; i < 100; ++i) rig.Tick(5), AnswerOne(rig, Outcome::kOk, {});
+// Sends enough traffic for the request volume at each server within the detection interval.
+inline void SendBusyTraffic(Rig& rig) {
+  for (int i = 0; i < 100; ++i) rig.Tick(5), SendAndRespond(rig, Outcome::kOk, {});
 }
 
 }  // namespace load_balancer::testing
--- a/tests/policy/server_picking_test.cpp
+++ b/tests/policy/server_picking_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which server a request goes to.
+// Tests which server a request is sent to.
 #include <gtest/gtest.h>
 
 #include <set>
@@ -11,20 +11,20 @@
 namespace load_balancer {
 namespace {
 
-using testing::Answers;
-using testing::AskAndEnd;
 using testing::DefaultSettings;
 using testing::Entry;
 using testing::next_id;
+using testing::RespondFromEachServer;
 using testing::Rig;
+using testing::SendAndFinish;
 
-TEST(ServerPicking, LeastHintedWorkOfItsOwnInFlight) {
+TEST(ServerPicking, PicksTheServerWithTheLeastHintedWorkInFlight) {
   Rig rig;
   rig.Servers(3);
   const auto a = rig.Send(1001, 0, 50), b = rig.Send(1002, 0, 20), c = rig.Send(1003, 0, 40);
   EXPECT_EQ(std::set<ServerId>({*a, *b, *c}).size(), 3u);
-  EXPECT_EQ(rig.Send(1004, 0, 25), b) << "20 in flight is the least";
-  EXPECT_EQ(rig.Send(1005, 0, 5), c) << "now 40 is";
+  EXPECT_EQ(rig.Send(1004, 0, 25), b) << "it has 20 ms of work in flight, the least";
+  EXPECT_EQ(rig.Send(1005, 0, 5), c) << "now its 40 ms are the least";
 }
 
 TEST(ServerPicking, CountsRequestsWithoutHints) {
@@ -36,14 +36,15 @@
   EXPECT_EQ(rig.Send(1013, 0, 0), a);
 }
 
-TEST(ServerPicking, AmongIdleServersTheOwnZoneIsPreferredWhereCrossingHasAPrice) {
+TEST(ServerPicking, PrefersTheOwnZoneAmongIdleServersIfCrossingHasAPrice) {
   Settings s = DefaultSettings();
   s.cross_zone_price = 0.02;
   Rig rig(s);
   rig.List({Entry(1, 1), Entry(2, 0), Entry(3, 1)});
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(SendAndFinish(rig), ServerId{2});
   rig.Send(next_id++);
-  EXPECT_NE(rig.Send(next_id++), ServerId{2}) << "a whole request in flight outweighs it";
+  EXPECT_NE(rig.Send(next_id++), ServerId{2})
+      << "the work of a request in flight exceeds the cost of crossing";
 }
 
 TEST(ServerPicking, BreaksTiesAtRandom) {
@@ -56,8 +57,8 @@
   EXPECT_EQ(seen.size(), 4u);
 }
 
-// A slow server that responds within its time-out is never ejected; idle, it must not look as good as any
-// other.
+// A slow server that responds before its time-out is never ejected. It must not be preferred like any other
+// server when it is idle.
 TEST(ServerPicking, AServerThatRespondsSlowerCountsAsBusier) {
   Rig rig;
   rig.Servers(2);
@@ -66,95 +67,96 @@
     const auto server = rig.Send(id, 0, 10, 900);
     rig.EndAttempt(id, 0, *server, Outcome::kOk, *server == 1 ? 60 : 20);
   }
-  for (int i = 0; i < 10; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
-  // And with that one busy it still serves.
+  for (int i = 0; i < 10; ++i) EXPECT_EQ(SendAndFinish(rig), ServerId{2});
+  // It is still used if the other server is busy.
   const RequestId busy = next_id++;
   EXPECT_EQ(rig.Send(busy, 0, 100, 900), ServerId{2});
   EXPECT_EQ(rig.Send(next_id++, 0, 10, 900), ServerId{1});
 }
 
-// Spread evenly, a key would be served without a cache by one server after the other.
-TEST(ServerPicking, AKeyGoesWhereItIsWarmUnlessThatIsFarBusier) {
+// If the requests with a key were spread evenly, each server would serve the key without having it cached.
+TEST(ServerPicking, AKeyGoesToItsWarmServerUnlessThatIsMuchBusier) {
   Settings settings = DefaultSettings();
   settings.session_affinity = true;
   Rig rig(settings);
   rig.Servers(4);
-  auto ask = [&](std::uint64_t key, double work = 10) { return *rig.Send(next_id++, 0, work, 5000, key); };
-  const ServerId home = ask(7);
-  EXPECT_EQ(ask(7), home) << "10 in flight there, but the key saves its work";
-  EXPECT_NE(ask(8), home) << "another key";
-  EXPECT_NE(ask(0), home) << "no key";
-  EXPECT_NE(ask(7, 1), home) << "20 in flight there weigh more than so small a saving";
-
-  Rig forgets(settings);
-  forgets.Servers(4);
-  std::set<ServerId> later;
+  auto send = [&](std::uint64_t key, double work = 10) { return *rig.Send(next_id++, 0, work, 5000, key); };
+  const ServerId home = send(7);
+  EXPECT_EQ(send(7), home) << "10 ms of work are in flight there, but affinity saves more";
+  EXPECT_NE(send(8), home) << "the request has another key";
+  EXPECT_NE(send(0), home) << "the request has no key";
+  EXPECT_NE(send(7, 1), home) << "20 ms of work in flight there exceed the saving of a small request";
+
+  Rig expiring(settings);
+  expiring.Servers(4);
+  std::set<ServerId> servers;
   for (int i = 0; i < 20; ++i) {
     const RequestId id = next_id++;
-    later.insert(*forgets.Send(id, 0, 10, 5000, 9));
-    forgets.EndAttempt(id, 0, forgets.sent.back().server, Outcome::kOk);
-    forgets.Tick(4001);
+    servers.insert(*expiring.Send(id, 0, 10, 5000, 9));
+    expiring.EndAttempt(id, 0, expiring.sent.back().server, Outcome::kOk);
+    expiring.Tick(4001);
   }
-  EXPECT_GT(later.size(), 1u) << "forgotten";
+  EXPECT_GT(servers.size(), 1u) << "the key expires";
 
   settings.session_affinity = false;
-  Rig none(settings);
-  none.Servers(2);
-  const auto first = none.Send(next_id++, 0, 10, 5000, 7);
-  EXPECT_NE(none.Send(next_id++, 0, 10, 5000, 7), first);
+  Rig without_affinity(settings);
+  without_affinity.Servers(2);
+  const auto first = without_affinity.Send(next_id++, 0, 10, 5000, 7);
+  EXPECT_NE(without_affinity.Send(next_id++, 0, 10, 5000, 7), first);
 }
 
-TEST(ServerPicking, EjectedServersServeWhenNoneElseCan) {
+TEST(ServerPicking, AnEjectedServerIsUsedIfNoServerIsInService) {
   Rig rig;
   rig.Servers(3);
-  Answers(rig, 3, 3);
+  RespondFromEachServer(rig, 3, 3);
   rig.List({Entry(2, 0, 0, ServerState::kGone), Entry(3, 0, 0, ServerState::kGone)}, ListKind::kDelta);
   EXPECT_EQ(rig.Send(next_id++), ServerId{1});
 }
 
-TEST(Draining, NoNewRequestFromTheMomentItIsKnown) {
+TEST(Draining, ADrainingOrRemovedServerGetsNoRequests) {
   for (ServerState state : {ServerState::kDraining, ServerState::kGone}) {
     Rig rig;
     rig.Servers(2);
     rig.List({Entry(1, 0, 0, state)}, ListKind::kDelta);
-    for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+    for (int i = 0; i < 20; ++i) EXPECT_EQ(SendAndFinish(rig), ServerId{2});
   }
   Rig rig;
   rig.Servers(2);
-  rig.List({Entry(2)});  // absent from a full list: removed
-  for (int i = 0; i < 20; ++i) EXPECT_EQ(AskAndEnd(rig), ServerId{2});
+  rig.List({Entry(2)});  // a server that is absent from a full list is removed
+  for (int i = 0; i < 20; ++i) EXPECT_EQ(SendAndFinish(rig), ServerId{2});
 }
 
 // Proxies must not stay in an overloaded zone while servers of other zones are idle.
-TEST(ServerPicking, AnOverloadedOwnZoneIsLeftAndAGoodOneKept) {
-  for (const bool full : {true, false}) {
+TEST(ServerPicking, LeavesTheOwnZoneOnlyIfItIsOverloaded) {
+  for (const bool is_overloaded : {true, false}) {
     Settings settings = DefaultSettings();
     settings.cross_zone_price = 0.06;
     Rig rig(settings);
     std::vector<ServerEntry> list;
     for (ServerId id = 1; id <= 40; ++id) list.push_back(Entry(id, id > 20));
     rig.List(list);
-    int away = 0;
+    int sent_to_other_zone = 0;
     for (int i = 0; i < 120; ++i) {
       rig.Tick(200);
       const RequestId id = next_id++;
       const auto s = rig.Send(id, 2, 10);
-      if (!s) continue;  // refused as too slow
-      if (i >= 40) away += *s > 20;
-      const bool late = full && *s <= 20;  // answered, but long after the aim: A50 counts no failure
-      if (late) rig.now += 400;
-      rig.EndAttempt(id, 0, *s, Outcome::kOk, late ? 400 : 20);
+      if (!s) continue;  // rejected, as responses are too slow
+      if (i >= 40) sent_to_other_zone += *s > 20;
+      // A late response is no failure for outlier detection.
+      const bool is_late = is_overloaded && *s <= 20;
+      if (is_late) rig.now += 400;
+      rig.EndAttempt(id, 0, *s, Outcome::kOk, is_late ? 400 : 20);
     }
-    if (full) {
-      EXPECT_GT(away, 30) << "of 80";
+    if (is_overloaded) {
+      EXPECT_GT(sent_to_other_zone, 30) << "of at most 80 requests";
     } else {
-      EXPECT_EQ(away, 0) << "a crossing costs, and nothing is gained";
+      EXPECT_EQ(sent_to_other_zone, 0) << "crossing has a cost and no benefit";
     }
   }
 }
 
-// A key that is recorded twice at one server is forgotten once, and can be recorded again.
-TEST(ServerPicking, KeysAreForgottenAndRecordedAgain) {
+// Guards against an error when a key that was recorded twice at a server expires and is recorded again.
+TEST(ServerPicking, KeysExpireAndAreRecordedAgain) {
   Settings settings = DefaultSettings();
   settings.session_affinity = true;
   Rig rig(settings);
--- a/tests/policy/server_state_test.cpp
+++ b/tests/policy/server_state_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What is kept of servers, the choice of a subset, the polling of the list and the limits of log lines, each
-// alone.
+// Unit tests of the state of servers, the choice of a subset, the polling of the list, the limits on log
+// lines and the time-outs of attempts.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -23,16 +23,16 @@
   }));
 }
 
-TEST(ServerLoad, IsSilentSinceItOwesAResponse) {
+TEST(ServerLoad, IsSilentSinceItsFirstOutstandingAttemptOrItsLastResponse) {
   ServerLoad load;
   load.Add(10, At(100));
   load.Add(5, At(150));
   EXPECT_EQ(load.work(), 15);
   EXPECT_EQ(load.silent_since(), At(100));
   load.Remove(10, false, At(200));
-  EXPECT_EQ(load.silent_since(), At(100)) << "a time-out is no response";
+  EXPECT_EQ(load.silent_since(), At(100)) << "a time-out is not a response";
   load.MarkBodyComplete(At(210));
-  EXPECT_EQ(load.silent_since(), At(210)) << "nothing else is owed";
+  EXPECT_EQ(load.silent_since(), At(210)) << "no other attempt is outstanding";
   load.Remove(5, true, At(300));
   EXPECT_EQ(load.silent_since(), At(300));
   EXPECT_EQ(load.work(), 0);
@@ -75,7 +75,7 @@
   EXPECT_TRUE(ChooseSubset(servers, {}, settings, 0).empty());
 }
 
-TEST(ServerSubset, ManyProxiesUseFewServersAlikeAndFewEach) {
+TEST(ServerSubset, ManyProxiesUseThreeServersEachAndAllServersEvenly) {
   const std::vector<Server> servers = UsableServers(10, 1);
   Settings settings;
   settings.balancer_count = 200;
@@ -85,11 +85,11 @@
     EXPECT_EQ(subset.size(), 3u);
     for (const ServerIndex index : subset) ++users[index];
   }
-  const auto [least, most] = std::minmax_element(users.begin(), users.end());
-  EXPECT_LE(*most - *least, 6);
+  const auto [min_users, max_users] = std::minmax_element(users.begin(), users.end());
+  EXPECT_LE(*max_users - *min_users, 6);
 }
 
-TEST(ServerSubset, WhereCrossingHasAPriceTheOwnZoneHasItsOwnArc) {
+TEST(ServerSubset, TheOwnZoneHasASeparateArcIfCrossingHasAPrice) {
   const std::vector<Server> servers = UsableServers(60, 3);
   Settings settings;
   settings.zone = 1;
@@ -121,12 +121,12 @@
   std::vector<Action> actions_;
 };
 
-TEST_F(ListPollerTest, PollsAfterARestartAndAgainWhereThereIsNoAnswer) {
+TEST_F(ListPollerTest, PollsAfterARestartAndAgainIfThereIsNoResponse) {
   EXPECT_EQ(PollsAt(1000), 0u) << "no list has come yet";
   Update(ListKind::kCached);
   EXPECT_EQ(PollsAt(1000), 1u);
   EXPECT_EQ(PollsAt(4499), 0u);
-  EXPECT_EQ(PollsAt(4500), 1u) << "unanswered for 3500 ms";
+  EXPECT_EQ(PollsAt(4500), 1u) << "the poll has had no response for 3500 ms";
   Update(ListKind::kDelta);
   EXPECT_EQ(PollsAt(1000000), 0u) << "the watch is open";
 }
@@ -153,10 +153,10 @@
   for (const double ms : {5000.0, 5999.0, 6000.0}) {
     context.BeginEvent(At(ms), &actions);
     context.LogLine(LogTopic::kEjection, "server ", 5, " ejected");
-    context.LogLine(LogTopic::kPeerEjection, "advice");
+    context.LogLine(LogTopic::kPeerEjection, "a peer's report");
     context.EndEvent();
   }
-  EXPECT_EQ(actions.size(), 5u) << "one of three lines on ejections came within a second";
+  EXPECT_EQ(actions.size(), 5u) << "one of three lines on ejections came within a second of the previous one";
   EXPECT_EQ(std::get<Log>(actions.front()).text, "server 5 ejected");
 }
 
@@ -179,20 +179,20 @@
   Server server_;
 };
 
-TEST_F(AttemptTimeoutTest, OnlyASilentServerGetsOne) {
+TEST_F(AttemptTimeoutTest, IsSetOnlyIfTheServerIsSilent) {
   const Duration latency_bound = request_.statistics->LatencyUpperBound(request_.work);
   EXPECT_EQ(TimeoutAt(latency_bound.count() - 1).count(), 0);
   EXPECT_EQ(TimeoutAt(latency_bound.count() + 1), latency_bound);
   server_.load.Remove(1, true, At(10));
-  EXPECT_EQ(TimeoutAt(1000).count(), 0) << "it owes nothing";
+  EXPECT_EQ(TimeoutAt(1000).count(), 0) << "it has no outstanding attempt";
 }
 
-TEST_F(AttemptTimeoutTest, NoneWhereNoRetryIsPermittedOrWouldBeInTime) {
+TEST_F(AttemptTimeoutTest, IsNotSetIfNoRetryIsPermittedOrPossibleInTime) {
   EXPECT_GT(TimeoutAt(1000).count(), 0);
-  EXPECT_EQ(TimeoutAt(1000, false).count(), 0) << "no token";
-  EXPECT_EQ(TimeoutAt(1990).count(), 0) << "too late";
+  EXPECT_EQ(TimeoutAt(1000, false).count(), 0) << "the retry budget has no token";
+  EXPECT_EQ(TimeoutAt(1990).count(), 0) << "a retry would be too late";
   request_.attempts.resize(2);
-  EXPECT_EQ(TimeoutAt(1000).count(), 0) << "the last attempt";
+  EXPECT_EQ(TimeoutAt(1000).count(), 0) << "it is the last attempt";
   request_.attempts.clear();
   request_.rules.idempotency = Idempotency::kNotIdempotent;
   EXPECT_EQ(TimeoutAt(1000).count(), 0);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How much servers that have just started are sent.
+// Tests how much work is sent to servers that have just started.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -17,11 +17,12 @@
 using testing::next_id;
 using testing::Rig;
 
-TEST(SlowStart, TheBudgetHoldsOverEveryWindow) {
+TEST(SlowStart, TheBudgetIsNotExceededInAnyWindow) {
   Rig rig;
   std::vector<ServerEntry> list = {Entry(1), Entry(2), Entry(3)};
   rig.List(list);
-  // 30 ms of work every 10 ms, answered at once, for 20 s: each warm server gets about 1 a ms.
+  // Sends 30 ms of work every 10 ms and ends it at once, so that each warm server does about 1 ms of work per
+  // ms.
   auto run = [&](double ms) {
     std::vector<std::pair<double, double>> sent;
     for (double t = 0; t < ms; t += 10) {
@@ -39,23 +40,24 @@
     return sent;
   };
   run(20000);
-  rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);  // the same id, started again
+  rig.List({Entry(3, 0, 0, ServerState::kReady, rig.now)}, ListKind::kDelta);  // server 3 has restarted
   const double start = rig.now;
   const auto sent = run(10000);
-  double most = 0;
+  double max_ratio = 0;
   for (std::size_t i = 0; i < sent.size(); ++i) {
     double window = 0;
     for (std::size_t k = i; k < sent.size() && sent[k].first - sent[i].first < 1000; ++k)
       window += sent[k].second;
     const double share = 0.25 + 0.75 * std::min(1.0, (sent[i].first - start + 1000) / 10000);
-    most = std::max(most, window / (share * 1000));
+    max_ratio = std::max(max_ratio, window / (share * 1000));
   }
-  EXPECT_LE(most, 2.5) << "of what a warm server was sent, times the cold share; it falls over at 3";
-  EXPECT_GT(sent.size(), 100u) << "and it is brought back";
+  EXPECT_LE(max_ratio, 2.5)
+      << "the ratio to the work of a warm server at this capacity share; the server fails at 3";
+  EXPECT_GT(sent.size(), 100u) << "the server must be used";
 }
 
-// An overloaded fleet is sent far more than it serves; the budget must follow what is served.
-TEST(SlowStart, TheBudgetFollowsWhatWarmServersServe) {
+// An overloaded fleet is sent far more than it serves. The budget must follow the work that is served.
+TEST(SlowStart, TheBudgetFollowsTheWorkThatWarmServersDo) {
   Settings s = DefaultSettings();
   s.max_attempts = 1;
   Rig rig(s);
@@ -69,26 +71,27 @@
     sent += *server == 3;
     rig.EndAttempt(id, 0, *server, i % 20 ? Outcome::kOverloaded : Outcome::kOk, 5);
   }
-  // Warm servers serve 0.05 a ms each; 3 x 0.55 of that, at 25 to 55% of its capacity, is 13 in 4 s.
-  EXPECT_LE(sent, 13) << "and not 20 times as many, as the fleet is sent";
+  // Each warm server does 0.05 ms of work per ms. 3 x 0.55 of that, at 25 to 55% of the capacity, is 13
+  // requests in 4 s.
+  EXPECT_LE(sent, 13) << "it would be 20 times as many if the budget followed the work that is sent";
 }
 
-// During a rolling deploy every server may be in slow start; a budget of what is served just then would
-// starve itself.
-TEST(SlowStart, TheBudgetDoesNotStarveItselfWhenNoServerIsWarm) {
+// During a rolling deploy every server may be in slow start. A budget computed only from the work served then
+// would fall further and further.
+TEST(SlowStart, TheBudgetDoesNotCollapseWhileNoServerIsWarm) {
   Settings settings = DefaultSettings();
   settings.slow_start_window = Duration(20000);
   settings.slow_start_min_share = 0.1;
   Rig rig(settings);
   rig.Servers(6);
-  bool served = true;
+  bool succeeds = true;
   auto run = [&](int n) {
     int sent = 0;
     for (int i = 0; i < n; ++i) {
       rig.Tick(20);
       const RequestId id = next_id++;
       const auto s = rig.Send(id, 2, 10, 400);
-      if (s) ++sent, rig.EndAttempt(id, 0, *s, served ? Outcome::kOk : Outcome::kCancelled, 12);
+      if (s) ++sent, rig.EndAttempt(id, 0, *s, succeeds ? Outcome::kOk : Outcome::kCancelled, 12);
     }
     return sent;
   };
@@ -96,10 +99,10 @@
   std::vector<ServerEntry> cold;
   for (ServerId id = 1; id <= 6; ++id) cold.push_back(Entry(id, 0, 0, ServerState::kReady, rig.now));
   rig.List(cold);
-  served = false;
+  succeeds = false;
   run(250);
-  served = true;
-  EXPECT_GT(run(100), 70) << "after five seconds in which nothing was answered";
+  succeeds = true;
+  EXPECT_GT(run(100), 70) << "after five seconds without a successful attempt";
 }
 
 TEST(SlowStart, RejectedWorkCountsToo) {
@@ -111,24 +114,24 @@
     const auto s = rig.Send(id, 2, 10, 2000);
     if (s) ++sent, rig.EndAttempt(id, 0, *s, Outcome::kOverloaded);
   }
-  EXPECT_LE(sent, 2) << "nothing is known of warm servers: one mean request a window";
+  EXPECT_LE(sent, 2) << "without a measured rate of warm servers, one mean request per window is permitted";
 }
 
-TEST(SlowStart, AProxyThatKnowsNothingStillServes) {
+TEST(SlowStart, AProxyWithoutMeasurementsSendsToServersInSlowStart) {
   Rig rig;
   rig.List({Entry(1, 0, 0, ServerState::kReady, 99999), Entry(2, 0, 0, ServerState::kReady, 99999)});
   const RequestId id = next_id++;
   bool sent = rig.Send(id, 0).has_value();
   for (int i = 0; i < 20 && !sent; ++i) rig.Tick(5), sent = rig.SentTo(id).has_value();
-  EXPECT_TRUE(sent) << "within half of the aim";
+  EXPECT_TRUE(sent) << "it must be sent within half of the latency objective";
 }
 
-// Hundreds of proxies that each send a starting server one first request at once would overload it.
-TEST(SlowStart, ManyProxiesTakeTurnsAtAStartingServer) {
+// If hundreds of proxies each sent a request to a server at its start, they would overload it.
+TEST(SlowStart, ManyProxiesDoNotSendToAStartingServerAtTheSameTime) {
   Settings settings = DefaultSettings();
   settings.balancer_count = 400;
   settings.slow_start_min_share = 0.1;
-  int at_once = 0;
+  int sent_in_first_second = 0;
   for (std::uint64_t seed = 1; seed <= 400; ++seed) {
     Rig rig(settings, seed);
     rig.List({Entry(1), Entry(2), Entry(3)});
@@ -140,13 +143,13 @@
     for (int k = 0; k < 5; ++k) {
       rig.Tick(200);
       if (const auto s = rig.Send(next_id++, 2, 10))
-        at_once += *s == 3, rig.EndAttempt(next_id - 1, 0, *s, Outcome::kOk);
+        sent_in_first_second += *s == 3, rig.EndAttempt(next_id - 1, 0, *s, Outcome::kOk);
     }
   }
-  // Each warm server serves 400 x 10 ms of work each 600 ms: 6.7 a ms. A cold one does 0.1 to 0.19 of that in
-  // its first second, and falls over at 3 times as much.
-  EXPECT_LE(at_once * 10, 3 * 0.145 * 6.7 * 1000);
-  EXPECT_GT(at_once, 50) << "and it is used";
+  // Each warm server does 400 x 10 ms of work every 600 ms, which is 6.7 per ms. A server in slow start does
+  // 0.1 to 0.19 of that in its first second, and fails at 3 times as much.
+  EXPECT_LE(sent_in_first_second * 10, 3 * 0.145 * 6.7 * 1000);
+  EXPECT_GT(sent_in_first_second, 50) << "the server must be used";
 }
 
 }  // namespace
--- a/tests/policy/statistics_test.cpp
+++ b/tests/policy/statistics_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Statistics, session affinity and the carrying over of what is kept by index, each alone.
+// Unit tests of statistics, random numbers, session affinity, Reindexed and UsualTimeout.
 #include "policy/statistics.h"
 
 #include <gtest/gtest.h>
@@ -27,11 +27,11 @@
   EXPECT_EQ(MixBits(1), 0x514e28b7u);
 }
 
-TEST(MeanAndDeviation, AveragesTheFirstSamplesEvenlyAndForgetsLater) {
+TEST(MeanAndDeviation, AveragesTheFirstSamplesEvenlyAndLaterOnesExponentially) {
   MeanAndDeviation statistics;
   statistics.Add(10);
   EXPECT_EQ(statistics.mean(), 10);
-  EXPECT_EQ(statistics.deviation(), 0) << "of one sample, by the even weight of the first";
+  EXPECT_EQ(statistics.deviation(), 0) << "the first sample replaces the initial deviation";
   statistics.Add(20);
   EXPECT_EQ(statistics.mean(), 15);
   EXPECT_EQ(statistics.samples(), 2);
@@ -62,7 +62,7 @@
   EXPECT_FALSE(affinity.IsWarm(77, 6, At(1000)));
   EXPECT_FALSE(affinity.IsWarm(78, 5, At(1000)));
   affinity.Record(77, 5, At(4000));
-  affinity.Record(78, 5, At(6000));  // forgets the first send, not the second
+  affinity.Record(78, 5, At(6000));  // the first send expires, the second does not
   EXPECT_TRUE(affinity.IsWarm(77, 5, At(6000)));
 }
 
@@ -70,7 +70,7 @@
   const std::vector<int> values{10, 20, 30};
   const auto make_new = [] { return -1; };
   EXPECT_EQ(Reindexed(values, 4, {2, -1, 0}, make_new), (std::vector<int>{30, -1, 10, -1}));
-  EXPECT_EQ(Reindexed(values, 2, {3, 1}, make_new), (std::vector<int>{-1, 20})) << "3 was no index";
+  EXPECT_EQ(Reindexed(values, 2, {3, 1}, make_new), (std::vector<int>{-1, 20})) << "3 is not a valid index";
 }
 
 TEST(UsualTimeout, IsEstablishedOnceEnoughRequestsAgree) {
@@ -81,7 +81,7 @@
   EXPECT_TRUE(timeout.Observe(Duration(960), false));
   EXPECT_TRUE(timeout.is_established());
   EXPECT_FALSE(timeout.Observe(Duration(500), true));
-  EXPECT_TRUE(timeout.is_established()) << "a client's retry may have been cut short";
+  EXPECT_TRUE(timeout.is_established()) << "a client's retry may have a shortened time-out";
   EXPECT_FALSE(timeout.Observe(Duration(500), false));
   EXPECT_FALSE(timeout.is_established());
 }
--- a/tests/policy/subset_test.cpp
+++ b/tests/policy/subset_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which servers a proxy uses where it does not use all.
+// Tests which servers a proxy uses if it does not use all of them.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -18,15 +18,16 @@
 using testing::next_id;
 using testing::Rig;
 
-// Hundreds of proxies with a connection to every server would have more than servers accept.
-TEST(Subset, SparseTrafficUsesFewServersAndAllProxiesTogetherUseThemAlike) {
+// If each of hundreds of proxies had connections to all servers, servers would get more connections than they
+// accept.
+TEST(Subset, WithSparseTrafficEachProxyUsesFewServersAndTogetherTheyUseAllEvenly) {
   constexpr int kProxies = 400, kServers = 80;
   std::map<ServerId, int> proxies_at;
-  for (int me = 0; me < kProxies; ++me) {
+  for (int index = 0; index < kProxies; ++index) {
     Settings settings = DefaultSettings();
     settings.balancer_count = kProxies;
-    settings.balancer_index = me;
-    Rig rig(settings, me + 1);
+    settings.balancer_index = index;
+    Rig rig(settings, index + 1);
     rig.Servers(kServers);
     std::set<ServerId> used;
     for (int i = 0; i < 100; ++i) {
@@ -43,7 +44,7 @@
   for (const auto& [s, proxies] : proxies_at) EXPECT_NEAR(proxies, mean, mean / 4) << s;
 }
 
-// Where the fleet shrinks, a subset of fixed size would bring too many proxies to each server.
+// With a subset of fixed size, a fleet that shrinks would get too many connections at each server.
 TEST(Subset, FewServersGetNoMoreConnectionsThanTheyAccept) {
   Settings settings = DefaultSettings();
   settings.balancer_count = 640;
@@ -59,7 +60,8 @@
     const RequestId id = next_id++;
     if (const auto s = rig.Send(id, 2, 10)) used.insert(*s), rig.EndAttempt(id, 0, *s, Outcome::kOk);
   }
-  EXPECT_LE(used.size(), 4u) << "640 x 3 / 30 is 64";
+  EXPECT_LE(used.size(), 4u)
+      << "with subsets of 3, each of 30 servers has connections from 640 x 3 / 30 = 64 proxies";
 }
 
 TEST(Subset, AnEjectedServersIdleConnectionsAreClosed) {
