--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -13,8 +13,8 @@
 constexpr double kMaxObjectiveShare = 0.33;
 // Largest mean response time at the limit, as a multiple of the response time of uncrowded servers.
 constexpr double kMaxCrowdedTime = 3;
-// Standard deviations of the number in flight that the limit adds to the mean, as random arrivals are no
-// overload.
+// Number of standard deviations that the limit adds to the mean number in flight, so that random arrivals do
+// not count as overload.
 constexpr double kAllowedDeviations = 1;
 // Load is shed when responses use more than this share of the latency objective. The rest is left for the
 // spread of response times.
--- a/src/policy/server.cpp
+++ b/src/policy/server.cpp
@@ -7,9 +7,9 @@
 namespace load_balancer {
 namespace {
 
-constexpr double kSlownessGain = 0.08;     // weight of one response
-constexpr double kMaxSlowness = 8;         // limit of the value that one response counts as
-constexpr Duration kSlownessMemory{4000};  // decay time
+constexpr double kSlownessGain = 0.08;     // weight of one response in the estimate
+constexpr double kMaxSlowness = 8;         // largest value that one response counts as
+constexpr Duration kSlownessMemory{4000};  // decay time of the estimate
 
 }  // namespace
 
