--- a/examples/minimal.cpp
+++ b/examples/minimal.cpp
@@ -47,8 +47,8 @@
       end.outcome = Outcome::kOk;
       end.is_request_finished = true;
       end.took = milliseconds(12);
-      std::vector<Action> none;
-      balancer.Handle(now + end.took, end, &none);
+      std::vector<Action> ignored_actions;
+      balancer.Handle(now + end.took, end, &ignored_actions);
       return 0;
     }
   }
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -19,9 +19,10 @@
       : context_(context), servers_(servers), traffic_(traffic) {}
 
   /// Returns the limit on attempts in flight, which protects a fleet that is slow as a whole. By Little's law
-  /// it is the recent rate of responses times MaxResponseTime(): attempts beyond it would only queue at
-  /// servers. Attempts whose response is overdue do not count. Each request counts as one whatever its work,
-  /// so that a huge request is neither blocked by the limit nor uses it up alone.
+  /// it is the recent rate of responses times MaxResponseTime(), with an allowance for random arrivals and a
+  /// minimum. Attempts beyond it would only queue at servers. Attempts whose response is overdue do not
+  /// count. Each request counts as one whatever its work, so that a huge request is neither blocked by the
+  /// limit nor uses it up alone.
   [[nodiscard]] double Limit() const;
 
   /// Returns the response time in ms on which Limit() is based: a fraction of the latency objective, but no
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -62,7 +62,7 @@
   double value = 0;  ///< priority weight that its response is expected to earn
   std::uint64_t key = 0;
   TimePoint arrived{};
-  TimePoint due{};
+  TimePoint due{};        ///< the client's deadline
   TimePoint reject_at{};  ///< time until which it may be queued
   std::vector<Attempt> attempts{};
   TimePoint response_began{};
