--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -277,9 +277,9 @@
   const bool may_reject = PermissionFor(request, context_.now(), servers_).may_reject;
   const bool was_sent = !request.attempts.empty();
   const std::string reason =
-      was_sent ? "last at server " + std::to_string(LastServer(request).entry.server) : "not in time";
-  context_.LogLine(LogTopic::kFinalResponse, may_reject ? "refusing: " : "failing: ", reason, "; ",
-                   in_flight_.size(), " in flight, ", queue_.size(), " held");
+      was_sent ? "last sent to server " + std::to_string(LastServer(request).entry.server) : "not sent";
+  context_.LogLine(LogTopic::kFinalResponse, may_reject ? "rejecting request: " : "failing request: ", reason,
+                   "; ", in_flight_.size(), " in flight, ", queue_.size(), " queued");
   if (may_reject) {
     context_.Emit(Reject{request.id, retry_after});
   } else {
--- a/src/policy/server_picker.cpp
+++ b/src/policy/server_picker.cpp
@@ -71,7 +71,7 @@
 bool ServerPicker::HasCapacity(Server& server, const Request& request) {
   if (max_in_flight_ > 0 && server.load.attempts() >= max_in_flight_) return false;
   if (slow_start_.Admits(server, request.work)) return true;
-  context_.LogLine(LogTopic::kSlowStart, "server ", server.entry.server, " held back: cold, at ",
+  context_.LogLine(LogTopic::kSlowStart, "server ", server.entry.server, " skipped: in slow start, at ",
                    static_cast<int>(100 * servers_.CapacityShare(server)), "% or more of its capacity");
   return false;
 }
--- a/tests/policy/edge_cases_test.cpp
+++ b/tests/policy/edge_cases_test.cpp
@@ -32,7 +32,7 @@
     collect_lines();
   }
   ASSERT_EQ(lines.size(), 1u) << "further lines within ten seconds are suppressed";
-  EXPECT_NE(lines[0].find("refusing: not in time"), std::string::npos) << lines[0];
+  EXPECT_NE(lines[0].find("rejecting request: not sent"), std::string::npos) << lines[0];
   rig.Tick(20000);
   rig.Tick(20000);
   rig.List({Entry(1, 0, 0, ServerState::kReady, rig.now)});
@@ -41,7 +41,7 @@
     collect_lines();
   }
   ASSERT_EQ(lines.size(), 2u);
-  EXPECT_NE(lines[1].find("server 1 held back: cold, at 25%"), std::string::npos) << lines[1];
+  EXPECT_NE(lines[1].find("server 1 skipped: in slow start, at 25%"), std::string::npos) << lines[1];
 }
 
 TEST(MalformedEvents, AreIgnoredOrRejected) {
