--- a/src/fleet/state/anti_entropy.cpp
+++ b/src/fleet/state/anti_entropy.cpp
@@ -14,14 +14,18 @@
 
 using nlohmann::json;
 
-std::map<EntryKey, Version> VersionsOf(const json& listed) {
+// Returns the versions of the well-formed entries in a packed array.
+std::map<EntryKey, Version> VersionsOf(const json& packed_entries) {
   std::map<EntryKey, Version> versions;
-  for (const json& packed : listed)
+  for (const json& packed : packed_entries)
     if (const auto entry = Unpack(packed)) versions[KeyOf(*entry)] = entry->version;
   return versions;
 }
 
-std::size_t WithoutArray(std::size_t max_bytes) { return max_bytes - std::min(max_bytes, kArrayBytes); }
+// Returns the bytes that the elements of a packed array of `max_bytes` may take.
+std::size_t MaxElementBytes(std::size_t max_bytes) {
+  return max_bytes - std::min(max_bytes, kArrayHeaderBytes);
+}
 
 }  // namespace
 
@@ -45,35 +49,35 @@
   return digests;
 }
 
-std::vector<json> PackMissing(const EntryStore& store, const json& listed, const DigestRange& range,
+std::vector<json> PackMissing(const EntryStore& store, const json& peer_entries, const DigestRange& range,
                               std::size_t max_bytes) {
-  const std::map<EntryKey, Version> theirs = VersionsOf(listed);
+  const std::map<EntryKey, Version> peer_versions = VersionsOf(peer_entries);
   std::vector<json> arrays;
-  std::size_t left = 0;
+  std::size_t bytes_left = 0;
   for (const auto& [key, stored] : store.all()) {
     if (!range.Contains(HashOf(key))) continue;
-    const auto other = theirs.find(key);
-    if (other != theirs.end() && other->second == stored.entry.version) continue;
-    if (stored.packed_bytes > left) {
+    const auto peer_version = peer_versions.find(key);
+    if (peer_version != peer_versions.end() && peer_version->second == stored.entry.version) continue;
+    if (stored.packed_bytes > bytes_left) {
       arrays.push_back(json::array());
-      left = WithoutArray(max_bytes);
+      bytes_left = MaxElementBytes(max_bytes);
     }
-    left -= std::min(left, stored.packed_bytes);
+    bytes_left -= std::min(bytes_left, stored.packed_bytes);
     arrays.back().push_back(Pack(stored.entry));
   }
   return arrays;
 }
 
-std::vector<Chunk<json>> PackDiffering(const EntryStore& store, const BucketDigests& theirs,
+std::vector<Chunk<json>> PackDiffering(const EntryStore& store, const BucketDigests& peer_digests,
                                        std::uint64_t start, std::size_t max_bytes, std::size_t max_chunks) {
-  const BucketSet differing = ComputeBucketDigests(store, theirs.count()).DifferingFrom(theirs);
+  const BucketSet differing = ComputeBucketDigests(store, peer_digests.count()).DifferingFrom(peer_digests);
   if (differing.IsEmpty()) return {};
   std::vector<HashedEntry<json>> entries;
   for (const auto& [key, stored] : store.all()) {
     const std::uint64_t hash = HashOf(key);
     if (differing.Contains(hash)) entries.push_back({hash, stored.packed_bytes, Pack(stored.entry)});
   }
-  return SplitIntoChunks(std::move(entries), differing, start, WithoutArray(max_bytes), max_chunks);
+  return SplitIntoChunks(std::move(entries), differing, start, MaxElementBytes(max_bytes), max_chunks);
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/state/anti_entropy.h
+++ b/src/fleet/state/anti_entropy.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Comparison and exchange of two members' stored entries (anti-entropy, as in Demers et al.: "Epidemic
-/// algorithms for replicated database maintenance", 1987; docs/fleet.md, "Exchange of what differs").
+/// Compares the entries that two members store and selects the entries to exchange. This is anti-entropy as
+/// in Demers et al.: "Epidemic algorithms for replicated database maintenance", 1987. See docs/fleet.md,
+/// "Exchange of what differs".
 #ifndef LOAD_BALANCER_FLEET_STATE_ANTI_ENTROPY_H_
 #define LOAD_BALANCER_FLEET_STATE_ANTI_ENTROPY_H_
 
@@ -16,23 +17,24 @@
 
 namespace load_balancer::fleet {
 
-/// Bytes of a packed array besides its elements, in any message of the state.
-inline constexpr std::size_t kArrayBytes = 3;
+/// Size of the MessagePack header of an array of entries, in bytes.
+inline constexpr std::size_t kArrayHeaderBytes = 3;
 
-/// Equal at members that store the same versions (XXH64 over all versions in the order of their keys).
+/// Returns the XXH64 hash of all stored versions in the order of their keys. Members that store the same
+/// versions get the same digest.
 std::uint64_t ComputeDigest(const EntryStore& store);
 
-/// Digests of all entries by bucket.
+/// Returns one digest per hash bucket over all stored entries.
 BucketDigests ComputeBucketDigests(const EntryStore& store, std::size_t bucket_count);
 
-/// The packed entries in `range` that `listed`, which is another member's packed array, does not have at the
-/// same version: arrays of at most `max_bytes` each.
-std::vector<nlohmann::json> PackMissing(const EntryStore& store, const nlohmann::json& listed,
+/// Packs the stored entries in `range` that a peer lacks or has in another version. `peer_entries` is the
+/// peer's packed array of all its entries in `range`. Returns arrays of at most `max_bytes` each.
+std::vector<nlohmann::json> PackMissing(const EntryStore& store, const nlohmann::json& peer_entries,
                                         const DigestRange& range, std::size_t max_bytes);
 
-/// The packed entries of the buckets whose digests differ from `theirs`, beginning at the hash `start`, in at
-/// most `max_chunks` chunks of at most `max_bytes` each.
-std::vector<Chunk<nlohmann::json>> PackDiffering(const EntryStore& store, const BucketDigests& theirs,
+/// Packs the stored entries of the buckets whose digests differ from `peer_digests`. Returns at most
+/// `max_chunks` chunks of at most `max_bytes` each, in the order of the entries' hashes from `start` on.
+std::vector<Chunk<nlohmann::json>> PackDiffering(const EntryStore& store, const BucketDigests& peer_digests,
                                                  std::uint64_t start, std::size_t max_bytes,
                                                  std::size_t max_chunks);
 
--- a/src/fleet/state/dissemination.cpp
+++ b/src/fleet/state/dissemination.cpp
@@ -12,23 +12,23 @@
 
 using nlohmann::json;
 
-// Entries that are passed over because they do not fit the remaining bytes; bounds the search for smaller
-// ones.
+// Number of entries that are too large for the remaining bytes after which the search for a smaller one ends.
 constexpr int kMaxSkipped = 16;
 
+// Returns the keys of the pending entries that fit an array of `max_bytes`, least sent first.
 std::vector<EntryKey> SelectPending(const EntryStore& store, std::size_t max_bytes) {
   std::vector<EntryKey> selected;
-  if (max_bytes < kArrayBytes) return selected;
-  std::size_t left = max_bytes - kArrayBytes;
+  if (max_bytes < kArrayHeaderBytes) return selected;
+  std::size_t bytes_left = max_bytes - kArrayHeaderBytes;
   int skipped = 0;
   for (const PendingTransmit& pending : store.pending()) {
     const std::size_t size = store.Find(pending.key)->packed_bytes;
-    if (size > left) {
+    if (size > bytes_left) {
       ++skipped;
       if (skipped > kMaxSkipped) break;
       continue;
     }
-    left -= size;
+    bytes_left -= size;
     selected.push_back(pending.key);
   }
   return selected;
@@ -43,12 +43,12 @@
 }  // namespace
 
 PackedPush PackKeys(const EntryStore& store, const std::set<EntryKey>& keys, std::size_t max_bytes) {
-  std::size_t left = max_bytes - std::min(max_bytes, kArrayBytes);
+  std::size_t bytes_left = max_bytes - std::min(max_bytes, kArrayHeaderBytes);
   PackedPush push;
   for (const EntryKey& key : keys) {
     const std::size_t size = store.Find(key)->packed_bytes;
-    if (size > left) break;
-    left -= size;
+    if (size > bytes_left) break;
+    bytes_left -= size;
     push.keys.push_back(key);
   }
   push.entries = PackAll(store, push.keys);
--- a/src/fleet/state/dissemination.h
+++ b/src/fleet/state/dissemination.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Selection of the stored entries that a message carries to other members (Das, Gupta, Motivala: "SWIM",
-/// 2002: least sent first, each a bounded number of times).
+/// Selects the stored entries that a message carries to other members. As in SWIM (Das, Gupta, Motivala,
+/// 2002), the entries that were sent least often go first, and each is sent a bounded number of times.
 #ifndef LOAD_BALANCER_FLEET_STATE_DISSEMINATION_H_
 #define LOAD_BALANCER_FLEET_STATE_DISSEMINATION_H_
 
@@ -15,17 +15,18 @@
 
 namespace load_balancer::fleet {
 
-/// An array of packed entries, and their keys.
+/// PackedPush is an array of packed entries with the keys of these entries.
 struct PackedPush {
   nlohmann::json entries;
   std::vector<EntryKey> keys;
 };
 
-/// Packs as many of the stored entries with these keys as fit `max_bytes`, in the order of the keys.
+/// Packs the stored entries with the given keys, in the order of the keys, up to the first that no longer
+/// fits `max_bytes`.
 PackedPush PackKeys(const EntryStore& store, const std::set<EntryKey>& keys, std::size_t max_bytes);
 
-/// Packs pending entries into an array of at most `max_bytes` and counts them as sent; each is pending until
-/// it has been sent `max_transmits` times.
+/// Packs pending entries into an array of at most `max_bytes` and counts each as sent once more. An entry
+/// stops being pending after it was sent `max_transmits` times.
 nlohmann::json PackAndCountPending(EntryStore* store, std::size_t max_bytes, int max_transmits);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/state/entry.h
+++ b/src/fleet/state/entry.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The entries of the replicated state: what members of a fleet announce to each other about servers, keys
-/// and duties. The form of an entry in a message is in entry_codec.h.
+/// The entries of the replicated state, in which the members of a fleet tell each other about servers,
+/// affinity keys and leased roles. entry_codec.h encodes them for messages.
 #ifndef LOAD_BALANCER_FLEET_STATE_ENTRY_H_
 #define LOAD_BALANCER_FLEET_STATE_ENTRY_H_
 
@@ -16,65 +16,67 @@
 
 namespace load_balancer::fleet {
 
-/// Milliseconds since the Unix epoch, or a span of that many milliseconds.
+/// UnixMs is a time in milliseconds since the Unix epoch, or a duration in milliseconds.
 using UnixMs = std::uint64_t;
 
-/// Largest packed entry, in bytes; one of this size fits any message that carries state.
+/// Maximum size of a packed entry, in bytes. An entry of this size fits any message that carries state.
 inline constexpr std::size_t kMaxEntryBytes = 1024;
-/// Largest packed `FencedValue::value`, in bytes.
+/// Maximum size of a packed `FencedValue::value`, in bytes.
 inline constexpr std::size_t kMaxValueBytes = 800;
-/// Longest time from the writing of a fenced value to its end, in milliseconds.
+/// Maximum time from the timestamp of a fenced value to its expiry, in milliseconds.
 inline constexpr UnixMs kMaxValueLifetime = 24 * 3600 * 1000;
-/// Duties whose fencing token is remembered at a time.
-inline constexpr std::size_t kMaxDuties = 4096;
-/// Fenced values of all duties that are stored at a time.
+/// Maximum number of leased roles whose highest fencing token is stored.
+inline constexpr std::size_t kMaxLeasedRoles = 4096;
+/// Maximum number of fenced values that are stored, over all leased roles.
 inline constexpr std::size_t kMaxFencedValues = 16384;
 
-/// A member has ejected a server after `failures` of `attempts`.
+/// Ejection states that a member has ejected a server after `failures` of `attempts` failed.
 struct Ejection {
-  std::string server;  ///< discovery's id
-  UnixMs until = 0;    ///< end of the ejection
+  std::string server;  ///< the server's id in discovery
+  UnixMs until = 0;    ///< time at which the ejection ends
   int failures = 0;
   int attempts = 0;
 };
 
-/// The server that last received a request with this affinity key.
+/// KeyAffinity names the server that last received a request with this affinity key.
 struct KeyAffinity {
   std::uint64_t key = 0;
   std::string server;
 };
 
-/// A value that the lease holder of a duty publishes. Of two values with one key the larger token wins, then
-/// the later version; a token below the highest one seen of the duty is rejected (Kleppmann: "How to do
-/// distributed locking", 2016).
+/// FencedValue is a value that the lease holder of a role publishes. Of two values with the same key, the one
+/// with the larger token wins; if the tokens are equal, the one with the later version wins. A value whose
+/// token is below the highest token seen for its role is rejected (Kleppmann: "How to do distributed
+/// locking", 2016).
 struct FencedValue {
-  std::string duty;
-  std::string key;  ///< unique among the values of all duties
+  std::string role;  ///< name of the lease that the publisher holds
+  std::string key;   ///< unique among the values of all roles
   std::uint64_t token = 0;
-  UnixMs until = 0;
+  UnixMs until = 0;  ///< time at which the value expires
   nlohmann::json value;
 };
 
-/// A fenced value without its duty, token and end.
+/// NamedValue is a fenced value without its role, token and expiry.
 struct NamedValue {
   std::string key;
   nlohmann::json value;
 };
 
-/// The writer of an entry and the time of writing. The later stamp wins; of equal stamps the greater origin.
+/// Version identifies a write of an entry. The later version wins: the one with the larger timestamp or, if
+/// the timestamps are equal, with the greater origin.
 struct Version {
   HybridTimestamp stamp = 0;
-  std::string origin;
+  std::string origin;  ///< name of the member that wrote the entry
   auto operator<=>(const Version&) const = default;
 };
 
-/// One register of the replicated state.
+/// Entry is one last-writer-wins register of the replicated state.
 struct Entry {
   std::variant<Ejection, KeyAffinity, FencedValue> content;
   Version version;
 };
 
-/// The server that an entry is about, or the key of a fenced value.
+/// Returns the server that an ejection or an affinity names, or the key of a fenced value.
 const std::string& SubjectOf(const Entry& entry);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/state/entry_codec.cpp
+++ b/src/fleet/state/entry_codec.cpp
@@ -9,10 +9,10 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxIdBytes = 128;  // of a server's id, a key, a duty or an origin
+constexpr std::size_t kMaxIdBytes = 128;  // of a server's id, a key, a role or an origin
 constexpr std::uint64_t kMaxCount = 1000000;
 
-// The kinds of entries as messages name them.
+// Encoded names of the kinds of entries.
 constexpr char kEjectionKind[] = "v";
 constexpr char kKeyAffinityKind[] = "k";
 constexpr char kFencedValueKind[] = "d";
@@ -34,7 +34,7 @@
   return static_cast<int>(count);
 }
 
-// Throws json::exception or std::invalid_argument on anything malformed.
+// Reads a packed entry. Throws json::exception or std::invalid_argument if it is malformed.
 Entry ReadEntry(const json& packed) {
   Entry entry;
   const auto kind = packed.at(0).get<std::string>();
@@ -64,7 +64,7 @@
                         static_cast<unsigned>(ejection->attempts)});
   }
   if (const auto* fenced = std::get_if<FencedValue>(&entry.content)) {
-    return json::array({kFencedValueKind, fenced->key, version.stamp, version.origin, fenced->duty,
+    return json::array({kFencedValueKind, fenced->key, version.stamp, version.origin, fenced->role,
                         fenced->token, fenced->until, fenced->value});
   }
   const KeyAffinity& affinity = std::get<KeyAffinity>(entry.content);
--- a/src/fleet/state/entry_codec.h
+++ b/src/fleet/state/entry_codec.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The form of an entry in a message: an array of a one-letter kind and the entry's fields.
+/// Encodes and decodes the entries of the replicated state. A packed entry is an array of a one-letter kind
+/// and the entry's fields.
 #ifndef LOAD_BALANCER_FLEET_STATE_ENTRY_CODEC_H_
 #define LOAD_BALANCER_FLEET_STATE_ENTRY_CODEC_H_
 
@@ -13,12 +14,13 @@
 
 namespace load_balancer::fleet {
 
+/// Returns the entry as an array that a message can carry.
 nlohmann::json Pack(const Entry& entry);
 
-/// Nothing if `packed` is malformed.
+/// Decodes a packed entry. Returns nullopt if `packed` is malformed.
 std::optional<Entry> Unpack(const nlohmann::json& packed);
 
-/// Bytes that the packed value takes in a message.
+/// Returns the size of a packed value in a message, in bytes.
 std::size_t PackedSize(const nlohmann::json& packed);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/state/entry_key.cpp
+++ b/src/fleet/state/entry_key.cpp
@@ -19,7 +19,7 @@
   return KeyAffinityKey{std::get<KeyAffinity>(entry.content).key};
 }
 
-// The prefixes keep a server apart from a fenced value of the same name.
+// The prefixes give a server and a fenced value of the same name different hashes.
 std::uint64_t HashOf(const EntryKey& key) {
   if (const auto* ejection = std::get_if<EjectionKey>(&key)) return HashText("v:" + ejection->server);
   if (const auto* fenced = std::get_if<FencedValueKey>(&key)) return HashText("d:" + fenced->key);
--- a/src/fleet/state/entry_key.h
+++ b/src/fleet/state/entry_key.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The identity of an entry: of two entries with equal keys one replaces the other.
+/// Defines the key that identifies an entry. An entry replaces a stored entry with the same key.
 #ifndef LOAD_BALANCER_FLEET_STATE_ENTRY_KEY_H_
 #define LOAD_BALANCER_FLEET_STATE_ENTRY_KEY_H_
 
@@ -13,28 +13,32 @@
 
 namespace load_balancer::fleet {
 
+/// FencedValueKey identifies a fenced value.
 struct FencedValueKey {
   std::string key;
   auto operator<=>(const FencedValueKey&) const = default;
 };
 
+/// EjectionKey identifies the ejection of a server.
 struct EjectionKey {
   std::string server;
   auto operator<=>(const EjectionKey&) const = default;
 };
 
+/// KeyAffinityKey identifies the affinity of a key.
 struct KeyAffinityKey {
   std::uint64_t key = 0;
   auto operator<=>(const KeyAffinityKey&) const = default;
 };
 
-/// Ordered by kind, then by value. Members compare digests that they compute in this order, so it is part of
-/// the protocol.
+/// EntryKey is the key of an entry of any kind. Keys are ordered by kind, then by value. Members compute the
+/// digests that they compare in this order, so the order is part of the protocol.
 using EntryKey = std::variant<FencedValueKey, EjectionKey, KeyAffinityKey>;
 
+/// Returns the key of an entry.
 EntryKey KeyOf(const Entry& entry);
 
-/// The entry's position in the hash space that members divide into buckets (XXH64); part of the protocol.
+/// Returns the XXH64 hash that assigns an entry to a bucket. The hash is part of the protocol.
 std::uint64_t HashOf(const EntryKey& key);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/state/entry_rejection.h
+++ b/src/fleet/state/entry_rejection.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Why a member does not accept an entry of another one.
+/// The reasons for which a member rejects an entry.
 #ifndef LOAD_BALANCER_FLEET_STATE_ENTRY_REJECTION_H_
 #define LOAD_BALANCER_FLEET_STATE_ENTRY_REJECTION_H_
 
@@ -9,25 +9,27 @@
 
 namespace load_balancer::fleet {
 
+/// EntryRejection is the reason for which an entry was rejected.
 enum class EntryRejection {
-  kOlder,        ///< the stored entry is as new or newer; not a fault
-  kOff,          ///< this member does not share entries of the kind; not a fault
-  kMalformed,    ///< cannot be read
-  kUnlisted,     ///< discovery does not list the server
-  kStale,        ///< has already expired
-  kFuture,       ///< its timestamp is further ahead than clocks may differ
-  kImplausible,  ///< lasts too long, or its counts contradict each other
-  kFenced,       ///< its fencing token is below one that was seen
-  kOversized,    ///< exceeds kMaxEntryBytes or kMaxValueBytes
-  kFull          ///< kMaxFencedValues or kMaxDuties are stored already
+  kNotNewer,     ///< the stored entry has the same or a later version; not a fault
+  kNotShared,    ///< this member does not share entries of this kind; not a fault
+  kMalformed,    ///< the entry cannot be decoded
+  kUnlisted,     ///< discovery does not list the server that the entry names
+  kStale,        ///< the entry has already expired
+  kFuture,       ///< the timestamp is further ahead than StateOptions::max_clock_skew
+  kImplausible,  ///< the entry lasts too long, or its counts contradict each other
+  kFenced,       ///< the fencing token is below the highest one seen for the role
+  kOversized,    ///< the entry exceeds kMaxEntryBytes or kMaxValueBytes
+  kFull          ///< kMaxFencedValues or kMaxLeasedRoles are already stored
 };
+/// Number of values of EntryRejection.
 inline constexpr int kEntryRejections = 10;
 
-/// The word for it in logs and in STATE.
+/// Returns the name of a reason in log lines and in the answer to STATE.
 std::string_view Name(EntryRejection rejection);
 
-/// Whether the sender is at fault, so that an operator should know of it.
-constexpr bool IsFault(EntryRejection rejection) { return rejection > EntryRejection::kOff; }
+/// Returns whether the rejection shows a fault of the sender, which is to be logged.
+constexpr bool IsFault(EntryRejection rejection) { return rejection > EntryRejection::kNotShared; }
 
 }  // namespace load_balancer::fleet
 
--- a/src/fleet/state/entry_store.cpp
+++ b/src/fleet/state/entry_store.cpp
@@ -48,13 +48,13 @@
   entries_.erase(found);
 }
 
-void EntryStore::EraseFencedBelow(const std::string& duty, std::uint64_t token) {
-  std::vector<EntryKey> fenced;
+void EntryStore::EraseFencedBelow(const std::string& role, std::uint64_t token) {
+  std::vector<EntryKey> fenced_keys;
   for (const auto& [key, stored] : entries_) {
     const auto* value = std::get_if<FencedValue>(&stored.entry.content);
-    if (value && value->duty == duty && value->token < token) fenced.push_back(key);
+    if (value && value->role == role && value->token < token) fenced_keys.push_back(key);
   }
-  for (const EntryKey& key : fenced) Erase(key);
+  for (const EntryKey& key : fenced_keys) Erase(key);
 }
 
 void EntryStore::Expire(UnixMs now) {
--- a/src/fleet/state/entry_store.h
+++ b/src/fleet/state/entry_store.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The entries that a member stores, indexed by key, by expiry and by how often they have been sent.
+/// Stores the entries of a member and indexes them by key, by expiry and by the number of times that they
+/// were sent.
 #ifndef LOAD_BALANCER_FLEET_STATE_ENTRY_STORE_H_
 #define LOAD_BALANCER_FLEET_STATE_ENTRY_STORE_H_
 
@@ -15,43 +16,46 @@
 
 namespace load_balancer::fleet {
 
+/// StoredEntry is an entry with its expiry, its packed size and the number of times that it was sent.
 struct StoredEntry {
   Entry entry;
   UnixMs expires_at = 0;
   std::size_t packed_bytes = 0;
-  int transmits = 0;  ///< messages that have carried it
+  int transmits = 0;  ///< number of messages that have carried the entry
 };
 
-/// An entry that is still to be disseminated.
+/// PendingTransmit refers to an entry that further messages are to carry.
 struct PendingTransmit {
   int transmits = 0;
   EntryKey key;
   auto operator<=>(const PendingTransmit&) const = default;
 };
 
+/// EntryStore holds the entries of the replicated state.
 class EntryStore {
  public:
-  /// Stores at most `max_affinities` affinities; a further one replaces the one that expires first.
+  /// Limits the number of affinities to `max_affinities`. A further affinity replaces the one that expires
+  /// first.
   explicit EntryStore(std::size_t max_affinities) : max_affinities_(max_affinities) {}
 
-  /// In the order of their keys.
+  /// Returns all entries in the order of their keys.
   const std::map<EntryKey, StoredEntry>& all() const { return entries_; }
-  /// Null if there is none.
+  /// Returns the entry with a key, or null if there is none.
   const StoredEntry* Find(const EntryKey& key) const;
   std::size_t size() const { return entries_.size(); }
   std::size_t fenced_value_count() const { return fenced_value_count_; }
 
-  /// Replaces the entry with the same key. The new one is pending from now on.
+  /// Stores an entry in place of the one with the same key, if any, and marks it as pending.
   void Put(Entry entry, UnixMs expires_at);
   void Erase(const EntryKey& key);
-  /// Erases the values of a duty that were written under a smaller token.
-  void EraseFencedBelow(const std::string& duty, std::uint64_t token);
-  /// Erases what expires at `now` or before.
+  /// Erases the fenced values of a role whose token is smaller than `token`.
+  void EraseFencedBelow(const std::string& role, std::uint64_t token);
+  /// Erases the entries that expire at `now` or earlier.
   void Expire(UnixMs now);
 
-  /// The entries that are to be sent, least sent first.
+  /// Returns the entries that are still to be sent, least sent first.
   const std::set<PendingTransmit>& pending() const { return pending_; }
-  /// A message has carried the entry; after `max_transmits` it is pending no more.
+  /// Counts a message that carried the entry. After `max_transmits` messages the entry is no longer pending.
   void CountTransmit(const EntryKey& key, int max_transmits);
 
  private:
--- a/src/fleet/state/entry_validator.cpp
+++ b/src/fleet/state/entry_validator.cpp
@@ -13,8 +13,8 @@
     return EntryRejection::kImplausible;
   if (PackedSize(fenced.value) > kMaxValueBytes || PackedSize(Pack(entry)) > kMaxEntryBytes)
     return EntryRejection::kOversized;
-  if (fenced.token < tokens_.HighestOf(fenced.duty)) return EntryRejection::kFenced;
-  if (!tokens_.HasRoomFor(fenced.duty)) return EntryRejection::kFull;
+  if (fenced.token < tokens_.HighestOf(fenced.role)) return EntryRejection::kFenced;
+  if (!tokens_.HasCapacityFor(fenced.role)) return EntryRejection::kFull;
   if (store_.fenced_value_count() >= kMaxFencedValues && !store_.Find(KeyOf(entry)))
     return EntryRejection::kFull;
   return std::nullopt;
@@ -36,7 +36,7 @@
   const FencedValue& current = std::get<FencedValue>(stored->entry.content);
   const bool is_newer =
       std::tie(fenced.token, entry.version) > std::tie(current.token, stored->entry.version);
-  if (!is_newer) return EntryRejection::kOlder;
+  if (!is_newer) return EntryRejection::kNotNewer;
   return std::nullopt;
 }
 
@@ -44,13 +44,13 @@
                                                                           const Entry& entry) const {
   const auto* ejection = std::get_if<Ejection>(&entry.content);
   const bool is_shared = ejection ? options_.share_ejections : options_.affinity_entries > 0;
-  if (!is_shared) return EntryRejection::kOff;
+  if (!is_shared) return EntryRejection::kNotShared;
   if (IsFromFuture(now, entry)) return EntryRejection::kFuture;
   if (ExpiresAt(options_, entry) <= now) return EntryRejection::kStale;
   if (!servers_.IsListed(SubjectOf(entry))) return EntryRejection::kUnlisted;
   if (ejection && !IsPlausible(*ejection, entry.version.stamp)) return EntryRejection::kImplausible;
   const StoredEntry* stored = store_.Find(KeyOf(entry));
-  if (stored && entry.version <= stored->entry.version) return EntryRejection::kOlder;
+  if (stored && entry.version <= stored->entry.version) return EntryRejection::kNotNewer;
   return std::nullopt;
 }
 
--- a/src/fleet/state/entry_validator.h
+++ b/src/fleet/state/entry_validator.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The rules by which a member accepts or rejects entries.
+/// Decides whether a member accepts or rejects an entry.
 #ifndef LOAD_BALANCER_FLEET_STATE_ENTRY_VALIDATOR_H_
 #define LOAD_BALANCER_FLEET_STATE_ENTRY_VALIDATOR_H_
 
@@ -16,23 +16,24 @@
 
 namespace load_balancer::fleet {
 
-/// The servers that discovery lists.
+/// ServerList tells which servers discovery lists.
 class ServerList {
  public:
   virtual ~ServerList() = default;
   virtual bool IsListed(const std::string& server) const = 0;
 };
 
+/// EntryValidator checks entries against the limits, the listed servers and the stored entries.
 class EntryValidator {
  public:
-  /// All arguments outlive this.
+  /// All arguments must outlive the validator.
   EntryValidator(const StateOptions& options, const EntryStore& store, const FencingTokens& tokens,
                  const ServerList& servers)
       : options_(options), store_(store), tokens_(tokens), servers_(servers) {}
 
-  /// The rules for a fenced value of any member, this one included. Nothing if it is acceptable.
+  /// Checks a fenced value of any member, including this one. Returns nullopt if it is acceptable.
   std::optional<EntryRejection> ValidateFencedValue(const Entry& entry) const;
-  /// The rules for another member's entry. Nothing if it is to be stored.
+  /// Checks an entry of another member. Returns nullopt if the entry is to be stored.
   std::optional<EntryRejection> ValidateReceived(UnixMs now, const Entry& entry) const;
 
  private:
--- a/src/fleet/state/fencing_tokens.cpp
+++ b/src/fleet/state/fencing_tokens.cpp
@@ -5,16 +5,16 @@
 
 namespace load_balancer::fleet {
 
-std::uint64_t FencingTokens::HighestOf(const std::string& duty) const {
-  const auto found = tokens_.find(duty);
+std::uint64_t FencingTokens::HighestOf(const std::string& role) const {
+  const auto found = tokens_.find(role);
   return found == tokens_.end() ? 0 : found->second.token;
 }
 
-bool FencingTokens::Raise(const std::string& duty, std::uint64_t token, UnixMs written) {
-  HighestToken& highest = tokens_[duty];
-  by_expiry_.erase({highest.expires_at, duty});
-  highest.expires_at = std::max(highest.expires_at, written + kMaxValueLifetime);
-  by_expiry_.insert({highest.expires_at, duty});
+bool FencingTokens::Raise(const std::string& role, std::uint64_t token, UnixMs written_at) {
+  HighestToken& highest = tokens_[role];
+  by_expiry_.erase({highest.expires_at, role});
+  highest.expires_at = std::max(highest.expires_at, written_at + kMaxValueLifetime);
+  by_expiry_.insert({highest.expires_at, role});
   if (token <= highest.token) return false;
   highest.token = token;
   return true;
@@ -22,7 +22,7 @@
 
 void FencingTokens::Expire(UnixMs now) {
   while (!by_expiry_.empty() && by_expiry_.begin()->expires_at <= now) {
-    tokens_.erase(by_expiry_.begin()->duty);
+    tokens_.erase(by_expiry_.begin()->role);
     by_expiry_.erase(by_expiry_.begin());
   }
 }
--- a/src/fleet/state/fencing_tokens.h
+++ b/src/fleet/state/fencing_tokens.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The highest fencing token seen of each duty, below which values of former lease holders are rejected.
+/// Stores the highest fencing token seen for each leased role. Values with a smaller token come from former
+/// lease holders and are rejected.
 #ifndef LOAD_BALANCER_FLEET_STATE_FENCING_TOKENS_H_
 #define LOAD_BALANCER_FLEET_STATE_FENCING_TOKENS_H_
 
@@ -15,19 +16,20 @@
 
 namespace load_balancer::fleet {
 
-/// A token is remembered for as long as a value under a smaller one could last, so that no such value
-/// outlives the token that rejects it.
+/// FencingTokens stores the highest token of each role. A token is stored for as long as a value with a
+/// smaller token could last, so that no such value outlives the token by which it is rejected.
 class FencingTokens {
  public:
-  /// 0 if none is known.
-  std::uint64_t HighestOf(const std::string& duty) const;
-  /// Whether the duty is known or one more can be remembered.
-  bool HasRoomFor(const std::string& duty) const {
-    return tokens_.size() < kMaxDuties || tokens_.contains(duty);
+  /// Returns the highest token seen for the role, or 0 if none is known.
+  std::uint64_t HighestOf(const std::string& role) const;
+  /// Returns whether a token of the role is stored or there is capacity for one more role.
+  bool HasCapacityFor(const std::string& role) const {
+    return tokens_.size() < kMaxLeasedRoles || tokens_.contains(role);
   }
-  /// Records that a value was written under the token at `written`. True if the token is the highest so far.
-  bool Raise(const std::string& duty, std::uint64_t token, UnixMs written);
-  /// Forgets the tokens that are no longer needed.
+  /// Records that a value was written with the token at the time `written_at`. Returns whether the token
+  /// exceeds all earlier ones of the role.
+  bool Raise(const std::string& role, std::uint64_t token, UnixMs written_at);
+  /// Erases the tokens that expire at `now` or earlier.
   void Expire(UnixMs now);
   std::size_t size() const { return tokens_.size(); }
 
@@ -38,11 +40,11 @@
   };
   struct Expiry {
     UnixMs expires_at = 0;
-    std::string duty;
+    std::string role;
     auto operator<=>(const Expiry&) const = default;
   };
 
-  std::map<std::string, HighestToken> tokens_;  // by duty
+  std::map<std::string, HighestToken> tokens_;  // by role
   std::set<Expiry> by_expiry_;
 };
 
--- a/src/fleet/state/gossip.cpp
+++ b/src/fleet/state/gossip.cpp
@@ -12,10 +12,10 @@
 namespace load_balancer::fleet {
 namespace {
 
-constexpr std::size_t kPushFanout = 3;        // members that are sent a new entry at once
+constexpr std::size_t kPushFanout = 3;        // members to which a new entry is pushed
 constexpr std::size_t kMaxAnswerChunks = 16;  // datagrams of an answer
-// 2^64 divided by the golden ratio, so that the starts of consecutive answers spread evenly.
-constexpr std::uint64_t kStartStep = 0x9e3779b97f4a7c15u;
+// 2^64 divided by the golden ratio, so that the start hashes of consecutive answers spread evenly.
+constexpr std::uint64_t kStartHashStep = 0x9e3779b97f4a7c15u;
 
 StateOptions StateOptionsOf(const FleetSection& section, const std::string& name) {
   StateOptions options;
@@ -37,7 +37,7 @@
       name_(name),
       sender_(sender),
       state_(StateOptionsOf(section, name), host),
-      next_start_(XXH64(name.data(), name.size(), 0)) {}
+      last_start_hash_(XXH64(name.data(), name.size(), 0)) {}
 
 bool StateGossip::Receive(UnixMs now, const Message& message) {
   if (!membership_ || message.sender.name == name_) return false;
@@ -46,11 +46,12 @@
   if (message.kind == Message::Kind::kSync) AnswerSync(now, message);
   if (message.kind == Message::Kind::kState && message.range && message.wants_reply)
     SendMissing(now, message);
-  return HasJoinedNow(now, message);
+  return CompletesJoin(now, message);
 }
 
-// A joiner is up to date once it stores what a peer stored when that peer sent its whole table.
-bool StateGossip::HasJoinedNow(UnixMs now, const Message& message) {
+// A joining member is up to date once its state has the digest that a peer sent with its complete member
+// table.
+bool StateGossip::CompletesJoin(UnixMs now, const Message& message) {
   const bool has_table = message.kind == Message::Kind::kSync && (!message.updates.empty() || message.range);
   if (has_table) joining_digest_ = message.state_digest;
   if (has_joined_ || !joining_digest_ || *joining_digest_ != state_.ComputeDigest(now)) return false;
@@ -65,8 +66,9 @@
     AnswerDigest(now, message);
 }
 
-// Members of an older version send no buckets: members whose digests differ send everything, and the one that
-// is asked asks in turn, since it may be the one that lacks entries.
+// Answers a sync from a member of an older version, which sends no bucket digests. If the digests differ, the
+// members send each other all entries. The receiver requests a sync in turn, because it may be the member
+// that lacks entries.
 void StateGossip::AnswerDigest(UnixMs now, const Message& message) {
   if (message.state_digest == state_.ComputeDigest(now)) return;
   const Udp::endpoint& from = message.sender.address;
@@ -74,29 +76,29 @@
   if (message.wants_reply) sender_.Send(from, MakeMessage(Message::Kind::kSync));
 }
 
-void StateGossip::SendDiffering(UnixMs now, const Udp::endpoint& to, const BucketDigests& theirs) {
+void StateGossip::SendDiffering(UnixMs now, const Udp::endpoint& to, const BucketDigests& peer_digests) {
   Message message = MakeMessage(Message::Kind::kState);
   message.wants_reply = true;
   message.range.emplace();
-  next_start_ += kStartStep;
+  last_start_hash_ += kStartHashStep;
   const std::size_t max_bytes = RemainingBytes(fleet_, message);
-  for (auto& chunk : state_.PackDiffering(now, theirs, next_start_, max_bytes, kMaxAnswerChunks)) {
+  for (auto& chunk : state_.PackDiffering(now, peer_digests, last_start_hash_, max_bytes, kMaxAnswerChunks)) {
     message.range = chunk.range;
     message.state = std::move(chunk.entries);
-    if (!sender_.TrySend(to, message)) return;  // the rest is asked for with the next sync
+    if (!sender_.TrySend(to, message)) return;  // the next sync requests the rest
   }
 }
 
-void StateGossip::SendMissing(UnixMs now, const Message& listing) {
-  SendEach(listing.sender.address,
-           state_.PackMissing(now, listing.state, *listing.range, RemainingStateBytes()));
+void StateGossip::SendMissing(UnixMs now, const Message& request) {
+  SendEach(request.sender.address,
+           state_.PackMissing(now, request.state, *request.range, RemainingStateBytes()));
 }
 
 void StateGossip::SendEach(const Udp::endpoint& to, std::vector<nlohmann::json> entry_arrays) {
   Message message = MakeMessage(Message::Kind::kState);
   for (nlohmann::json& entries : entry_arrays) {
     message.state = std::move(entries);
-    if (!sender_.TrySend(to, message)) return;  // as above
+    if (!sender_.TrySend(to, message)) return;  // the next sync requests the rest
   }
 }
 
@@ -111,7 +113,8 @@
   return RemainingBytes(fleet_, MakeMessage(Message::Kind::kState));
 }
 
-// Each receiver to which an entry is new pushes it on. What the bandwidth limit holds back stays unpushed.
+// Pushes new entries to a few members, which push the entries that are new to them in turn. Entries that the
+// bandwidth limit does not admit stay unpushed until the next call.
 void StateGossip::PushNewEntries(UnixMs now) {
   while (membership_ && state_.has_unpushed()) {
     Message message = MakeMessage(Message::Kind::kState);
@@ -123,7 +126,8 @@
   }
 }
 
-// False if there are receivers and it could be sent to none of them.
+// Sends the message to a few members. Returns false if there are receivers and the bandwidth limit admitted
+// no datagram.
 bool StateGossip::Push(const Message& message) {
   const std::vector<Udp::endpoint> receivers = membership_->Sample(kPushFanout);
   const auto sent = std::count_if(receivers.begin(), receivers.end(), [&](const Udp::endpoint& receiver) {
--- a/src/fleet/state/gossip.h
+++ b/src/fleet/state/gossip.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Exchange of the replicated state between members: new entries on every message that has room, a new
-/// ejection or fenced value at once to a few members, and what differs with each sync of membership. Has no
-/// socket and no clock.
+/// Exchanges the replicated state between members. Every message carries new entries as far as they fit. A
+/// new ejection or fenced value is pushed to a few members immediately. Each sync of membership also compares
+/// and exchanges the entries that differ. Uses no socket and no clock of its own.
 #ifndef LOAD_BALANCER_FLEET_STATE_GOSSIP_H_
 #define LOAD_BALANCER_FLEET_STATE_GOSSIP_H_
 
@@ -19,37 +19,40 @@
 
 namespace load_balancer::fleet {
 
+/// StateGossip sends and receives the entries of one member.
 class StateGossip {
  public:
-  /// Sends messages to members. Called from within the calls below; calls AttachState for each message.
+  /// MessageSender sends messages to members. StateGossip calls it from within its own functions. It calls
+  /// AttachState for each message.
   class MessageSender {
    public:
     virtual ~MessageSender() = default;
     virtual void Send(const Udp::endpoint& to, const Message& message) = 0;
-    /// Sends a message of replicated state, which can wait. False, and nothing is sent, if the bandwidth that
-    /// is left is reserved for other messages.
+    /// Sends a message of replicated state, which can wait. Returns false and sends nothing if the remaining
+    /// bandwidth is reserved for other messages.
     [[nodiscard]] virtual bool TrySend(const Udp::endpoint& to, const Message& message) = 0;
   };
 
-  /// `name` is this member's. `host` and `sender` outlive this.
+  /// `name` is the name of this member. `host` and `sender` must outlive this object.
   StateGossip(const FleetSection& section, const std::string& name, SharedState::Host& host,
               MessageSender& sender);
 
-  /// Entries are exchanged from now on. `membership` outlives this or the call of Stop.
+  /// Starts the exchange of entries. `membership` must outlive this object or stay valid until Stop.
   void Join(Membership* membership) { membership_ = membership; }
+  /// Stops the exchange of entries.
   void Stop() { membership_ = nullptr; }
 
-  /// Takes a message of any kind, after membership has taken it. True if this member has received the whole
-  /// table and state of a peer for the first time.
+  /// Processes a message of any kind, after membership has processed it. Returns true only once, when this
+  /// member has first received the complete member table and state of a peer.
   bool Receive(UnixMs now, const Message& message);
-  /// Adds entries as far as there is room, or, to a sync, the digests of all entries.
+  /// Adds to a message as many entries as fit. To a sync, adds the digests of all entries instead.
   void AttachState(UnixMs now, Message* message);
 
-  /// Sends what the bandwidth limit has held back of entries that are to be pushed. To be called now and
-  /// then.
+  /// Pushes the entries that the bandwidth limit has delayed. Must be called periodically.
   void ContinuePush(UnixMs now) { PushNewEntries(now); }
 
-  /// Writes an entry of this member and disseminates it. An affinity waits for a message that has room.
+  /// Writes entries of this member and disseminates them. Ejections and fenced values are pushed immediately;
+  /// an affinity is sent with the next messages that it fits.
   void Announce(UnixMs now, Ejection ejection);
   void Announce(UnixMs now, KeyAffinity affinity) { state_.Write(now, std::move(affinity)); }
   void Announce(UnixMs now, std::vector<FencedValue> values);
@@ -63,10 +66,10 @@
   bool Push(const Message& message);
   void AnswerSync(UnixMs now, const Message& message);
   void AnswerDigest(UnixMs now, const Message& message);
-  void SendDiffering(UnixMs now, const Udp::endpoint& to, const BucketDigests& theirs);
-  void SendMissing(UnixMs now, const Message& listing);
+  void SendDiffering(UnixMs now, const Udp::endpoint& to, const BucketDigests& peer_digests);
+  void SendMissing(UnixMs now, const Message& request);
   void SendEach(const Udp::endpoint& to, std::vector<nlohmann::json> entry_arrays);
-  bool HasJoinedNow(UnixMs now, const Message& message);
+  bool CompletesJoin(UnixMs now, const Message& message);
 
   const std::string fleet_;
   const std::string name_;
@@ -74,8 +77,8 @@
   SharedState state_;
   Membership* membership_ = nullptr;
   bool has_joined_ = false;
-  std::optional<std::uint64_t> joining_digest_;  // of the peer that sent its whole table
-  std::uint64_t next_start_;                     // the hash at which the next answer's ranges begin
+  std::optional<std::uint64_t> joining_digest_;  // state digest of the last peer that sent its complete table
+  std::uint64_t last_start_hash_;                // start hash of the last answer
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/state/hybrid_clock.h
+++ b/src/fleet/state/hybrid_clock.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A hybrid logical clock (Kulkarni, Demirbas, Madeppa, Avva, Leone: "Logical Physical Clocks", 2014):
-/// timestamps that respect causality and stay close to the wall clock.
+/// Implements a hybrid logical clock (Kulkarni, Demirbas, Madeppa, Avva, Leone: "Logical Physical Clocks",
+/// 2014), whose timestamps respect causality and stay close to the wall clock.
 #ifndef LOAD_BALANCER_FLEET_STATE_HYBRID_CLOCK_H_
 #define LOAD_BALANCER_FLEET_STATE_HYBRID_CLOCK_H_
 
@@ -11,22 +11,25 @@
 
 namespace load_balancer::fleet {
 
-/// 48 bits of Unix milliseconds above 16 bits of a logical counter, so that integers compare as timestamps
-/// do.
+/// HybridTimestamp holds Unix milliseconds in its upper 48 bits and a logical counter in its lower 16 bits.
+/// The integer comparison therefore orders timestamps by time, then by counter.
 using HybridTimestamp = std::uint64_t;
+/// Number of bits of the logical counter.
 inline constexpr int kCounterBits = 16;
 
-/// The Unix milliseconds of a timestamp.
+/// Returns the Unix milliseconds of a timestamp.
 inline constexpr std::uint64_t MillisecondsOf(HybridTimestamp stamp) { return stamp >> kCounterBits; }
 
+/// HybridClock issues the timestamps of one member.
 class HybridClock {
  public:
-  /// A timestamp for a local event at `wall_ms` (Unix milliseconds), later than all issued and observed ones.
+  /// Returns a timestamp for a local event at `wall_ms` (Unix milliseconds). It is later than all timestamps
+  /// that were issued or observed before.
   HybridTimestamp Now(std::uint64_t wall_ms) {
     last_ = std::max(last_ + 1, wall_ms << kCounterBits);
     return last_;
   }
-  /// A timestamp of another member has been received.
+  /// Records a timestamp that was received from another member.
   void Observe(HybridTimestamp stamp) { last_ = std::max(last_, stamp); }
 
  private:
--- a/src/fleet/state/state.cpp
+++ b/src/fleet/state/state.cpp
@@ -12,7 +12,8 @@
 
 using nlohmann::json;
 
-DigestRange WholeRange() {
+// Returns a range that contains every hash.
+DigestRange FullRange() {
   DigestRange range;
   range.buckets.indices.set();
   range.last = range.first - 1;
@@ -34,12 +35,12 @@
   store_.Expire(now);
 }
 
-// Values under a smaller token are erased, since members that receive them later reject them: all members
-// store the same.
+// Erases the values with a smaller token. Members that receive these values later reject them, so all members
+// store the same values.
 void SharedState::Store(Entry entry) {
   if (const auto* fenced = std::get_if<FencedValue>(&entry.content)) {
-    const bool is_highest = tokens_.Raise(fenced->duty, fenced->token, MillisecondsOf(entry.version.stamp));
-    if (is_highest) store_.EraseFencedBelow(fenced->duty, fenced->token);
+    const bool is_highest = tokens_.Raise(fenced->role, fenced->token, MillisecondsOf(entry.version.stamp));
+    if (is_highest) store_.EraseFencedBelow(fenced->role, fenced->token);
   }
   if (!std::holds_alternative<KeyAffinity>(entry.content)) unpushed_.insert(KeyOf(entry));
   const UnixMs expires_at = ExpiresAt(options_, entry);
@@ -111,20 +112,20 @@
 }
 
 std::vector<json> SharedState::PackAll(UnixMs now, std::size_t max_bytes) {
-  return PackMissing(now, json::array(), WholeRange(), max_bytes);
+  return PackMissing(now, json::array(), FullRange(), max_bytes);
 }
 
-std::vector<json> SharedState::PackMissing(UnixMs now, const json& listed, const DigestRange& range,
+std::vector<json> SharedState::PackMissing(UnixMs now, const json& peer_entries, const DigestRange& range,
                                            std::size_t max_bytes) {
   Expire(now);
-  return fleet::PackMissing(store_, listed, range, max_bytes);
+  return fleet::PackMissing(store_, peer_entries, range, max_bytes);
 }
 
-std::vector<Chunk<json>> SharedState::PackDiffering(UnixMs now, const BucketDigests& theirs,
+std::vector<Chunk<json>> SharedState::PackDiffering(UnixMs now, const BucketDigests& peer_digests,
                                                     std::uint64_t start, std::size_t max_bytes,
                                                     std::size_t max_chunks) {
   Expire(now);
-  return fleet::PackDiffering(store_, theirs, start, max_bytes, max_chunks);
+  return fleet::PackDiffering(store_, peer_digests, start, max_bytes, max_chunks);
 }
 
 BucketDigests SharedState::ComputeBucketDigests(UnixMs now, std::size_t bucket_count) {
@@ -142,8 +143,8 @@
   Summary summary;
   summary.rejected = rejected_;
   for (const auto& [key, stored] : store_.all()) {
-    const UnixMs written = MillisecondsOf(stored.entry.version.stamp);
-    const UnixMs age = now > written ? now - written : 0;
+    const UnixMs written_at = MillisecondsOf(stored.entry.version.stamp);
+    const UnixMs age = now > written_at ? now - written_at : 0;
     if (std::holds_alternative<FencedValue>(stored.entry.content))
       ++summary.fenced_values;
     else if (std::holds_alternative<Ejection>(stored.entry.content))
--- a/src/fleet/state/state.h
+++ b/src/fleet/state/state.h
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The state that members of a fleet replicate: last-writer-wins registers, exchanged as deltas and, where
-/// digests differ, by buckets (Almeida, Shoker, Baquero: "Delta state replicated data types", 2018). Has no
-/// socket and no clock; times are Unix milliseconds, since they are compared between machines. Its bounds are
-/// in docs/fleet.md.
+/// The state that the members of a fleet replicate. It consists of last-writer-wins registers, which members
+/// exchange as deltas (Almeida, Shoker, Baquero: "Delta state replicated data types", 2018). Where digests
+/// differ, members exchange the entries of the differing hash buckets. Uses no socket and no clock of its
+/// own. Times are Unix milliseconds, because they are compared between machines. docs/fleet.md lists the
+/// limits.
 #ifndef LOAD_BALANCER_FLEET_STATE_STATE_H_
 #define LOAD_BALANCER_FLEET_STATE_STATE_H_
 
@@ -29,69 +30,77 @@
 
 namespace load_balancer::fleet {
 
+/// SharedState holds one member's copy of the replicated state.
 class SharedState {
  public:
-  /// The user of the entries. Called from within Receive, and OnRejected from within Write.
+  /// Host is notified of accepted and rejected entries. SharedState calls it from within Receive, and calls
+  /// OnRejected from within Write, too.
   class Host : public ServerList {
    public:
-    /// Another member's entry has been accepted.
+    /// Called for each entry of another member that was accepted.
     virtual void OnAccepted(const Entry& entry) = 0;
-    /// `subject` is the server or the fenced value's key; empty, as `origin`, if the entry is malformed.
+    /// Called for each entry that was rejected because of a fault. `subject` is the server or the key of the
+    /// fenced value. `subject` and `origin` are empty if the entry is malformed.
     virtual void OnRejected(const std::string& subject, const std::string& origin,
                             EntryRejection rejection) = 0;
   };
 
-  /// `host` outlives this.
+  /// `host` must outlive this object.
   SharedState(StateOptions options, Host& host)
       : options_(std::move(options)), host_(host), store_(options_.affinity_entries) {}
 
-  /// Writes an entry of this member. A fenced value that the others would reject is rejected here, and false
-  /// returned.
+  /// Writes an entry of this member. Returns false, without storing it, for a fenced value that the other
+  /// members would reject.
   void Write(UnixMs now, Ejection ejection);
   void Write(UnixMs now, KeyAffinity affinity);
   bool Write(UnixMs now, FencedValue fenced);
 
-  /// Takes an array of packed entries.
+  /// Validates the entries of a packed array and stores those that are accepted.
   void Receive(UnixMs now, const nlohmann::json& entries);
 
-  /// Packs entries for a message that is sent anyway: those that have been sent fewer than `max_transmits`
-  /// times, in at most `max_bytes`.
+  /// Packs entries that were sent fewer than `max_transmits` times, in at most `max_bytes`, for a message
+  /// that is sent for another reason.
   nlohmann::json PackPiggyback(UnixMs now, std::size_t max_bytes, int max_transmits);
-  /// Whether an ejection or a fenced value has come that was not pushed yet.
+  /// Returns whether there is a new ejection or fenced value that was not pushed yet.
   bool has_unpushed() const { return !unpushed_.empty(); }
-  /// Packs such entries, in at most `max_bytes`, for a push to several members. The push does not count as a
-  /// transmission, since one local fault may lose all of its datagrams.
+  /// Packs ejections and fenced values that were not pushed yet, in at most `max_bytes`, for a push to
+  /// several members. The push does not count as a transmission, because one local fault may lose all of its
+  /// datagrams.
   PackedPush PackPush(UnixMs now, std::size_t max_bytes);
-  /// The entries need not be packed for a push again, unless they change.
+  /// Marks entries as pushed. PackPush skips them until they change.
   void MarkPushed(const std::vector<EntryKey>& keys);
   /// Packs all entries, in arrays of at most `max_bytes` each.
   std::vector<nlohmann::json> PackAll(UnixMs now, std::size_t max_bytes);
-  /// See anti_entropy.h. `listed` is what Receive has just taken.
-  std::vector<nlohmann::json> PackMissing(UnixMs now, const nlohmann::json& listed, const DigestRange& range,
-                                          std::size_t max_bytes);
-  std::vector<Chunk<nlohmann::json>> PackDiffering(UnixMs now, const BucketDigests& theirs,
+  /// These functions expire entries and then call the functions of the same name in anti_entropy.h.
+  /// `peer_entries` is the array that was just passed to Receive.
+  std::vector<nlohmann::json> PackMissing(UnixMs now, const nlohmann::json& peer_entries,
+                                          const DigestRange& range, std::size_t max_bytes);
+  std::vector<Chunk<nlohmann::json>> PackDiffering(UnixMs now, const BucketDigests& peer_digests,
                                                    std::uint64_t start, std::size_t max_bytes,
                                                    std::size_t max_chunks);
   BucketDigests ComputeBucketDigests(UnixMs now, std::size_t bucket_count);
   std::uint64_t ComputeDigest(UnixMs now);
 
-  /// Entries that are stored.
+  /// Returns the number of stored entries.
   std::size_t size() const { return store_.size(); }
 
-  /// The entries of one kind; ages in milliseconds, 0 if there are none.
+  /// KindSummary describes the stored entries of one kind. The ages are in milliseconds, and 0 if there are
+  /// no entries.
   struct KindSummary {
     std::size_t count = 0;
     UnixMs newest_age = 0;
     UnixMs oldest_age = 0;
   };
+  /// Summary counts the stored entries by kind and the rejected entries by reason.
   struct Summary {
     KindSummary ejections;
     KindSummary affinities;
     std::size_t fenced_values = 0;
-    std::array<std::uint64_t, kEntryRejections> rejected{};  ///< by EntryRejection
+    std::array<std::uint64_t, kEntryRejections> rejected{};  ///< counts by EntryRejection
   };
+  /// Summarizes the entries that are stored at `now`.
   Summary Summarize(UnixMs now);
-  /// The ejections in force, of all members.
+  /// Returns the ejections of all members that are in force at `now`.
   std::vector<Entry> Ejections(UnixMs now);
 
  private:
--- a/src/fleet/state/state_options.h
+++ b/src/fleet/state/state_options.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Options of the replicated state and the staleness bounds that follow from them.
+/// Options of the replicated state and the expiry of entries that follows from them.
 #ifndef LOAD_BALANCER_FLEET_STATE_STATE_OPTIONS_H_
 #define LOAD_BALANCER_FLEET_STATE_STATE_OPTIONS_H_
 
@@ -12,17 +12,18 @@
 
 namespace load_balancer::fleet {
 
+/// StateOptions configures the replicated state of one member.
 struct StateOptions {
-  std::string name;                  ///< of this member
-  bool share_ejections = true;       ///< whether ejections are exchanged
-  std::size_t affinity_entries = 0;  ///< affinities stored at most; 0: none are exchanged
-  UnixMs affinity_ttl = 4000;
-  UnixMs max_clock_skew = 500;  ///< that a timestamp may be ahead of this member's wall clock
-  UnixMs max_ejection = 0;      ///< from an ejection's timestamp to its end
-  UnixMs propagation_time = 0;  ///< that an ejection may need to reach a member
+  std::string name;                  ///< name of this member
+  bool share_ejections = true;       ///< whether members exchange ejections
+  std::size_t affinity_entries = 0;  ///< maximum number of stored affinities; 0: none are exchanged
+  UnixMs affinity_ttl = 4000;        ///< time from the timestamp of an affinity to its expiry
+  UnixMs max_clock_skew = 500;       ///< largest lead of a timestamp over this member's wall clock
+  UnixMs max_ejection = 0;           ///< longest time from the timestamp of an ejection to its end
+  UnixMs propagation_time = 0;       ///< longest time in which an ejection reaches a member
 };
 
-/// The time at which the entry is dropped: its staleness bound.
+/// Returns the time at which the entry expires and is erased.
 UnixMs ExpiresAt(const StateOptions& options, const Entry& entry);
 
 }  // namespace load_balancer::fleet
