--- a/src/fleet/sync/bucket_digests.cpp
+++ b/src/fleet/sync/bucket_digests.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kDigestBytes = 4;
-constexpr std::size_t kEntriesPerBucket = 4;
+constexpr std::size_t kEntriesPerBucket = 4;  // target of CountFor
 constexpr int kBitsPerByte = 8;
 constexpr int kHashBits = 64;
 
@@ -38,7 +38,7 @@
 }
 
 void BucketDigests::Add(std::uint64_t hash, std::uint64_t content) {
-  // A sum does not depend on the order of the entries.
+  // The sum does not depend on the order in which entries are added.
   digests_[BucketOf(hash, count())] += static_cast<std::uint32_t>(content);
 }
 
--- a/src/fleet/sync/chunks.h
+++ b/src/fleet/sync/chunks.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Splits the entries of some hash buckets into chunks that fit a datagram each.
+/// Splits the entries of hash buckets into chunks of which each fits a datagram.
 #ifndef LOAD_BALANCER_FLEET_SYNC_CHUNKS_H_
 #define LOAD_BALANCER_FLEET_SYNC_CHUNKS_H_
 
@@ -15,7 +15,7 @@
 
 namespace load_balancer::fleet {
 
-/// An entry with its position in the hash space and the bytes that it takes in a message.
+/// HashedEntry is an entry with its hash and its size in a message, in bytes.
 template <typename Entry>
 struct HashedEntry {
   std::uint64_t hash = 0;
@@ -23,16 +23,17 @@
   Entry entry;
 };
 
-/// The entries of a range. A range without entries tells the receiver that the sender has none there.
+/// Chunk holds all entries of the sender in a range. A chunk without entries tells the receiver that the
+/// sender has none in the range.
 template <typename Entry>
 struct Chunk {
   DigestRange range;
   std::vector<Entry> entries;
 };
 
-/// Splits those of `entries` that are in `buckets` into at least one and at most `max_chunks` chunks of at
-/// most `max_bytes` each, in the order of their hashes from `start` on. The ranges of all chunks together
-/// cover the whole hash space, unless the last one is marked as truncated.
+/// Splits the entries that are in `buckets` into chunks of at most `max_bytes` each, in the order of their
+/// hashes from `start` on. Returns at least one and at most `max_chunks` chunks. Their ranges together cover
+/// the whole hash space, unless the last one is marked as truncated.
 template <typename Entry>
 std::vector<Chunk<Entry>> SplitIntoChunks(std::vector<HashedEntry<Entry>> entries, const BucketSet& buckets,
                                           std::uint64_t start, std::size_t max_bytes,
--- a/src/fleet/wire/codec.h
+++ b/src/fleet/wire/codec.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The form of a message in a datagram: one MessagePack map with the protocol's version and the fleet's name.
+/// Encodes and decodes messages. A datagram holds one MessagePack map, which includes the protocol version
+/// and the name of the fleet.
 #ifndef LOAD_BALANCER_FLEET_WIRE_CODEC_H_
 #define LOAD_BALANCER_FLEET_WIRE_CODEC_H_
 
@@ -16,16 +17,18 @@
 
 namespace load_balancer::fleet {
 
-/// At most kMaxDatagramBytes, if updates and state were added within RemainingBytes.
+/// Encodes a message. The result has at most kMaxDatagramBytes if the updates and the state of the message
+/// fit RemainingBytes.
 std::vector<std::uint8_t> Encode(std::string_view fleet, const Message& message);
 
-/// The message, or why the datagram is dropped: anything but a complete, well-formed message of `fleet`.
+/// Decodes a datagram. Returns the message, or the reason for which the datagram is dropped if it is not a
+/// complete, well-formed message of `fleet`.
 std::variant<Message, DropReason> Decode(std::string_view fleet, std::span<const std::uint8_t> datagram);
 
-/// Upper bound of the bytes that an update takes in a message.
+/// Returns an upper bound of the size of an update in a message, in bytes.
 std::size_t EncodedSize(const Update& update);
 
-/// Lower bound of the bytes that are left for updates and state in a message that has none yet.
+/// Returns a lower bound of the bytes that are available for updates and state in a message that has neither.
 std::size_t RemainingBytes(std::string_view fleet, const Message& message);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/wire/decode.cpp
+++ b/src/fleet/wire/decode.cpp
@@ -11,14 +11,14 @@
 
 using nlohmann::json;
 
-// Offsets in the arrays of an update and of a lease message beyond which older versions send nothing.
+// Number of elements that members of older versions send in the array of an update and of a lease message.
 constexpr std::size_t kUpdateFields = 4;
 constexpr std::size_t kLeaseFields = 6;
 constexpr std::size_t kBitsPerByte = 8;
 
 bool IsPrintable(char c) { return static_cast<unsigned char>(c) > ' ' && c != 0x7f; }
 
-// All of the following throw json::exception or std::invalid_argument if the value is malformed.
+// The functions below throw json::exception or std::invalid_argument if the value is malformed.
 std::string ReadName(const json& value) {
   auto name = value.get<std::string>();
   const bool is_valid =
@@ -64,7 +64,7 @@
   if (lease.holder.empty() || lease.holder.size() > 2 * kMaxNameBytes) throw std::invalid_argument("holder");
   lease.retry_after_ms = ReadUnsigned(value.at(4));
   lease.requested_token = ReadUnsigned(value.at(5));
-  if (value.size() <= kLeaseFields) return lease;  // of a version without numbers of requests
+  if (value.size() <= kLeaseFields) return lease;  // older versions send no request number
   lease.request_number = ReadUnsigned(value.at(6));
   lease.term_ms = ReadUnsigned(value.at(7));
   lease.drift_ms = ReadUnsigned(value.at(8));
--- a/src/fleet/wire/encode.cpp
+++ b/src/fleet/wire/encode.cpp
@@ -18,7 +18,7 @@
   return packed;
 }
 
-// One bit a bucket.
+// Encodes the set with one bit per bucket.
 json Pack(const BucketSet& buckets) {
   json::binary_t::container_type bits(buckets.count / kBitsPerByte);
   for (std::size_t i = 0; i < buckets.count; ++i) {
--- a/src/fleet/wire/encoded_size.cpp
+++ b/src/fleet/wire/encoded_size.cpp
@@ -4,18 +4,19 @@
 namespace load_balancer::fleet {
 namespace {
 
-// Upper bounds of the MessagePack bytes besides the texts themselves.
+// The constants are upper bounds of MessagePack sizes, in bytes, without the content of strings.
 constexpr std::size_t kIntegerBytes = 9;
-constexpr std::size_t kShortTextHeader = 2;
-// An update's array, three texts, state and incarnation.
-constexpr std::size_t kUpdateBytes = 1 + 3 * kShortTextHeader + 1 + kIntegerBytes;
-// A map of up to fifteen one-letter keys with their values, without updates and the optional parts below.
-constexpr std::size_t kMessageBytes = 1 + 15 * 2 + 3 * 1 + 3 * kIntegerBytes + 3 * kShortTextHeader + 3 + 2;
-// A lease's key, array, verb and reason, two texts and seven integers.
-constexpr std::size_t kLeaseBytes = 2 + 1 + 2 * 1 + 2 * kShortTextHeader + 7 * kIntegerBytes;
-// The key and the header of bucket digests.
+constexpr std::size_t kShortStringHeaderBytes = 2;
+// The array of an update with its three strings, state and incarnation.
+constexpr std::size_t kUpdateBytes = 1 + 3 * kShortStringHeaderBytes + 1 + kIntegerBytes;
+// A map of up to fifteen one-letter keys with their values, without the updates and the optional parts below.
+constexpr std::size_t kMessageBytes =
+    1 + 15 * 2 + 3 * 1 + 3 * kIntegerBytes + 3 * kShortStringHeaderBytes + 3 + 2;
+// The key and the array of a lease message with its type, denial reason, two strings and seven integers.
+constexpr std::size_t kLeaseBytes = 2 + 1 + 2 * 1 + 2 * kShortStringHeaderBytes + 7 * kIntegerBytes;
+// The key and the MessagePack header of bucket digests.
 constexpr std::size_t kBucketDigestsBytes = 2 + 3;
-// A range's key, array, bits, two integers and flag.
+// The key and the array of a range with its bucket bits, two integers and flag.
 constexpr std::size_t kRangeBytes = 2 + 1 + 2 + kMaxBuckets / 8 + 2 * kIntegerBytes + 1;
 
 std::size_t EncodedSize(const std::optional<BucketDigests>& digests) {
--- a/src/fleet/wire/message.h
+++ b/src/fleet/wire/message.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The messages between members of a fleet. Their form in a datagram is in codec.h.
+/// Defines the messages between the members of a fleet. codec.h encodes them for datagrams.
 #ifndef LOAD_BALANCER_FLEET_WIRE_MESSAGE_H_
 #define LOAD_BALANCER_FLEET_WIRE_MESSAGE_H_
 
@@ -21,81 +21,91 @@
 
 using Udp = boost::asio::ip::udp;
 
+/// Version of the protocol. Datagrams of another version are dropped.
 inline constexpr int kProtocolVersion = 1;
-/// Largest datagram; fits one frame of an ordinary network.
+/// Maximum size of a datagram, in bytes. It fits one Ethernet frame.
 inline constexpr std::size_t kMaxDatagramBytes = 1400;
-/// Longest name of a member, a duty or a fleet.
+/// Maximum length of the name of a member, a leased role or a fleet, in bytes.
 inline constexpr std::size_t kMaxNameBytes = 64;
-/// Longest name of a channel.
+/// Maximum length of the name of a channel, in bytes.
 inline constexpr std::size_t kMaxChannelBytes = 16;
-/// Largest packed payload; fits a datagram with the longest names.
+/// Maximum size of a packed payload, in bytes. It fits a datagram with the longest names.
 inline constexpr std::size_t kMaxPayloadBytes = 1024;
 
+/// MemberState is the state of a member in the view of another one.
 enum class MemberState { kAlive, kSuspect, kDead, kLeft };
+/// Number of values of MemberState.
 inline constexpr int kMemberStates = 4;
+/// Returns the name of a state in log lines and in the answer to MEMBERS.
 std::string_view Name(MemberState state);
 
-/// A claim about a member.
+/// Update is a claim of one member about the state of another.
 struct Update {
   std::string name;
-  Udp::endpoint address;  ///< at which the member is reached
+  Udp::endpoint address;  ///< address at which the member receives datagrams
   MemberState state = MemberState::kAlive;
   std::uint64_t incarnation = 0;
-  std::string accuser;  ///< the member that suspects it; of kSuspect only
+  std::string accuser;  ///< name of the member that suspects it; set for kSuspect only
 };
 
+/// Message is the content of a datagram.
 struct Message {
+  /// Kind is the purpose of a message.
   enum class Kind {
-    kPing,     ///< SWIM's direct probe
-    kPingReq,  ///< SWIM's request for an indirect probe
-    kAck,      ///< SWIM's answer to a probe
-    kNack,     ///< Lifeguard's answer of a helper whose probe has had no answer yet
+    kPing,     ///< direct probe, as in SWIM
+    kPingReq,  ///< request for an indirect probe, as in SWIM
+    kAck,      ///< answer to a probe, as in SWIM
+    kNack,     ///< message of a helper whose indirect probe was not answered yet, as in Lifeguard
     kSync,     ///< exchange of membership tables
     kState,    ///< replicated state without membership
-    kLease,    ///< a request or an answer of the lease protocol
-    kPayload   ///< a message of a layer above the fleet
+    kLease,    ///< request or answer of the lease protocol
+    kPayload   ///< message of a layer above the fleet
   };
-  /// A member that does not know a kind drops the message as malformed.
+  /// Number of values of Kind. A member drops a message of an unknown kind as malformed.
   static constexpr int kKinds = 8;
 
   Kind kind = Kind::kPing;
-  Update sender;               ///< as the sender sees itself: alive, or left
-  std::uint64_t sequence = 0;  ///< of the probe that the message belongs to
-  std::string target;          ///< the member that is probed, or is to be
-  Udp::endpoint target_address;
-  /// Of kSync: the receiver is to answer with its table if that differs. With `range`: with what it has
-  /// besides the listed entries.
+  Update sender;                 ///< the sender's claim about itself: alive or left
+  std::uint64_t sequence = 0;    ///< sequence of the probe to which the message belongs
+  std::string target;            ///< name of the member that is or should be probed
+  Udp::endpoint target_address;  ///< address of the target
+  /// In a kSync without `range`: requests the receiver's member table if the tables differ. In a message with
+  /// `range`: requests the entries in the range that the receiver stores and the message does not list.
   bool wants_reply = false;
   std::vector<Update> updates;
-  nlohmann::json state;  ///< entries of the replicated state, packed; null: none
-  /// Of kSync: digests of the members that are present and of the replicated state.
+  nlohmann::json state;  ///< packed entries of the replicated state; null: none
+  /// In a kSync: digests of the members that are present and of the replicated state.
   std::uint64_t member_digest = 0;
   std::uint64_t state_digest = 0;
-  /// Of a kSync that asks: the same digests by buckets. Members of older versions send none.
+  /// In a kSync that requests an answer: the same digests by hash bucket. Members of older versions send
+  /// none.
   std::optional<BucketDigests> member_buckets;
   std::optional<BucketDigests> state_buckets;
-  /// Of kSync and kState: the part of the hash space of which `updates`, or `state`, list all entries that
-  /// the sender has.
+  /// In a kSync: the part of the hash space for which `updates` lists all members that the sender knows. In a
+  /// kState: the part for which `state` lists all entries that the sender stores.
   std::optional<DigestRange> range;
-  std::optional<LeaseMessage> lease;  ///< of kLease
-  std::string channel;                ///< of kPayload: the subscription that receives it
-  nlohmann::json payload;             ///< of kPayload; the fleet does not interpret it
+  std::optional<LeaseMessage> lease;  ///< in a kLease
+  std::string channel;                ///< in a kPayload: the channel whose subscriber receives the payload
+  nlohmann::json payload;             ///< in a kPayload; the fleet does not interpret it
 };
 
+/// Returns the name of a kind.
 std::string_view Name(Message::Kind kind);
 
-/// Why a datagram was dropped.
+/// DropReason is the reason for which a datagram was dropped.
 enum class DropReason {
   kMalformed,
   kOversized,
   kForeignFleet,
   kOtherVersion,
-  kOtherChannel  ///< a payload of a channel that nobody here has subscribed to
+  kOtherChannel  ///< payload of a channel to which this process has not subscribed
 };
+/// Number of values of DropReason.
 inline constexpr int kDropReasons = 5;
+/// Returns the name of a reason in the counters that operators read.
 std::string_view Name(DropReason reason);
 
-/// "host:port".
+/// Formats an address as "host:port".
 std::string FormatEndpoint(const Udp::endpoint& address);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/wire/message_keys.h
+++ b/src/fleet/wire/message_keys.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The keys of a message's MessagePack map.
+/// Defines the keys in the MessagePack map of a message. They are part of the protocol.
 #ifndef LOAD_BALANCER_FLEET_WIRE_MESSAGE_KEYS_H_
 #define LOAD_BALANCER_FLEET_WIRE_MESSAGE_KEYS_H_
 
