--- a/src/state/failures.h
+++ b/src/state/failures.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Kinds of failure of what a process stores on disk.
+/// The kinds of failure of the snapshots that a process stores on disk.
 #ifndef LOAD_BALANCER_STATE_FAILURES_H_
 #define LOAD_BALANCER_STATE_FAILURES_H_
 
--- a/src/state/section.h
+++ b/src/state/section.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The configuration's section `state`: where a process stores what outlives it.
+/// Reads the configuration section `state`, which says where and how often a process stores its snapshots.
 #ifndef LOAD_BALANCER_STATE_SECTION_H_
 #define LOAD_BALANCER_STATE_SECTION_H_
 
@@ -14,16 +14,19 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-/// The section; without it only the maintenance set is stored, in $TMPDIR.
+/// StateSection holds the settings of the section. Without the section, a process stores only its maintenance
+/// set, in $TMPDIR.
 struct StateSection {
-  bool on = false;
-  std::string dir;  ///< empty: $TMPDIR
+  bool on = false;  ///< whether the section is present
+  std::string dir;  ///< folder of the snapshots; empty: $TMPDIR
   Milliseconds snapshot_interval{5000};
-  Milliseconds max_age{60000};   ///< an older snapshot is not applied
-  Milliseconds peer_wait{2000};  ///< for a peer's state, before /ready, with a fleet and no usable snapshot
+  Milliseconds max_age{60000};  ///< maximum age of a snapshot that is applied
+  /// Longest time for which a member of a fleet without a usable snapshot waits for the state of a peer
+  /// before /ready succeeds.
+  Milliseconds peer_wait{2000};
 };
 
-/// Reads `state` of the file's root object. Appends one line per fault to `faults`.
+/// Reads the section from the root object of the configuration. Appends one line per fault to `faults`.
 StateSection ReadState(const nlohmann::json& root, std::vector<std::string>* faults);
 
 }  // namespace load_balancer::state
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -20,7 +20,7 @@
     "absent",    "unreadable", "torn",         "no snapshot",     "checksum",
     "malformed", "version",    "another name", "from the future", "too old"};
 
-// The seed ties the checksum to the format.
+// The format version is the seed, so that a file of another format fails the check.
 std::uint64_t ChecksumOf(std::span<const std::uint8_t> content) {
   return XXH64(content.data(), content.size(), kFormatVersion);
 }
@@ -33,7 +33,7 @@
   return std::nullopt;
 }
 
-// Throws json::exception if the content is malformed.
+// Decodes the content after the checksum. Throws json::exception if it is malformed.
 std::variant<Snapshot, SnapshotRejection> DecodeContent(std::span<const std::uint8_t> content,
                                                         const AcceptanceCriteria& criteria) {
   json root = json::from_cbor(content.begin(), content.end());
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A process's snapshot: its form in a file, with a checksum that is verified before anything else is read.
-/// The format is in docs/recovery.md.
+/// Encodes and decodes the snapshot of a process. The file has a checksum, which is verified before the
+/// content is read. docs/recovery.md describes the format.
 #ifndef LOAD_BALANCER_STATE_SNAPSHOT_H_
 #define LOAD_BALANCER_STATE_SNAPSHOT_H_
 
@@ -17,21 +17,23 @@
 
 namespace load_balancer::state {
 
-/// Milliseconds since the Unix epoch, or a span of that many milliseconds.
+/// UnixMs is a time in milliseconds since the Unix epoch, or a duration in milliseconds.
 using UnixMs = std::uint64_t;
 
+/// Version of the file format.
 inline constexpr std::uint64_t kFormatVersion = 1;
-/// Largest file that is read as a snapshot.
+/// Maximum size of a snapshot file, in bytes.
 inline constexpr std::size_t kMaxFileBytes = 64 * 1024 * 1024;
 
+/// Snapshot is the state of a process at one time.
 struct Snapshot {
-  std::string name;            ///< of the process that wrote it
-  std::uint64_t sequence = 0;  ///< grows with each snapshot written under the name
+  std::string name;            ///< name of the process that wrote the snapshot
+  std::uint64_t sequence = 0;  ///< larger than that of every earlier snapshot of the process
   UnixMs written_at = 0;
-  nlohmann::json body;  ///< an object
+  nlohmann::json body;  ///< must be an object
 };
 
-/// Why a file is not used.
+/// SnapshotRejection is the reason for which a file is not used.
 enum class SnapshotRejection {
   kAbsent,
   kUnreadable,
@@ -45,18 +47,21 @@
   kTooOld
 };
 
-/// The words for it in logs.
+/// Returns the name of a reason in log lines.
 std::string_view Name(SnapshotRejection rejection);
 
-/// The snapshots that a reader accepts.
+/// AcceptanceCriteria says which snapshots a reader accepts.
 struct AcceptanceCriteria {
-  std::string name;  ///< of the process
+  std::string name;  ///< name of the process
   UnixMs now = 0;
   UnixMs max_age = 0;
-  UnixMs max_clock_skew = 0;  ///< that the wall clock may have stepped back
+  /// Largest lead of a snapshot's time over the wall clock, which may have been set back.
+  UnixMs max_clock_skew = 0;
 };
 
+/// Returns the bytes of a snapshot file.
 std::vector<std::uint8_t> Encode(const Snapshot& snapshot);
+/// Decodes the bytes of a file. Returns the snapshot, or the reason for which it is rejected.
 std::variant<Snapshot, SnapshotRejection> Decode(std::span<const std::uint8_t> file,
                                                  const AcceptanceCriteria& criteria);
 
--- a/src/state/snapshot_file.cpp
+++ b/src/state/snapshot_file.cpp
@@ -23,6 +23,7 @@
   throw std::system_error(errno, std::generic_category(), path);
 }
 
+// Returns the folder that contains `path`.
 std::string FolderOf(const std::string& path) {
   const std::string folder = std::filesystem::path(path).parent_path();
   return folder.empty() ? "." : folder;
@@ -96,7 +97,7 @@
   const auto completed = [&on_step](WriteStep step) {
     if (on_step) on_step(step);
   };
-  // Two processes of one proxy may write at the same time.
+  // Two processes of one proxy may write at the same time, so the name includes the process id.
   const std::string temporary = path + ".new." + std::to_string(::getpid());
   const Descriptor file = Open(temporary, O_WRONLY | O_CREAT | O_TRUNC);
   completed(WriteStep::kOpened);
@@ -105,10 +106,10 @@
   Sync(file.get(), temporary);
   completed(WriteStep::kSynced);
   if (!previous.empty() && Exists(path)) Rename(path, previous);
-  completed(WriteStep::kPreviousKept);
+  completed(WriteStep::kPreviousSaved);
   Rename(temporary, path);
   completed(WriteStep::kRenamed);
-  // Without this the renames may not survive a power loss.
+  // Syncs the folder. Otherwise the renames might be lost in a power failure.
   const Descriptor folder = Open(FolderOf(path), O_RDONLY | O_DIRECTORY);
   Sync(folder.get(), FolderOf(path));
   completed(WriteStep::kDone);
--- a/src/state/snapshot_file.h
+++ b/src/state/snapshot_file.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Snapshot files on disk: read, recovered from the newer of two, and replaced atomically. The order of the
-/// writes is in docs/recovery.md.
+/// Reads snapshot files, recovers the newer of two and replaces them atomically. docs/recovery.md describes
+/// the order of the writes.
 #ifndef LOAD_BALANCER_STATE_SNAPSHOT_FILE_H_
 #define LOAD_BALANCER_STATE_SNAPSHOT_FILE_H_
 
@@ -16,26 +16,27 @@
 
 namespace load_balancer::state {
 
-/// The file that keeps the snapshot before the one at `path`.
+/// Returns the path of the file that stores the snapshot before the one at `path`.
 std::string PreviousPath(const std::string& path);
 
+/// Reads and decodes the file at `path`. Returns the snapshot, or the reason for which it is rejected.
 std::variant<Snapshot, SnapshotRejection> ReadFile(const std::string& path,
                                                    const AcceptanceCriteria& criteria);
 
-/// Called for each file that is not used, unless it is absent.
+/// OnFileRejected is called for each file that exists and is not used.
 using OnFileRejected = std::function<void(const std::string& path, SnapshotRejection rejection)>;
 
-/// The acceptable snapshot with the larger sequence of `path` and its previous path; without one, why the
-/// last file that is there was rejected.
+/// Reads the files at `path` and at its previous path. Returns the acceptable snapshot with the larger
+/// sequence. If there is none, returns the reason for which the last existing file was rejected.
 std::variant<Snapshot, SnapshotRejection> Recover(const std::string& path, const AcceptanceCriteria& criteria,
                                                   const OnFileRejected& on_rejected);
 
-/// The steps of a write, after each of which the process may crash.
-enum class WriteStep { kOpened, kWritten, kSynced, kPreviousKept, kRenamed, kDone };
+/// WriteStep is a step of a write. A crash of the process after any step leaves a complete file.
+enum class WriteStep { kOpened, kWritten, kSynced, kPreviousSaved, kRenamed, kDone };
 
-/// Replaces the file at `path` by `bytes` and keeps the file that was there at `previous`, if that is not
-/// empty. Throws std::system_error on failure, after which a complete file is still in place. `on_step` is
-/// called after each step.
+/// Replaces the content of the file at `path` with `bytes`. Renames the old file to `previous`, unless
+/// `previous` is empty. Throws std::system_error on failure, after which `path` or `previous` still holds a
+/// complete file. Calls `on_step` after each step.
 void WriteAtomically(const std::string& path, const std::string& previous,
                      std::span<const std::uint8_t> bytes, const std::function<void(WriteStep)>& on_step = {});
 
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -17,7 +17,8 @@
 namespace {
 
 constexpr char kComponent[] = "state";
-constexpr std::chrono::milliseconds kFirstInterval{500};  // doubled with each snapshot
+// The interval doubles with each snapshot until it reaches the configured one.
+constexpr std::chrono::milliseconds kFirstInterval{500};
 
 void LogRejectedFile(const std::string& path, SnapshotRejection rejection) {
   log::Warn(kComponent,
@@ -62,10 +63,10 @@
   });
 }
 
-// While a write takes longer than the interval, further snapshots are skipped.
+// Skips the snapshot if the previous write is still in progress.
 void SnapshotWriter::Write() {
   if (is_writing_.exchange(true)) return;
-  // The wall time makes the sequence larger than that of a file that was rejected, too.
+  // The wall time makes the sequence larger than the sequence of a file that was rejected at the start.
   sequence_ = std::max(sequence_ + 1, UnixMilliseconds());
   Snapshot snapshot{options_.name, sequence_, UnixMilliseconds(), collect_()};
   boost::asio::post(writer_, [this, snapshot = std::move(snapshot)] {
--- a/src/state/snapshot_writer.h
+++ b/src/state/snapshot_writer.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Recovers a process's last snapshot at the start and writes new ones at an interval. Files are written by a
-/// thread of their own, since the disk may be slow and requests must not wait for it.
+/// Recovers the last snapshot of a process at its start and writes new ones at an interval. A separate thread
+/// writes the files, because the disk may be slow and requests must not wait for it.
 #ifndef LOAD_BALANCER_STATE_SNAPSHOT_WRITER_H_
 #define LOAD_BALANCER_STATE_SNAPSHOT_WRITER_H_
 
@@ -19,29 +19,31 @@
 
 namespace load_balancer::state {
 
+/// SnapshotWriterOptions configures a SnapshotWriter.
 struct SnapshotWriterOptions {
-  std::string path;  ///< of the snapshot
-  std::string name;  ///< of the process
+  std::string path;  ///< path of the snapshot file
+  std::string name;  ///< name of the process
   std::chrono::milliseconds interval{5000};
-  std::chrono::milliseconds max_age{60000};       ///< of a snapshot that is recovered
-  std::chrono::milliseconds max_clock_skew{500};  ///< that the wall clock may have stepped back
+  std::chrono::milliseconds max_age{60000};       ///< maximum age of a snapshot that is recovered
+  std::chrono::milliseconds max_clock_skew{500};  ///< largest lead of a snapshot over the wall clock
 };
 
+/// SnapshotWriter recovers and writes the snapshots of one process.
 class SnapshotWriter {
  public:
-  /// Returns the body of a snapshot.
+  /// Collect returns the body of a new snapshot.
   using Collect = std::function<nlohmann::json()>;
 
   SnapshotWriter(boost::asio::io_context& io, SnapshotWriterOptions options);
-  /// Waits for a write in progress.
+  /// Waits until a write in progress has finished.
   ~SnapshotWriter();
   SnapshotWriter(const SnapshotWriter&) = delete;
   SnapshotWriter& operator=(const SnapshotWriter&) = delete;
 
-  /// The body of the newest acceptable snapshot. Logs it and each file that is rejected.
+  /// Returns the body of the newest acceptable snapshot, if any. Logs the result and each rejected file.
   std::optional<nlohmann::json> Recover();
-  /// Writes what `collect` returns at each interval from now on, and sooner at first, as a process may be
-  /// replaced while it is young. `collect` is called from the event loop.
+  /// Starts to write the result of `collect` at each interval. The first intervals are shorter, because a
+  /// process may be replaced soon after its start. `collect` is called from the event loop.
   void Start(Collect collect);
 
  private:
@@ -52,7 +54,7 @@
   boost::asio::steady_timer timer_;
   boost::asio::thread_pool writer_{1};
   std::atomic<bool> is_writing_ = false;
-  std::uint64_t sequence_ = 0;  // of the last snapshot
+  std::uint64_t sequence_ = 0;  // sequence of the last snapshot
   std::chrono::milliseconds next_interval_;
   Collect collect_;
 };
