--- a/tests/fleet/payload_test.cpp
+++ b/tests/fleet/payload_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What layers above the fleet send over it: the wire form, and two nodes in one process.
+// Tests of the payloads that layers above the fleet send: their encoding, and their delivery between nodes in
+// one process.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -18,47 +19,48 @@
 const Udp::endpoint kLongestAddress(boost::asio::ip::make_address("1111:2222:3333:4444:5555:6666:7777:8888"),
                                     65535);
 
-fl::Update Longest(char letter) {
+// Returns the largest possible update, with names of the given letter.
+fl::Update LargestUpdate(char letter) {
   return {std::string(fl::kMaxNameBytes, letter), kLongestAddress, fl::MemberState::kSuspect, ~0ull,
           std::string(fl::kMaxNameBytes, letter)};
 }
 
-Message Payload(std::string channel, nlohmann::json payload) {
+Message PayloadMessage(std::string channel, nlohmann::json payload) {
   Message message;
   message.kind = Message::Kind::kPayload;
-  message.sender = Longest('s');
+  message.sender = LargestUpdate('s');
   message.channel = std::move(channel);
   message.payload = std::move(payload);
   return message;
 }
 
-TEST(Payload, ComesAsItWentAndFitsWithTheLongestNames) {
+TEST(Payload, IsDecodedUnchangedAtTheMaximumSizeWithTheLongestNames) {
   const std::string fleet(fl::kMaxNameBytes, 'f');
-  const nlohmann::json most = std::string(fl::kMaxPayloadBytes - 3, 'p');
-  ASSERT_EQ(nlohmann::json::to_msgpack(most).size(), fl::kMaxPayloadBytes);
+  const nlohmann::json largest = std::string(fl::kMaxPayloadBytes - 3, 'p');
+  ASSERT_EQ(nlohmann::json::to_msgpack(largest).size(), fl::kMaxPayloadBytes);
   const auto decoded =
-      fl::Decode(fleet, fl::Encode(fleet, Payload(std::string(fl::kMaxChannelBytes, 'c'), most)));
+      fl::Decode(fleet, fl::Encode(fleet, PayloadMessage(std::string(fl::kMaxChannelBytes, 'c'), largest)));
   ASSERT_TRUE(std::holds_alternative<Message>(decoded));
-  EXPECT_EQ(std::get<Message>(decoded).payload, most);
+  EXPECT_EQ(std::get<Message>(decoded).payload, largest);
   EXPECT_EQ(std::get<Message>(decoded).channel, std::string(fl::kMaxChannelBytes, 'c'));
 }
 
-TEST(Payload, WhatIsOutOfFormAndAKindThatIsNotKnownAreDroppedAsMalformed) {
-  const auto whole = nlohmann::json::from_msgpack(fl::Encode("f", Payload("quota", 1)));
+TEST(Payload, IsDroppedAsMalformedIfAFieldIsInvalidOrTheKindUnknown) {
+  const auto well_formed = nlohmann::json::from_msgpack(fl::Encode("f", PayloadMessage("quota", 1)));
   const std::vector<std::pair<const char*, nlohmann::json>> changes{
       {"c", ""}, {"c", std::string(fl::kMaxChannelBytes + 1, 'c')}, {"c", 1}, {"k", Message::kKinds}};
   for (const auto& [key, value] : changes) {
-    auto bent = whole;
-    bent[key] = value;
-    const auto decoded = fl::Decode("f", nlohmann::json::to_msgpack(bent));
-    ASSERT_TRUE(std::holds_alternative<fl::DropReason>(decoded)) << bent;
-    EXPECT_EQ(std::get<fl::DropReason>(decoded), fl::DropReason::kMalformed) << bent;
+    auto malformed = well_formed;
+    malformed[key] = value;
+    const auto decoded = fl::Decode("f", nlohmann::json::to_msgpack(malformed));
+    ASSERT_TRUE(std::holds_alternative<fl::DropReason>(decoded)) << malformed;
+    EXPECT_EQ(std::get<fl::DropReason>(decoded), fl::DropReason::kMalformed) << malformed;
   }
 }
 
-TEST(Wire, WhatRemainingBytesLeavesFitsBesideEveryKind) {
+TEST(Wire, AMessageOfAnyKindFilledWithinRemainingBytesFitsADatagram) {
   for (int kind = 0; kind < Message::kKinds; ++kind) {
-    Message message = Payload("quota", std::string(500, 'p'));
+    Message message = PayloadMessage("quota", std::string(500, 'p'));
     message.kind = static_cast<Message::Kind>(kind);
     message.target = std::string(fl::kMaxNameBytes, 't');
     message.target_address = kLongestAddress;
@@ -77,10 +79,10 @@
       message.member_buckets = fl::BucketDigests(fl::kMaxBuckets);
       message.range = fl::DigestRange{{fl::kMaxBuckets, ~0u}, ~0ull, ~0ull, true};
     }
-    const std::size_t room = fl::RemainingBytes("f", message), size = fl::EncodedSize(Longest('u'));
-    message.updates.assign(room / size, Longest('u'));
-    // The rest goes to shared state, whose entries are packed to the byte.
-    if (const std::size_t rest = room % size; rest > 3) message.state = std::string(rest - 3, 's');
+    const std::size_t capacity = fl::RemainingBytes("f", message), size = fl::EncodedSize(LargestUpdate('u'));
+    message.updates.assign(capacity / size, LargestUpdate('u'));
+    // Fills the remaining bytes with state, whose packed size is exact.
+    if (const std::size_t rest = capacity % size; rest > 3) message.state = std::string(rest - 3, 's');
     EXPECT_LE(fl::Encode("f", message).size(), fl::kMaxDatagramBytes) << kind;
   }
 }
@@ -95,45 +97,47 @@
   void OnFencedValue(const fl::FencedValue&) override {}
 };
 
-TEST(Payload, GoesBetweenNodesOfTheSamePoolAlone) {
+TEST(Payload, IsDeliveredOnlyBetweenNodesOfTheSameFleet) {
   boost::asio::io_context io;
   IgnoringListener listener;
   const std::array<LeasedPort, 3> ports;
   const auto address = [&](std::size_t i) {
     return Udp::endpoint(boost::asio::ip::make_address("127.0.0.1"), ports[i].port());
   };
-  const auto section = [&](std::size_t i, const char* pool) {
-    fl::FleetSection made;
-    made.on = true;
-    made.name = pool;
-    made.bind = made.advertise = address(i);
-    return made;
+  const auto section_of = [&](std::size_t i, const char* fleet) {
+    fl::FleetSection section;
+    section.on = true;
+    section.name = fleet;
+    section.bind = section.advertise = address(i);
+    return section;
   };
-  fl::NodeOptions other;
-  other.component = "federation";
-  fl::Node one(io, section(0, "site"), "n1", 1, listener), two(io, section(1, "site"), "n2", 2, listener),
-      wide(io, section(2, "federation"), "n1", 3, listener, other);
-  std::vector<std::string> heard;
-  const auto hear = [&](const fl::Update& sender, const nlohmann::json& payload) {
-    heard.push_back(sender.name + " " + payload.dump());
+  fl::NodeOptions federation_options;
+  federation_options.component = "federation";
+  fl::Node one(io, section_of(0, "site"), "n1", 1, listener),
+      two(io, section_of(1, "site"), "n2", 2, listener),
+      federation_node(io, section_of(2, "federation"), "n1", 3, listener, federation_options);
+  std::vector<std::string> received;
+  const auto record = [&](const fl::Update& sender, const nlohmann::json& payload) {
+    received.push_back(sender.name + " " + payload.dump());
   };
-  two.Subscribe("quota", hear);
-  wide.Subscribe("quota", hear);
+  two.Subscribe("quota", record);
+  federation_node.Subscribe("quota", record);
   EXPECT_FALSE(one.Send(address(1), "", 1));
   EXPECT_FALSE(one.Send(address(1), "quota", std::string(fl::kMaxPayloadBytes, 'x')));
-  EXPECT_TRUE(one.Send(address(1), "spill", 1));  // nobody has subscribed
-  EXPECT_TRUE(one.Send(address(2), "quota", 2));  // of another pool
+  EXPECT_TRUE(one.Send(address(1), "spill", 1));  // a channel without subscriber
+  EXPECT_TRUE(one.Send(address(2), "quota", 2));  // a node of another fleet
   EXPECT_TRUE(one.Send(address(1), "quota", 3));
-  const auto until = std::chrono::steady_clock::now() + kBound;
-  while ((heard.empty() || wide.counters().received == 0) && std::chrono::steady_clock::now() < until)
+  const auto deadline = std::chrono::steady_clock::now() + kBound;
+  while ((received.empty() || federation_node.counters().received == 0) &&
+         std::chrono::steady_clock::now() < deadline)
     io.run_one_for(milliseconds(10));
-  EXPECT_EQ(heard, std::vector<std::string>{"n1 3"});
-  const auto dropped = [](const fl::Node& node, fl::DropReason why) {
-    return node.counters().dropped[static_cast<std::size_t>(why)];
+  EXPECT_EQ(received, std::vector<std::string>{"n1 3"});
+  const auto dropped = [](const fl::Node& node, fl::DropReason reason) {
+    return node.counters().dropped[static_cast<std::size_t>(reason)];
   };
   EXPECT_EQ(dropped(two, fl::DropReason::kOtherChannel), 1u);
-  EXPECT_EQ(dropped(wide, fl::DropReason::kForeignFleet), 1u);
-  for (fl::Node* node : {&one, &two, &wide}) node->Stop();
+  EXPECT_EQ(dropped(federation_node, fl::DropReason::kForeignFleet), 1u);
+  for (fl::Node* node : {&one, &two, &federation_node}) node->Stop();
   io.run_for(milliseconds(10));
 }
 
--- a/tests/model/registers.h
+++ b/tests/model/registers.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member's registers of shared state alone, for tests.
+// The replicated state of one member without a network, for tests.
 #ifndef LOAD_BALANCER_TESTS_MODEL_REGISTERS_H_
 #define LOAD_BALANCER_TESTS_MODEL_REGISTERS_H_
 
@@ -15,6 +15,8 @@
 
 inline constexpr fl::UnixMs kNow = 1700000000000;
 
+// Registers stores the entries of one member and records which entries it accepted and why it rejected
+// others.
 struct Registers : fl::SharedState::Host {
   explicit Registers(const std::string& name) : state(Options(name), *this) {}
   static fl::StateOptions Options(const std::string& name) {
@@ -30,6 +32,7 @@
   void OnRejected(const std::string&, const std::string&, fl::EntryRejection rejection) override {
     rejected.push_back(rejection);
   }
+  // Receives all entries of another member.
   void ReceiveAll(Registers& from, fl::UnixMs now) {
     for (const auto& entries : from.state.PackAll(now, 1000)) state.Receive(now, entries);
   }
@@ -38,7 +41,7 @@
   fl::SharedState state;
 };
 
-// Of the site of that number.
+// Returns an estimate of the site with this number, as its publisher writes it.
 inline fl::FencedValue ValueOf(std::size_t number, fl::UnixMs until = kNow + 10000) {
   const std::string site = std::to_string(number);
   return {"ambassador/" + site, "estimate/" + site, 1, until, {{"mean", number}}};
--- a/tests/model/registers_test.cpp
+++ b/tests/model/registers_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The registers of shared state alone: what processes cannot be brought to show.
+// Tests of the replicated state of single members without a network, for cases that tests with real processes
+// cannot produce.
 #include "registers.h"
 
 #include <gtest/gtest.h>
@@ -12,51 +13,51 @@
 namespace load_balancer::testing {
 namespace {
 
-TEST(Registers, TheLaterWriteWinsAtBothWhateverTheOrderAndDigestsAgree) {
+TEST(Registers, TheLaterWriteWinsAtBothMembersInAnyOrderAndDigestsAgree) {
   Registers a("a"), b("b");
   a.state.Write(kNow, fl::Ejection{"s-1", kNow + 2000, 3, 3});
   b.state.Write(kNow + 1, fl::Ejection{"s-1", kNow + 4000, 5, 6});
   EXPECT_NE(a.state.ComputeDigest(kNow + 2), b.state.ComputeDigest(kNow + 2));
   b.ReceiveAll(a, kNow + 2);
-  EXPECT_TRUE(b.accepted.empty()) << "older than its own";
+  EXPECT_TRUE(b.accepted.empty()) << "b accepted an entry that is older than its own";
   a.ReceiveAll(b, kNow + 2);
   ASSERT_EQ(a.accepted.size(), 1u);
   EXPECT_EQ(std::get<fl::Ejection>(a.accepted[0].content).attempts, 6);
   EXPECT_EQ(a.state.ComputeDigest(kNow + 2), b.state.ComputeDigest(kNow + 2));
   a.state.Write(kNow - 500, fl::Ejection{"s-1", kNow + 3000, 2, 2});
   b.ReceiveAll(a, kNow + 3);
-  EXPECT_EQ(b.accepted.size(), 1u) << "a clock that is behind follows what it has seen";
+  EXPECT_EQ(b.accepted.size(), 1u) << "the clock of a did not advance to the timestamp that it observed";
 }
 
-TEST(Registers, NothingOutlivesItsBoundAndTheMapOfKeysItsSize) {
+TEST(Registers, EntriesExpireAtTheirBoundAndAffinitiesAreLimitedInNumber) {
   Registers a("a"), b("b");
   a.state.Write(kNow, fl::Ejection{"s-1", kNow + 2000, 3, 3});
   for (std::uint64_t key = 1; key <= 5; ++key) a.state.Write(kNow + key, fl::KeyAffinity{key, "s-2"});
   EXPECT_EQ(a.state.Summarize(kNow + 10).affinities.count, 3u);
   EXPECT_EQ(a.state.Summarize(kNow + 10).ejections.count, 1u);
-  const auto late = a.state.PackAll(kNow + 10, 1000);
-  for (const auto& entries : late) b.state.Receive(kNow + 4005, entries);
+  const auto packed = a.state.PackAll(kNow + 10, 1000);
+  for (const auto& entries : packed) b.state.Receive(kNow + 4005, entries);
   EXPECT_TRUE(b.accepted.empty());
   EXPECT_EQ(b.rejected, std::vector<fl::EntryRejection>(4, fl::EntryRejection::kStale));
   EXPECT_EQ(a.state.Summarize(kNow + 4005).affinities.count + a.state.Summarize(kNow + 4005).ejections.count,
             0u);
 }
 
-TEST(Registers, EntriesArePassedOnABoundedNumberOfTimesWithinTheRoom) {
+TEST(Registers, EntriesAreSentABoundedNumberOfTimesWithinTheAvailableBytes) {
   Registers a("a");
   for (int i = 0; i < 40; ++i)
     a.state.Write(kNow, fl::Ejection{"server-" + std::to_string(i), kNow + 2000, 3, 3});
-  std::map<std::string, int> passed;
+  std::map<std::string, int> times_sent;
   for (int i = 0; i < 200; ++i) {
     const auto entries = a.state.PackPiggyback(kNow, 300, 4);
     EXPECT_LE(nlohmann::json::to_msgpack(entries).size(), 300u);
-    for (const auto& entry : entries) ++passed[entry.at(1)];
+    for (const auto& entry : entries) ++times_sent[entry.at(1)];
   }
-  EXPECT_EQ(passed.size(), 40u);
-  for (const auto& [server, times] : passed) EXPECT_EQ(times, 4) << server;
+  EXPECT_EQ(times_sent.size(), 40u);
+  for (const auto& [server, times] : times_sent) EXPECT_EQ(times, 4) << server;
 }
 
-TEST(Registers, EntriesThatAreNoneAreCountedAndTheRestIsTaken) {
+TEST(Registers, MalformedEntriesAreCountedAndTheOthersAccepted) {
   Registers a("a");
   const std::uint64_t stamp = kNow << fl::kCounterBits;
   const nlohmann::json entries = nlohmann::json::array({7,
@@ -71,7 +72,7 @@
   EXPECT_EQ(a.accepted.size(), 1u);
 }
 
-TEST(Registers, ValuesOfAHundredSitesAreStoredByAll) {
+TEST(Registers, TheFencedValuesOfAHundredSitesAreReplicated) {
   Registers a("a"), b("b");
   for (std::size_t site = 0; site < 100; ++site) EXPECT_TRUE(a.state.Write(kNow, ValueOf(site)));
   b.ReceiveAll(a, kNow);
@@ -79,47 +80,49 @@
   EXPECT_EQ(a.state.ComputeDigest(kNow), b.state.ComputeDigest(kNow));
 }
 
-// One that makes up duties or facts fills its room and no more, and only as long as fences last.
-TEST(Registers, AFaultyPeerFillsNoMoreThanTheRoomForDutiesAndValues) {
+// A member that invents roles and values fills the limits of both and no more. The stored tokens expire, so
+// the capacity becomes available again.
+TEST(Registers, AFaultyPeerCannotExceedTheLimitsOfRolesAndValues) {
   Registers faulty("faulty"), one("one");
-  const auto tell = [&](const fl::FencedValue& fact, fl::UnixMs now) {
-    one.state.Receive(now, nlohmann::json::array({fl::Pack({fact, {now << fl::kCounterBits, "faulty"}})}));
+  const auto receive = [&](const fl::FencedValue& value, fl::UnixMs now) {
+    one.state.Receive(now, nlohmann::json::array({fl::Pack({value, {now << fl::kCounterBits, "faulty"}})}));
   };
-  for (std::size_t i = 0; i < fl::kMaxDuties + 100; ++i) tell(ValueOf(i), kNow);
-  EXPECT_EQ(one.state.Summarize(kNow).fenced_values, fl::kMaxDuties);
+  for (std::size_t i = 0; i < fl::kMaxLeasedRoles + 100; ++i) receive(ValueOf(i), kNow);
+  EXPECT_EQ(one.state.Summarize(kNow).fenced_values, fl::kMaxLeasedRoles);
   EXPECT_EQ(one.rejected, std::vector<fl::EntryRejection>(100, fl::EntryRejection::kFull));
   for (std::size_t i = 0; i < fl::kMaxFencedValues; ++i) {
     fl::FencedValue value = ValueOf(1);
     value.key.append("/").append(std::to_string(i));
-    tell(value, kNow);
+    receive(value, kNow);
   }
   EXPECT_EQ(one.state.Summarize(kNow).fenced_values, fl::kMaxFencedValues);
-  tell(ValueOf(1), kNow + 1);
-  EXPECT_EQ(one.state.Summarize(kNow + 1).fenced_values, fl::kMaxFencedValues) << "what is held is renewed";
+  receive(ValueOf(1), kNow + 1);
+  EXPECT_EQ(one.state.Summarize(kNow + 1).fenced_values, fl::kMaxFencedValues)
+      << "a newer write of a stored value changed the number of values";
   const fl::UnixMs later = kNow + fl::kMaxValueLifetime + 1;
   one.rejected.clear();
-  tell(ValueOf(9999, later + 1000), later);
+  receive(ValueOf(9999, later + 1000), later);
   EXPECT_EQ(one.rejected.size(), 0u);
 }
 
-TEST(Registers, AFenceHoldsUntilNothingFromBeforeItCanLast) {
+TEST(Registers, ATokenIsStoredUntilNoValueWithASmallerTokenCanLast) {
   Registers one("one");
-  const auto fact = [](std::uint64_t token, fl::UnixMs written, fl::UnixMs lasts) {
-    const fl::Entry entry{fl::FencedValue{"duty", "key", token, written + lasts, 1},
-                          {written << fl::kCounterBits, "other"}};
+  const auto pack = [](std::uint64_t token, fl::UnixMs written_at, fl::UnixMs lifetime) {
+    const fl::Entry entry{fl::FencedValue{"role", "key", token, written_at + lifetime, 1},
+                          {written_at << fl::kCounterBits, "other"}};
     return nlohmann::json::array({fl::Pack(entry)});
   };
-  one.state.Receive(kNow, fact(5, kNow, 1000));
-  one.state.Receive(kNow + fl::kMaxValueLifetime - 1, fact(4, kNow - 1, fl::kMaxValueLifetime));
+  one.state.Receive(kNow, pack(5, kNow, 1000));
+  one.state.Receive(kNow + fl::kMaxValueLifetime - 1, pack(4, kNow - 1, fl::kMaxValueLifetime));
   EXPECT_EQ(one.accepted.size(), 1u);
-  one.state.Receive(kNow + fl::kMaxValueLifetime - 1, fact(4, kNow, fl::kMaxValueLifetime));
+  one.state.Receive(kNow + fl::kMaxValueLifetime - 1, pack(4, kNow, fl::kMaxValueLifetime));
   EXPECT_EQ(one.rejected.back(), fl::EntryRejection::kFenced);
 }
 
-TEST(Registers, WhatOthersWouldRefuseIsNotWritten) {
+TEST(Registers, AValueThatOthersWouldRejectIsNotWritten) {
   Registers one("one");
-  const auto write = [&](const std::string& value, std::uint64_t token, fl::UnixMs lasts) {
-    return one.state.Write(kNow, fl::FencedValue{"duty", "key", token, kNow + lasts, value});
+  const auto write = [&](const std::string& value, std::uint64_t token, fl::UnixMs lifetime) {
+    return one.state.Write(kNow, fl::FencedValue{"role", "key", token, kNow + lifetime, value});
   };
   EXPECT_FALSE(write(std::string(fl::kMaxValueBytes, 'x'), 2, 1000));
   EXPECT_FALSE(write("", 2, fl::kMaxValueLifetime + 1));
@@ -129,8 +132,9 @@
   EXPECT_EQ(one.rejected, (std::vector<fl::EntryRejection>{kOversized, kImplausible, kFenced}));
 }
 
-// The largest entry goes with the longest names, and does not keep back what is smaller.
-TEST(Registers, TheLargestEntryFitsAMessageAndBlocksNone) {
+// The largest entry fits a message with the longest names. If it does not fit the remaining bytes, smaller
+// entries are sent without it.
+TEST(Registers, TheLargestEntryFitsAMessageAndDoesNotBlockSmallerOnes) {
   fl::Message message;
   message.kind = fl::Message::Kind::kState;
   message.sender = {std::string(fl::kMaxNameBytes, 'n'),
@@ -147,16 +151,16 @@
   EXPECT_EQ(one.state.PackPiggyback(kNow, 500, 4).size(), 1u);
 }
 
-// Holders of two duties, one after another, write facts that reach two members in any order, some never:
-// what they hold is the same after one exchange.
-RC_GTEST_PROP(RegistersProperty, TwoMembersAgreeAfterAnExchangeWhateverReachedThem, ()) {
+// Successive lease holders of two roles write values, each of which may reach either of two members or none.
+// After one exchange, both members store the same values.
+RC_GTEST_PROP(RegistersProperty, TwoMembersAgreeAfterAnExchangeWhateverTheyReceivedBefore, ()) {
   Registers a("a"), b("b");
   const auto count = *rc::gen::inRange(1, 40);
   for (int i = 0; i < count; ++i) {
     const auto token = *rc::gen::inRange<std::uint64_t>(1, 5);
-    const std::string duty(1, *rc::gen::element('x', 'y'));
-    const std::string key = duty + *rc::gen::element('1', '2', '3');
-    const fl::Entry entry{fl::FencedValue{duty, key, token, kNow + 5000, i},
+    const std::string role(1, *rc::gen::element('x', 'y'));
+    const std::string key = role + *rc::gen::element('1', '2', '3');
+    const fl::Entry entry{fl::FencedValue{role, key, token, kNow + 5000, i},
                           {(kNow << fl::kCounterBits) + *rc::gen::inRange<std::uint64_t>(0, 100), "w"}};
     const auto packed = nlohmann::json::array({fl::Pack(entry)});
     if (*rc::gen::arbitrary<bool>()) a.state.Receive(kNow, packed);
