--- a/src/fleet/state/entry_codec.cpp
+++ b/src/fleet/state/entry_codec.cpp
@@ -19,7 +19,8 @@
 
 std::string ReadId(const json& value) {
   auto id = value.get<std::string>();
-  if (id.empty() || id.size() > kMaxIdBytes) throw std::invalid_argument("id");
+  if (id.empty() || id.size() > kMaxIdBytes)
+    throw std::invalid_argument("an id or a name is empty or too long");
   return id;
 }
 
@@ -30,7 +31,7 @@
 
 int ReadCount(const json& value) {
   const std::uint64_t count = ReadUnsigned(value);
-  if (count > kMaxCount) throw std::invalid_argument("count");
+  if (count > kMaxCount) throw std::invalid_argument("a count of attempts or failures is too large");
   return static_cast<int>(count);
 }
 
@@ -49,7 +50,7 @@
     entry.content = FencedValue{ReadId(packed.at(4)), std::move(subject), ReadUnsigned(packed.at(5)),
                                 ReadUnsigned(packed.at(6)), packed.at(7)};
   } else {
-    throw std::invalid_argument("kind");
+    throw std::invalid_argument("the kind of the entry is unknown");
   }
   return entry;
 }
--- a/src/fleet/wire/decode.cpp
+++ b/src/fleet/wire/decode.cpp
@@ -23,13 +23,13 @@
   auto name = value.get<std::string>();
   const bool is_valid =
       !name.empty() && name.size() <= kMaxNameBytes && std::all_of(name.begin(), name.end(), IsPrintable);
-  if (!is_valid) throw std::invalid_argument("name");
+  if (!is_valid) throw std::invalid_argument("a name is empty, too long or not printable");
   return name;
 }
 
 Udp::endpoint ReadAddress(const json& value) {
   const auto address = ParseUdpEndpoint(value.get<std::string>());
-  if (!address) throw std::invalid_argument("address");
+  if (!address) throw std::invalid_argument("an address is not a valid host:port");
   return *address;
 }
 
@@ -41,7 +41,7 @@
 template <typename Enum>
 Enum ReadEnum(const json& value, std::size_t count) {
   const std::uint64_t index = ReadUnsigned(value);
-  if (index >= count) throw std::invalid_argument("out of range");
+  if (index >= count) throw std::invalid_argument("the value of an enum is out of range");
   return static_cast<Enum>(index);
 }
 
@@ -61,7 +61,8 @@
   lease.lease_name = ReadName(value.at(1));
   lease.token = ReadUnsigned(value.at(2));
   lease.holder = value.at(3).get<std::string>();
-  if (lease.holder.empty() || lease.holder.size() > 2 * kMaxNameBytes) throw std::invalid_argument("holder");
+  if (lease.holder.empty() || lease.holder.size() > 2 * kMaxNameBytes)
+    throw std::invalid_argument("the lease holder is empty or too long");
   lease.retry_after_ms = ReadUnsigned(value.at(4));
   lease.requested_token = ReadUnsigned(value.at(5));
   if (value.size() <= kLeaseFields) return lease;  // older versions send no request number
@@ -121,7 +122,7 @@
 
 void ReadPayloadFields(const json& root, Message* message) {
   message->channel = ReadName(root.at(wire_keys::kChannel));
-  if (message->channel.size() > kMaxChannelBytes) throw std::invalid_argument("channel");
+  if (message->channel.size() > kMaxChannelBytes) throw std::invalid_argument("the channel name is too long");
   message->payload = root.at(wire_keys::kPayload);
 }
 
@@ -136,7 +137,8 @@
   if (root.contains(wire_keys::kState)) message.state = root.at(wire_keys::kState);
   ReadSyncFields(root, &message);
   if (root.contains(wire_keys::kLease)) message.lease = ReadLease(root.at(wire_keys::kLease));
-  if (message.kind == Message::Kind::kLease && !message.lease) throw std::invalid_argument("lease");
+  if (message.kind == Message::Kind::kLease && !message.lease)
+    throw std::invalid_argument("a lease message has no lease field");
   if (message.kind == Message::Kind::kPayload) ReadPayloadFields(root, &message);
   for (const json& update : root.at(wire_keys::kUpdates)) message.updates.push_back(ReadUpdate(update));
   return message;
--- a/src/state/failures.h
+++ b/src/state/failures.h
@@ -11,15 +11,15 @@
 
 namespace load_balancer::state {
 
-inline constexpr FailureKind kSnapshotRejected{"STATE-1", "a snapshot was not used",
-                                               "none is needed once; if it recurs, see in docs/recovery.md "
-                                               "what the reason means and look at the disk and the clock"};
+inline constexpr FailureKind kSnapshotRejected{"STATE-1", "a snapshot was rejected",
+                                               "ignore a single occurrence; if it recurs, look up the reason "
+                                               "in docs/recovery.md and check the disk and the clock"};
 inline constexpr FailureKind kSnapshotNotWritten{
     "STATE-2", "a snapshot was not written",
-    "make room on the disk and see that its folder can be written; the one before stays in force"};
-inline constexpr FailureKind kSnapshotIncomplete{
-    "STATE-3", "a snapshot was not taken whole",
-    "none is needed: what is missing is learnt again; report it if the process was not upgraded just now"};
+    "free space on the disk and check that the folder is writable; the previous snapshot remains usable"};
+inline constexpr FailureKind kSnapshotIncomplete{"STATE-3", "a snapshot was restored only in part",
+                                                 "no action is needed, as the process learns the rest again; "
+                                                 "report it if the process was not just upgraded"};
 
 inline constexpr std::array kStateFailures{&kSnapshotRejected, &kSnapshotNotWritten, &kSnapshotIncomplete};
 
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -39,7 +39,7 @@
   auto recovered = state::Recover(options_.path, criteria, LogRejectedFile);
   auto* snapshot = std::get_if<Snapshot>(&recovered);
   if (!snapshot) {
-    log::Info(kComponent, "no snapshot to begin with");
+    log::Info(kComponent, "starting without a snapshot");
     return std::nullopt;
   }
   sequence_ = snapshot->sequence;
--- a/tests/state/recovery_test.cpp
+++ b/tests/state/recovery_test.cpp
@@ -187,7 +187,7 @@
   std::this_thread::sleep_for(milliseconds(1200));  // longer than max_age_ms
   fleet.Restart(0);
   EXPECT_TRUE(member.process->WaitFor("refused=too old"));
-  EXPECT_TRUE(member.process->WaitFor("no snapshot to begin with"));
+  EXPECT_TRUE(member.process->WaitFor("starting without a snapshot"));
 }
 
 TEST_F(Recovery, RepeatedKillsDuringWritesLeaveNoCorruptFile) {
