--- a/src/fleet/state/entry_codec.cpp
+++ b/src/fleet/state/entry_codec.cpp
@@ -9,7 +9,8 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxIdBytes = 128;  // of a server's id, a key, a role or an origin
+// Maximum length of a server's id, a key, a role or an origin, in bytes.
+constexpr std::size_t kMaxIdBytes = 128;
 constexpr std::uint64_t kMaxCount = 1000000;
 
 // Encoded names of the kinds of entries.
--- a/src/fleet/sync/bucket_digests.h
+++ b/src/fleet/sync/bucket_digests.h
@@ -15,7 +15,7 @@
 
 namespace load_balancer::fleet {
 
-/// Limits of the number of buckets.
+/// Minimum and maximum number of buckets.
 inline constexpr std::size_t kMinBuckets = 8;
 inline constexpr std::size_t kMaxBuckets = 128;
 
--- a/src/fleet/sync/chunks.h
+++ b/src/fleet/sync/chunks.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Splits the entries of hash buckets into chunks of which each fits a datagram.
+/// Splits the entries of hash buckets into chunks that each fit a datagram.
 #ifndef LOAD_BALANCER_FLEET_SYNC_CHUNKS_H_
 #define LOAD_BALANCER_FLEET_SYNC_CHUNKS_H_
 
--- a/src/fleet/wire/message.h
+++ b/src/fleet/wire/message.h
@@ -72,8 +72,8 @@
   /// In a kSync without `range`: requests the receiver's member table if the tables differ. In a message with
   /// `range`: requests the entries in the range that the receiver stores and the message does not list.
   bool wants_reply = false;
-  std::vector<Update> updates;
-  nlohmann::json state;  ///< packed entries of the replicated state; null: none
+  std::vector<Update> updates;  ///< claims about members
+  nlohmann::json state;         ///< packed entries of the replicated state; null: none
   /// In a kSync: digests of the members that are present and of the replicated state.
   std::uint64_t member_digest = 0;
   std::uint64_t state_digest = 0;
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -35,16 +35,16 @@
 
 /// SnapshotRejection is the reason for which a file is not used.
 enum class SnapshotRejection {
-  kAbsent,
-  kUnreadable,
-  kTruncated,
-  kNotASnapshot,  ///< wrong magic number, or larger than kMaxFileBytes
-  kChecksum,
-  kMalformed,
-  kOtherVersion,
-  kOtherName,
-  kFromFuture,
-  kTooOld
+  kAbsent,        ///< the file does not exist
+  kUnreadable,    ///< reading the file failed
+  kTruncated,     ///< the file is not longer than the header
+  kNotASnapshot,  ///< the magic number is wrong, or the file is larger than kMaxFileBytes
+  kChecksum,      ///< the checksum does not match the content
+  kMalformed,     ///< the content cannot be decoded
+  kOtherVersion,  ///< the file has another format version
+  kOtherName,     ///< another process wrote the file
+  kFromFuture,    ///< the time of the snapshot is further ahead than max_clock_skew
+  kTooOld         ///< the snapshot is older than max_age
 };
 
 /// Returns the name of a reason in log lines.
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -90,8 +90,8 @@
   return std::stod(line.substr(line.find(" " + key + "=") + key.size() + 2));
 }
 
-// Expects that no process accepted an ejection from a peer that had ended or was older than an ejection can
-// be.
+// Expects that every ejection that a process accepted from a peer was still in force and no older than the
+// longest possible ejection.
 void ExpectAcceptedEjectionsWithinBounds(Cluster& cluster) {
   for (std::size_t i = 0; i < cluster.size(); ++i) {
     for (const std::string& line : cluster.process(i).Lines()) {
