--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -183,7 +183,7 @@
   if (!leases_) return;
   const auto announcement = fleet::ReadLeaseAnnouncement(fenced, options_.section.lease_term);
   if (!announcement) return;
-  leases_->ObserveHolder(host_.Now(), fenced.duty, announcement->holder, fenced.token, announcement->left);
+  leases_->ObserveHolder(host_.Now(), fenced.role, announcement->holder, fenced.token, announcement->left);
 }
 
 void PoolMember::Send(const Endpoint& to, const fleet::LeaseMessage& lease) {
--- a/model/system/gateway.h
+++ b/model/system/gateway.h
@@ -23,7 +23,7 @@
  public:
   void OnTaken(const PoolMember&, const fleet::Entry& entry) override {
     const auto* fact = std::get_if<fleet::FencedValue>(&entry.content);
-    if (fact && fact->key != "lease/" + fact->duty) taken_.push_back(*fact);
+    if (fact && fact->key != "lease/" + fact->role) taken_.push_back(*fact);
   }
   std::vector<fleet::FencedValue> Take() { return std::exchange(taken_, {}); }
 
--- a/model/system/spill_side.cpp
+++ b/model/system/spill_side.cpp
@@ -109,7 +109,7 @@
 void SpillSide::OnPoolFact(const fleet::FencedValue& fact) {
   const auto estimate = spill::FromJson(fact.value);
   if (estimate && fact.key == "estimate/" + estimate->site &&
-      fact.duty == Wiring::AmbassadorOf(estimate->site))
+      fact.role == Wiring::AmbassadorOf(estimate->site))
     Feed(spill::EstimateHeard{*estimate, host_.Wall()});
 }
 
--- a/src/fleet/node/lease_announcement.cpp
+++ b/src/fleet/node/lease_announcement.cpp
@@ -21,7 +21,7 @@
 }
 
 std::optional<LeaseAnnouncement> ReadLeaseAnnouncement(const FencedValue& fenced, milliseconds max_left) {
-  if (fenced.key != AnnouncementKey(fenced.duty) || !fenced.value.is_object()) return std::nullopt;
+  if (fenced.key != AnnouncementKey(fenced.role) || !fenced.value.is_object()) return std::nullopt;
   const auto holder = fenced.value.find(kHolder);
   const auto left = fenced.value.find(kLeftMs);
   if (holder == fenced.value.end() || !holder->is_string()) return std::nullopt;
--- a/src/fleet/node/lease_participant.cpp
+++ b/src/fleet/node/lease_participant.cpp
@@ -66,10 +66,10 @@
 Time LeaseParticipant::Next() const { return leases_ ? leases_->Next() : Time::max(); }
 
 bool LeaseParticipant::ReceiveAnnouncement(const FencedValue& fenced) {
-  if (fenced.key != AnnouncementKey(fenced.duty)) return false;
+  if (fenced.key != AnnouncementKey(fenced.role)) return false;
   const auto announcement = ReadLeaseAnnouncement(fenced, section_.lease_term);
   if (leases_ && announcement)
-    leases_->ObserveHolder(Steady::now(), fenced.duty, announcement->holder, fenced.token,
+    leases_->ObserveHolder(Steady::now(), fenced.role, announcement->holder, fenced.token,
                            announcement->left);
   return true;
 }
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -195,7 +195,7 @@
 void SpillService::OnPoolFact(const fleet::FencedValue& fact) {
   const auto estimate = spill::FromJson(fact.value);
   if (!estimate) return log::Warn("spill", estimate.error());
-  if (fact.key == "estimate/" + estimate->site && fact.duty == DutyOf(estimate->site))
+  if (fact.key == "estimate/" + estimate->site && fact.role == DutyOf(estimate->site))
     Feed(spill::EstimateHeard{*estimate, UnixMilliseconds()});
 }
 
--- a/src/proxy/fleet_link/fleet_link.cpp
+++ b/src/proxy/fleet_link/fleet_link.cpp
@@ -64,8 +64,8 @@
 }
 
 void FleetLink::OnFencedValue(const fleet::FencedValue& fenced) {
-  if (fenced.duty == fleet::kDiscoveryDuty) return discovery_.OnFact(fenced);
-  if (fenced.duty == fleet::kMaintenanceDuty) maintenance_.OnFact(fenced);
+  if (fenced.role == fleet::kDiscoveryDuty) return discovery_.OnFact(fenced);
+  if (fenced.role == fleet::kMaintenanceDuty) maintenance_.OnFact(fenced);
 }
 
 }  // namespace load_balancer::proxy
--- a/tests/compatibility/fleet_datagrams.cpp
+++ b/tests/compatibility/fleet_datagrams.cpp
@@ -69,7 +69,7 @@
 }
 
 json FieldsOf(const fleet::FencedValue& fenced) {
-  return {{"kind", "duty fact"},   {"duty", fenced.duty},   {"key", fenced.key},
+  return {{"kind", "duty fact"},   {"duty", fenced.role},   {"key", fenced.key},
           {"token", fenced.token}, {"until", fenced.until}, {"value", fenced.value}};
 }
 
