--- a/src/fleet/state/entry_codec.cpp
+++ b/src/fleet/state/entry_codec.cpp
@@ -9,17 +9,19 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMaxIdBytes = 128;  // of a server's id, a key, a duty or an origin
+// Maximum length of a server's id, a key, a role or an origin, in bytes.
+constexpr std::size_t kMaxIdBytes = 128;
 constexpr std::uint64_t kMaxCount = 1000000;
 
-// The kinds of entries as messages name them.
+// Encoded names of the kinds of entries.
 constexpr char kEjectionKind[] = "v";
 constexpr char kKeyAffinityKind[] = "k";
 constexpr char kFencedValueKind[] = "d";
 
 std::string ReadId(const json& value) {
   auto id = value.get<std::string>();
-  if (id.empty() || id.size() > kMaxIdBytes) throw std::invalid_argument("id");
+  if (id.empty() || id.size() > kMaxIdBytes)
+    throw std::invalid_argument("an id or a name is empty or too long");
   return id;
 }
 
@@ -30,11 +32,11 @@
 
 int ReadCount(const json& value) {
   const std::uint64_t count = ReadUnsigned(value);
-  if (count > kMaxCount) throw std::invalid_argument("count");
+  if (count > kMaxCount) throw std::invalid_argument("a count of attempts or failures is too large");
   return static_cast<int>(count);
 }
 
-// Throws json::exception or std::invalid_argument on anything malformed.
+// Reads a packed entry. Throws json::exception or std::invalid_argument if it is malformed.
 Entry ReadEntry(const json& packed) {
   Entry entry;
   const auto kind = packed.at(0).get<std::string>();
@@ -49,7 +51,7 @@
     entry.content = FencedValue{ReadId(packed.at(4)), std::move(subject), ReadUnsigned(packed.at(5)),
                                 ReadUnsigned(packed.at(6)), packed.at(7)};
   } else {
-    throw std::invalid_argument("kind");
+    throw std::invalid_argument("the kind of the entry is unknown");
   }
   return entry;
 }
@@ -64,7 +66,7 @@
                         static_cast<unsigned>(ejection->attempts)});
   }
   if (const auto* fenced = std::get_if<FencedValue>(&entry.content)) {
-    return json::array({kFencedValueKind, fenced->key, version.stamp, version.origin, fenced->duty,
+    return json::array({kFencedValueKind, fenced->key, version.stamp, version.origin, fenced->role,
                         fenced->token, fenced->until, fenced->value});
   }
   const KeyAffinity& affinity = std::get<KeyAffinity>(entry.content);
