--- a/model/mutants/asked_again.requests.sed
+++ b/model/mutants/asked_again.requests.sed
@@ -1,2 +1,2 @@
 # A released token may be requested again, and its late release ends the new vote.
-/A released token is never requested again/{n;d}
+/lease\.largest_token = std::max(lease\.largest_token, token);/d
--- a/model/mutants/asks_within_effects.lease_state.sed
+++ b/model/mutants/asks_within_effects.lease_state.sed
@@ -1,2 +1,2 @@
-# A holder whose lease expires requests anew while its acts have effects, and so ends its own vote.
+# A holder whose lease expires sends a new request while its actions have effects, which ends its own vote.
 s/std::max(next_attempt, effects_until)/next_attempt/
--- a/model/mutants/effects_forgotten.release.sed
+++ b/model/mutants/effects_forgotten.release.sed
@@ -1,2 +1,2 @@
-# A lease is released while acts under it have effects.
+# A lease is released while actions under it have effects.
 s/ || now < lease\.effects_until) return;/) return;/
--- a/model/mutants/grant_after_release.release.sed
+++ b/model/mutants/grant_after_release.release.sed
@@ -1,2 +1,2 @@
-# Grants of a released token go on counting.
+# Grants of a released token are still counted.
 s/std::exchange(lease\.acquisition, LeaseAcquisition())\.token()/(lease.acquisition.EndRequest(), lease.acquisition.token())/
--- a/model/mutants/minority.requests.sed
+++ b/model/mutants/minority.requests.sed
@@ -1,2 +1,2 @@
-# Half of the voters are enough.
+# Half of the voters count as a majority.
 s|voters\.size() / 2 + 1|voters.size() / 2|
--- a/model/mutants/no_drift_margin.requests.sed
+++ b/model/mutants/no_drift_margin.requests.sed
@@ -1,2 +1,2 @@
-# The holder acts for the whole term by its own clock.
+# The holder does not subtract the drift bound from the lease term.
 s/ + terms_\.term - terms_\.drift/ + terms_.term/
--- a/model/mutants/other_set_taken.persisted_votes.sed
+++ b/model/mutants/other_set_taken.persisted_votes.sed
@@ -1,2 +1,2 @@
-# A voter adopts a file of votes whichever voters it names.
+# A voter adopts a file of votes however much its set of voters differs.
 s/differing\.size() > 1/differing.size() > 100/
--- a/model/mutants/proof_outlives_release.release.sed
+++ b/model/mutants/proof_outlives_release.release.sed
@@ -1,2 +1,2 @@
-# A proof is valid although its lease was released.
+# A proof stays valid after its lease was released.
 /held_lease->is_released = true;/d
--- a/model/mutants/smaller_token_again.voter.sed
+++ b/model/mutants/smaller_token_again.voter.sed
@@ -1,2 +1,2 @@
-# A late request of the vote's holder takes the vote back to an earlier token.
+# A late request of the holder sets the vote back to an earlier token.
 s/ && is_larger;/;/
--- a/model/mutants/stored_vote_over.voter.sed
+++ b/model/mutants/stored_vote_over.voter.sed
@@ -1,2 +1,2 @@
-# A vote read from disk has expired.
+# A vote that was read from disk counts as expired.
 s/votes_\[lease_name\] = {vote, now + .*};/votes_[lease_name] = {vote, now};/
--- a/model/mutants/token_goes_back.voter.sed
+++ b/model/mutants/token_goes_back.voter.sed
@@ -1,2 +1,2 @@
-# Any token will do once a vote has ended.
+# A voter grants any token after a vote has ended, even a smaller one.
 s/is_larger ? DenialReason::kNone : DenialReason::kLeaseHeld/DenialReason::kNone/
--- a/model/mutants/unequal_terms.voter.sed
+++ b/model/mutants/unequal_terms.voter.sed
@@ -1,2 +1,2 @@
-# A voter grants to a requester whose term is another.
+# A voter grants to a requester with a different lease term.
 /return DenialReason::kTermMismatch;/d
--- a/model/mutants/vote_not_kept.voter.sed
+++ b/model/mutants/vote_not_kept.voter.sed
@@ -1,2 +1,2 @@
-# A vote is granted without being on disk.
+# A vote is granted without being stored on disk.
 s/return store_->Save(all);/return true;/
--- a/model/mutants/vote_without_margin.voter.sed
+++ b/model/mutants/vote_without_margin.voter.sed
@@ -1,2 +1,2 @@
-# A vote lasts for the term alone by the voter's clock.
+# A vote lasts for one term without the drift bound.
 s/{vote, now + VoteDuration(),/{vote, now + terms_.term,/
--- a/src/fleet/lease/acquisition.cpp
+++ b/src/fleet/lease/acquisition.cpp
@@ -56,7 +56,7 @@
 void LeaseAcquisition::AppendFingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const {
   words->insert(words->end(), {token_, is_request_open_, FingerprintOf(now, request_deadline_),
                                is_request_open_ ? FingerprintOf(now, next_retransmit_) : 0});
-  // A request, and a grant of it, counts for a term after it was sent.
+  // A request and its grants count for one term after the request was first sent.
   for (const auto& [number, sent_at] : sent_)
     words->insert(words->end(), {number, FingerprintOf(now, sent_at + term)});
   for (const auto& [voter, bound_since] : granted_)
--- a/src/fleet/lease/acquisition.h
+++ b/src/fleet/lease/acquisition.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The acquisition of one lease under one fencing token, and its renewals: the requests that were sent and
-/// what each voter has answered.
+/// Tracks the acquisition of one lease under one fencing token, including renewals: the requests that were
+/// sent and the answer of each voter.
 #ifndef LOAD_BALANCER_FLEET_LEASE_ACQUISITION_H_
 #define LOAD_BALANCER_FLEET_LEASE_ACQUISITION_H_
 
@@ -17,61 +17,61 @@
 
 namespace load_balancer::fleet {
 
-/// Counts grants and denials of one token. A grant counts from the moment at which the request that it
-/// answers was first sent, so that a late grant never makes the lease last longer than the voter is bound by
-/// it.
+/// Counts the grants and denials of one token. The lease time of a grant starts when the request that it
+/// answers was first sent. A late grant therefore never makes the lease outlast the voter's vote.
 class LeaseAcquisition {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
-  /// How long a request waits, and how often it is retransmitted meanwhile.
+  /// The timeouts and intervals of one request.
   struct RequestTiming {
-    Span term{};                 ///< Requests older than this no longer count.
-    Span timeout{};              ///< The request ends so long after it was first sent.
-    Span retransmit_interval{};  ///< Between two transmissions to a voter that has not answered.
+    Span term{};                 ///< Grants of requests older than this are ignored.
+    Span timeout{};              ///< Time from the first transmission until the request fails.
+    Span retransmit_interval{};  ///< Time between two transmissions to a voter that has not answered.
   };
 
-  /// Requests nothing.
+  /// Creates an acquisition without a token.
   LeaseAcquisition() = default;
   explicit LeaseAcquisition(FencingToken token) : token_(token) {}
 
-  /// 0 if nothing is requested.
+  /// Returns the requested token; 0 if there is none.
   FencingToken token() const { return token_; }
 
-  /// Begins a request that is sent for the first time at `now`. Forgets the denials of the one before.
+  /// Begins a request that is first sent at `now`. Clears the denials of the previous request.
   void BeginRequest(Time now, std::uint64_t number, const RequestTiming& timing);
   void EndRequest() { is_request_open_ = false; }
-  /// Whether the newest request still waits for a majority.
+  /// Returns whether the newest request still waits for a majority.
   bool is_request_open() const { return is_request_open_; }
-  /// Number and first sending of the newest request. Requires that there is one.
+  /// Returns the number of the newest request. Requires that a request was sent.
   std::uint64_t request_number() const { return sent_.rbegin()->first; }
+  /// Returns when the newest request was first sent. Requires that a request was sent.
   Time request_sent_at() const { return sent_.rbegin()->second; }
   Time request_deadline() const { return request_deadline_; }
   Time next_retransmit() const { return next_retransmit_; }
   void ScheduleRetransmit(Time at) { next_retransmit_ = at; }
-  /// Whether the voter has granted or denied the newest request.
+  /// Returns whether the voter has granted or denied the newest request.
   bool HasAnswered(const Endpoint& voter) const;
 
-  /// Counts a voter's grant. Returns false, and changes nothing, if it answers no request that still counts.
+  /// Counts a voter's grant. Returns false and changes nothing if it answers an unknown or expired request.
   bool CountGrant(const Endpoint& voter, std::uint64_t request_number);
-  /// Records that the voter may grant from `may_grant_at` on. Ignores answers to other than the newest
-  /// request.
+  /// Records that the voter may grant from `may_grant_at` on. Ignores denials of earlier requests.
   void RecordDenial(const Endpoint& voter, std::uint64_t request_number, Time may_grant_at);
 
-  /// The newest moment since which `majority` voters are bound by their grants; nothing if fewer have
-  /// granted.
+  /// Returns the start of the lease time: the latest time since which `majority` voters have been bound by
+  /// their grants. Returns nothing if fewer voters have granted.
   std::optional<Time> MajorityBoundSince(std::size_t majority) const;
-  /// When `majority` of `voters` voters may grant, as far as the denials of the newest request tell.
+  /// Returns the earliest time at which `majority` of `voters` voters may grant, according to the denials of
+  /// the newest request.
   Time MajorityMayGrantAt(Time now, std::size_t voters, std::size_t majority) const;
 
-  /// As Leases::AppendFingerprint.
+  /// Does the same as Leases::AppendFingerprint for this acquisition.
   void AppendFingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const;
 
  private:
   FencingToken token_ = 0;
-  std::map<std::uint64_t, Time> sent_;  // first sending of each request, by its number
-  std::map<Endpoint, Time> granted_;    // by voter, the newest first sending of a request that it has granted
-  std::map<Endpoint, Time> denied_;     // by voter that denied the newest request, when it may grant
+  std::map<std::uint64_t, Time> sent_;  // time of the first transmission, by request number
+  std::map<Endpoint, Time> granted_;    // by voter: when the newest request that it granted was first sent
+  std::map<Endpoint, Time> denied_;     // by voter that denied the newest request: when it may grant
   bool is_request_open_ = false;
   Time request_deadline_{};
   Time next_retransmit_{};
--- a/src/fleet/lease/denial_reporter.cpp
+++ b/src/fleet/lease/denial_reporter.cpp
@@ -23,7 +23,7 @@
   return static_cast<std::uint64_t>(span.count());
 }
 
-// Nothing for a denial that is part of normal operation.
+// Returns nothing for a denial that is part of normal operation.
 std::optional<DenialFailure> FailureOf(const LeaseMessage& denial, const LeaseTerms& terms) {
   switch (denial.denial_reason) {
     case DenialReason::kTermMismatch:
--- a/src/fleet/lease/denial_reporter.h
+++ b/src/fleet/lease/denial_reporter.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Turns denials that an operator has to resolve into failures, each reported once.
+/// Converts denials that an operator has to resolve into failures and reports each failure once.
 #ifndef LOAD_BALANCER_FLEET_LEASE_DENIAL_REPORTER_H_
 #define LOAD_BALANCER_FLEET_LEASE_DENIAL_REPORTER_H_
 
@@ -16,15 +16,15 @@
 
 namespace load_balancer::fleet {
 
-/// Remembers which reasons of which voters have been reported.
+/// Remembers which denial reasons have been reported for each voter.
 class DenialReporter {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
-  /// The failure to report for a voter's denial. Nothing if the denial is part of normal operation, or has
-  /// been reported since the voter last granted. `terms` are those of the requester.
+  /// Returns the failure to report for a voter's denial. Returns nothing if the denial is part of normal
+  /// operation or was already reported since the voter's last grant. `terms` are the requester's terms.
   std::optional<Failure> Report(const Endpoint& voter, const LeaseMessage& denial, const LeaseTerms& terms);
-  /// Forgets what was reported of the voter. To be called when it grants.
+  /// Clears the reported reasons of a voter. Must be called when the voter grants.
   void Forget(const Endpoint& voter) { reported_.erase(voter); }
 
  private:
--- a/src/fleet/lease/failures.h
+++ b/src/fleet/lease/failures.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What can go wrong with leases, as operators meet it.
+// The failures of leases that are reported to operators.
 #ifndef LOAD_BALANCER_FLEET_LEASE_FAILURES_H_
 #define LOAD_BALANCER_FLEET_LEASE_FAILURES_H_
 
@@ -19,7 +19,7 @@
 inline constexpr FailureKind kVoterSetMismatch{
     "LEASE-3", "a voter has another set of voters and grants nothing",
     "give all members the same voters; while they are changed one by one, go on until all have them"};
-inline constexpr FailureKind kVoterSetLeap{
+inline constexpr FailureKind kVoterSetChangeTooLarge{
     "LEASE-4", "the voters differ from those of this process's votes by more than one, so it does not vote",
     "go back to the voters of before and change one at a time, with a wait, as docs/leases.md says"};
 inline constexpr FailureKind kVoteNotPersisted{
@@ -40,9 +40,10 @@
     "LEASE-10", "the file of votes cannot be used, so this voter is silent for a term",
     "none is needed once; if it recurs, see whether the disk loses what it has synced"};
 
-inline constexpr std::array kLeaseFailures{
-    &kTermMismatch,      &kDriftMismatch, &kVoterSetMismatch, &kVoterSetLeap, &kVoteNotPersisted,
-    &kHeldByOtherMember, &kNoLeaseHolder, &kLeaseExpired,     &kStaleToken,   &kVotesFileRejected};
+inline constexpr std::array kLeaseFailures{&kTermMismatch,           &kDriftMismatch,    &kVoterSetMismatch,
+                                           &kVoterSetChangeTooLarge, &kVoteNotPersisted, &kHeldByOtherMember,
+                                           &kNoLeaseHolder,          &kLeaseExpired,     &kStaleToken,
+                                           &kVotesFileRejected};
 
 }  // namespace load_balancer::fleet
 
--- a/src/fleet/lease/fencing.h
+++ b/src/fleet/lease/fencing.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Fencing: the proof of a lease that every exclusive act takes, and the check that the protected resource
-/// makes of it. A process may stall between checking its lease and acting, so the resource checks again when
-/// the act arrives: the deadline where both share a clock, and everywhere that tokens never decrease
-/// (Kleppmann: "How to do distributed locking", 2016).
+/// Fencing: every exclusive action carries a proof of a lease, and the protected resource checks the proof. A
+/// process may stall between checking its lease and acting, so the resource checks again when the action
+/// arrives. It checks the deadline if it shares a clock with the process, and it always checks that tokens
+/// never decrease (Kleppmann: "How to do distributed locking", 2016).
 #ifndef LOAD_BALANCER_FLEET_LEASE_FENCING_H_
 #define LOAD_BALANCER_FLEET_LEASE_FENCING_H_
 
@@ -18,14 +18,14 @@
 
 namespace load_balancer::fleet {
 
-/// A lease while it is held, shared by its holder and the proofs made of it.
+/// The state of a lease that is shared by its holder and all proofs of the lease.
 struct HeldLease {
   bool is_released = false;
-  Time effects_until{};  ///< Until when acts under this lease have effects.
+  Time effects_until{};  ///< When the effects of the actions under this lease end.
 };
 
-/// Proof that the process held a lease when it made this, valid until a deadline. Renewing the lease does not
-/// extend an existing proof. Only Leases makes proofs.
+/// Proves that the process held a lease when the proof was created. A proof is valid until its deadline,
+/// which a renewal of the lease does not extend. Only Leases creates proofs.
 class LeaseProof {
  public:
   LeaseProof(LeaseProof&&) = default;
@@ -33,12 +33,12 @@
 
   const std::string& lease_name() const { return lease_name_; }
   FencingToken token() const { return token_; }
-  /// On this process's monotonic clock.
+  /// Returns the deadline on this process's monotonic clock.
   Time deadline() const { return deadline_; }
-  /// Whether `now` is before the deadline and the lease has not been released.
+  /// Returns whether `now` is before the deadline and the lease has not been released.
   bool IsValid(Time now) const;
-  /// Records that an act under this proof has effects until `until`, capped at the deadline. Until then the
-  /// lease is not released early, so that no other member has it while the effects last.
+  /// Records that an action under this proof has effects until `until`, capped at the deadline. The lease is
+  /// not released before that time, so that no other member acquires it while the effects last.
   void ExtendEffects(Time until) const;
 
  private:
@@ -49,16 +49,16 @@
   std::string lease_name_;
   FencingToken token_;
   Time deadline_;
-  std::shared_ptr<HeldLease> lease_;  // null once moved from
+  std::shared_ptr<HeldLease> lease_;  // null after a move
 };
 
-/// The check at a protected resource: it remembers the largest token of each lease.
+/// Checks the actions that reach a protected resource. Remembers the largest token of each lease.
 class Fence {
  public:
-  /// Checks an act of this process. Fails with kLeaseExpired if the proof is not valid at `now`, and
-  /// otherwise as the overload below.
+  /// Checks an action of this process. Fails with kLeaseExpired if the proof is not valid at `now`, and for
+  /// the same reason as the overload below.
   Result<void> Admit(const LeaseProof& proof, Time now);
-  /// Checks an act of another process. Fails with kStaleToken if a larger token has been admitted before.
+  /// Checks an action of another process. Fails with kStaleToken if a larger token was admitted before.
   Result<void> Admit(const std::string& lease_name, FencingToken token);
 
  private:
--- a/src/fleet/lease/fingerprint.h
+++ b/src/fleet/lease/fingerprint.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The words from which the model checker hashes a state, so that it explores equal states once.
+/// Helpers that encode a state for the model checker, which hashes states to explore equal ones only once.
 #ifndef LOAD_BALANCER_FLEET_LEASE_FINGERPRINT_H_
 #define LOAD_BALANCER_FLEET_LEASE_FINGERPRINT_H_
 
@@ -15,9 +15,11 @@
 
 namespace load_balancer::fleet {
 
+/// Returns the hash of `text`.
 inline std::uint64_t FingerprintOf(std::string_view text) { return XXH64(text.data(), text.size(), 0); }
 
-/// The time left until `moment`; 0 for every moment in the past, since how long ago it was changes nothing.
+/// Returns the time left until `moment`. All past moments give 0, because behaviour does not depend on how
+/// long ago they were.
 inline std::uint64_t FingerprintOf(Time now, Time moment) {
   return static_cast<std::uint64_t>(std::max<Span>(Span(0), moment - now).count());
 }
--- a/src/fleet/lease/lease_state.cpp
+++ b/src/fleet/lease/lease_state.cpp
@@ -9,7 +9,7 @@
 namespace load_balancer::fleet {
 namespace {
 
-// As logs and operators' commands have them.
+// These names appear in logs and operators' commands.
 constexpr std::array<std::string_view, 4> kStatusNames{"alone", "holder", "follower", "waiting"};
 
 }  // namespace
@@ -26,7 +26,7 @@
   return has_lease && now >= until ? LeaseStatus::kWaiting : status;
 }
 
-// Not while acts of this member have effects: another request would end its own vote.
+// No request is sent while actions of this member have effects: a request for a new token would end its vote.
 Time LeaseState::NextAttemptAt() const { return std::max(next_attempt, effects_until); }
 
 bool LeaseState::MayRequest(bool is_released) const {
--- a/src/fleet/lease/lease_state.h
+++ b/src/fleet/lease/lease_state.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// What a member knows of one lease, as its candidate, holder or follower.
+/// The state of one lease at a member that is its candidate, holder or follower.
 #ifndef LOAD_BALANCER_FLEET_LEASE_LEASE_STATE_H_
 #define LOAD_BALANCER_FLEET_LEASE_LEASE_STATE_H_
 
@@ -19,49 +19,51 @@
 
 namespace load_balancer::fleet {
 
-/// What this member is to a lease. Logs and operators' commands call it the role.
+/// The relation of this member to a lease. Logs and operators' commands call it `role`.
 enum class LeaseStatus {
-  kStandalone,  ///< No quorum: performs an available role without a lease ("alone").
+  kStandalone,  ///< Performs an available role without a lease, as there is no quorum ("alone").
   kHolder,      ///< Holds the lease.
-  kFollower,    ///< Knows of another holder.
-  kWaiting,     ///< Knows of no holder.
+  kFollower,    ///< Knows that another member holds the lease.
+  kWaiting,     ///< Knows no holder.
 };
+/// Returns the status as it appears in logs and operators' commands.
 std::string_view Name(LeaseStatus status);
 
-/// A release that is transmitted several times, since nobody answers it.
+/// A release that is transmitted several times, because voters do not acknowledge releases.
 struct PendingRelease {
   FencingToken token = 0;
   int remaining_transmissions = 0;
   Time next_transmission{};
 };
 
-/// State of one lease; Leases changes it.
+/// The state of one lease, which Leases modifies.
 struct LeaseState {
-  /// Whether the status changes at `until`. Nobody is standalone in an exclusive role.
+  /// Returns whether the status changes at `until`. A member that waits for an exclusive role keeps waiting,
+  /// since it may not perform that role without a lease.
   bool HasExpiry() const;
-  /// By the clock rather than by the last tick: a stalled process must not act.
+  /// Returns the status at `now`, independently of the last tick, because a stalled process must not act.
   LeaseStatus StatusAt(Time now) const;
-  /// The earliest moment for the next request.
+  /// Returns the earliest time of the next request.
   Time NextAttemptAt() const;
-  /// Whether the lease may be requested or renewed; not while a request is open.
+  /// Returns whether a request may be sent; false while another request is open.
   bool MayRequest(bool is_released) const;
-  /// When something is due; Time::max() if nothing is.
+  /// Returns when the next timer of this lease fires; Time::max() if no timer is set.
   Time NextDeadline(bool is_released) const;
-  /// As Leases::AppendFingerprint.
+  /// Does the same as Leases::AppendFingerprint for this lease.
   void AppendFingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const;
 
   std::string name;
   LeasedRoleKind kind = LeasedRoleKind::kExclusive;
   LeaseStatus status = LeaseStatus::kWaiting;
-  std::string holder;              ///< Of the lease held or followed; empty before the first.
-  FencingToken token = 0;          ///< Of the lease held or followed.
-  FencingToken largest_token = 0;  ///< That this member has seen, granted or not.
-  Time until{};                    ///< End of the lease held or followed, or of the wait.
+  std::string holder;              ///< Holder of the lease held or followed; empty before the first lease.
+  FencingToken token = 0;          ///< Token of the lease held or followed.
+  FencingToken largest_token = 0;  ///< Largest token seen by this member, whether granted or not.
+  Time until{};                    ///< End of the lease held or followed, or of the time to wait.
   Time next_attempt{};
   std::shared_ptr<HeldLease> held_lease;  ///< Null unless this member is the holder.
-  Time effects_until{};                   ///< Of acts under leases of this member that are over.
+  Time effects_until{};  ///< End of the effects of actions under this member's former leases.
   LeaseAcquisition acquisition;
-  int failed_attempts = 0;  ///< In a row.
+  int failed_attempts = 0;  ///< Consecutive failures, up to the limit of the backoff.
   PendingRelease pending_release;
 };
 
--- a/src/fleet/lease/leased_role.h
+++ b/src/fleet/lease/leased_role.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Roles of which at most one member at a time has the lease. Logs, settings and operators' commands call
-/// them duties.
+/// Roles whose lease is held by at most one member at a time. Logs, settings and operators' commands call
+/// such a role a duty.
 #ifndef LOAD_BALANCER_FLEET_LEASE_LEASED_ROLE_H_
 #define LOAD_BALANCER_FLEET_LEASE_LEASED_ROLE_H_
 
@@ -11,9 +11,9 @@
 
 namespace load_balancer::fleet {
 
-/// What becomes of a role while no quorum of voters can be reached.
+/// Determines who performs a role while no quorum of voters can be reached.
 enum class LeasedRoleKind {
-  kExclusive,  ///< Nobody performs it.
+  kExclusive,  ///< No member performs it.
   kAvailable,  ///< Each member performs it for itself.
 };
 
@@ -21,7 +21,7 @@
   return kind == LeasedRoleKind::kExclusive ? "exclusive" : "available";
 }
 
-/// A role and how it behaves without a quorum. The name is that of its lease, too.
+/// A role and its behaviour without a quorum. The lease has the same name as the role.
 struct LeasedRole {
   std::string name;
   LeasedRoleKind kind = LeasedRoleKind::kExclusive;
--- a/src/fleet/lease/leases.cpp
+++ b/src/fleet/lease/leases.cpp
@@ -25,7 +25,7 @@
       terms_(TermsOf(options_)),
       callbacks_(callbacks),
       voter_(terms_, now, options_.stored_votes, options_.vote_store),
-      // Differs from the numbers of an earlier incarnation, whose answers may still be in flight.
+      // Request numbers must differ from those of earlier incarnations, whose answers may be in flight.
       last_request_number_(static_cast<std::uint64_t>(now.time_since_epoch().count())) {
   if (!options_.may_vote) voter_.StopGranting();
   for (const LeasedRole& role : options_.leased_roles) AddLeasedRole(now, role);
@@ -39,7 +39,7 @@
   lease.kind = role.kind;
   const bool is_available = role.kind == LeasedRoleKind::kAvailable;
   lease.status = is_available ? LeaseStatus::kStandalone : LeaseStatus::kWaiting;
-  // Without votes of an earlier incarnation the voters are likely to be in their grace period as well.
+  // Without stored votes here, the other voters are probably in their grace period as well.
   const Time earliest = options_.stored_votes ? now : now + terms_.term + terms_.drift;
   lease.next_attempt = earliest + RandomSpan(RenewalInterval(terms_.term));
 }
@@ -51,7 +51,7 @@
   voter_.RaiseLargestToken(lease_name, token);
 }
 
-// Uniform from zero to `longest`.
+// Returns a random span between zero and `longest`, uniformly distributed.
 Span Leases::RandomSpan(Span longest) {
   ++random_draws_;
   const std::uint64_t draw = XXH64(&random_draws_, sizeof random_draws_, options_.seed);
@@ -99,7 +99,7 @@
   SetStatus(now, lease, LeaseStatus::kWaiting, now + HolderLossTimeout(terms_.term), "expired");
 }
 
-// This member's own vote needs no datagram.
+// Handles a message to this member directly instead of sending a datagram.
 void Leases::Deliver(Time now, const Endpoint& to, const LeaseMessage& message) {
   if (to == options_.address)
     Receive(now, options_.address, message);
@@ -144,7 +144,8 @@
   const auto found = leases_.find(lease_name);
   if (found == leases_.end() || holder == options_.holder || remaining <= Span(0)) return;
   LeaseState& lease = found->second;
-  // Compared with tokens of leases, not of requests: larger ones may have been requested in vain.
+  // Compares with the token of the last known lease, not with `largest_token`, since requests with larger
+  // tokens may have failed.
   if (token < lease.token) return;
   if (token == lease.token && lease.StatusAt(now) == LeaseStatus::kHolder) return;
   ReleaseLease(now, lease);
--- a/src/fleet/lease/leases.h
+++ b/src/fleet/lease/leases.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Leases of roles that one member has at a time (Gray, Cheriton: "Leases: An Efficient Fault-Tolerant
-/// Mechanism for Distributed File Cache Consistency", 1989). A majority of voters grants each lease, with a
-/// fencing token that only grows. Owns no socket and no clock. docs/leases.md has the protocol, its bounds
-/// and the argument for its safety.
+/// Leases of roles that at most one member may hold at a time (Gray, Cheriton: "Leases: An Efficient
+/// Fault-Tolerant Mechanism for Distributed File Cache Consistency", 1989). A majority of voters grants each
+/// lease together with an increasing fencing token. The code owns no socket and no clock. docs/leases.md
+/// describes the protocol, its time bounds and the argument for its safety.
 #ifndef LOAD_BALANCER_FLEET_LEASE_LEASES_H_
 #define LOAD_BALANCER_FLEET_LEASE_LEASES_H_
 
@@ -30,83 +30,87 @@
 struct LeaseOptions {
   using Endpoint = boost::asio::ip::udp::endpoint;
 
-  std::string holder;            ///< This member's name and a mark of its incarnation.
-  Endpoint address;              ///< Where the others reach this member.
+  std::string holder;            ///< Name of this member with an identifier of its incarnation.
+  Endpoint address;              ///< Address at which other members reach this one.
   std::vector<Endpoint> voters;  ///< This member votes if its address is among them.
   std::chrono::milliseconds term{3000};
-  std::chrono::milliseconds drift{100};  ///< What a clock may gain or lose in a term.
+  std::chrono::milliseconds drift{100};  ///< Maximum time that a clock gains or loses per term.
   std::vector<LeasedRole> leased_roles;
-  std::uint64_t seed = 0;                   ///< For the jitter of attempts.
-  std::optional<StoredVotes> stored_votes;  ///< Of the incarnation before; nothing if they are unknown.
-  VoteStore* vote_store = nullptr;          ///< Null: votes are in memory alone. Outlives the leases.
-  bool may_vote = true;                     ///< Otherwise this voter grants nothing.
+  std::uint64_t seed = 0;                   ///< Seed of the random jitter.
+  std::optional<StoredVotes> stored_votes;  ///< Votes of the previous incarnation; nothing if unknown.
+  VoteStore* vote_store = nullptr;          ///< Must outlive Leases. Null: votes stay in memory.
+  bool may_vote = true;                     ///< If false, this voter denies all requests.
 };
 
-/// A member's side of all its leases, as candidate, holder and follower, together with its vote.
+/// Manages all leases of a member as candidate, holder and follower, and its part as a voter.
 class Leases {
  public:
   using Endpoint = LeaseOptions::Endpoint;
 
-  /// Called from within the functions of Leases; must not call back into them.
+  /// Called by functions of Leases. Implementations must not call back into Leases.
   class Callbacks {
    public:
     virtual ~Callbacks() = default;
     virtual void Send(const Endpoint& to, const LeaseMessage& message) = 0;
-    /// The status of a lease has changed or, with the reason "renewed", is the same for longer. A holder must
-    /// stop after `remaining`.
+    /// Reports that the status of a lease has changed, or was extended if the reason is "renewed". A holder
+    /// must stop after `remaining`.
     virtual void OnLeaseStatus(const std::string& lease_name, LeaseStatus status, FencingToken token,
                                Span remaining, std::string_view reason) = 0;
-    /// A voter denies for a reason that an operator has to resolve. Once for each voter and reason, until it
-    /// grants.
+    /// Reports that a voter denies requests for a reason that an operator has to resolve. Called once for
+    /// each voter and reason until the voter grants again.
     virtual void OnFailure(const Failure& failure) = 0;
   };
 
-  /// `callbacks` must outlive this.
+  /// Starts with no lease held. `callbacks` must outlive this object.
   Leases(LeaseOptions options, Time now, Callbacks& callbacks);
 
-  /// Requests the lease of one more role from now on. Does nothing if the role is known.
+  /// Adds a role whose lease this member requests from now on. Does nothing if the role is known.
   void AddLeasedRole(Time now, const LeasedRole& role);
 
+  /// Handles a message of the lease protocol.
   void Receive(Time now, const Endpoint& from, const LeaseMessage& message);
-  /// A holder has announced that it has the lease for `remaining` longer.
+  /// Records a holder's announcement that its lease lasts for another `remaining`.
   void ObserveHolder(Time now, const std::string& lease_name, const std::string& holder, FencingToken token,
                      Span remaining);
-  /// Does what is due. `unix_ms` is the wall clock, from which new tokens are made.
+  /// Processes due timers. `unix_ms` is the wall clock time, from which new tokens are derived.
   void Tick(Time now, std::uint64_t unix_ms);
-  /// When Tick is to be called next.
+  /// Returns when Tick must be called next.
   Time Next() const;
 
-  /// Releases all leases and requests none until Resume. Invalidates all proofs. A lease whose acts still
-  /// have effects (LeaseProof::ExtendEffects) is left to expire instead.
+  /// Releases all leases, invalidates all proofs and stops requesting leases until Resume. A lease whose
+  /// actions still have effects (LeaseProof::ExtendEffects) is left to expire instead of being released.
   void Release(Time now);
+  /// Requests leases again after Release.
   void Resume(Time now);
 
-  /// Raises the largest token of the lease to at least one that was seen in an earlier incarnation.
+  /// Raises the largest known token of the lease to at least `token`, which an earlier incarnation has seen.
   void RaiseLargestToken(const std::string& lease_name, FencingToken token);
+  /// Returns the largest token that this member has seen for the lease.
   FencingToken largest_token(const std::string& lease_name) const {
     return leases_.at(lease_name).largest_token;
   }
 
-  /// Proof that this member holds the lease at `now`; nothing if it does not.
+  /// Returns a proof that this member holds the lease at `now`, or nothing if it does not hold it.
   std::optional<LeaseProof> ProveLease(Time now, const std::string& lease_name) const;
 
-  /// By the clock rather than by the last Tick: a stalled process must not act.
+  /// Returns the status at `now`, independently of the last Tick, because a stalled process must not act.
   LeaseStatus status(Time now, const std::string& lease_name) const {
     return leases_.at(lease_name).StatusAt(now);
   }
   LeasedRoleKind kind(const std::string& lease_name) const { return leases_.at(lease_name).kind; }
-  /// Token and holder of the lease that is held or followed; 0 and empty if there has been none.
+  /// Returns the token of the lease that is held or followed; 0 before the first lease.
   FencingToken token(const std::string& lease_name) const { return leases_.at(lease_name).token; }
+  /// Returns the holder of the lease that is held or followed; empty before the first lease.
   std::string holder(const std::string& lease_name) const { return leases_.at(lease_name).holder; }
-  /// How much longer the lease held or followed lasts, or the wait.
+  /// Returns the remaining time of the lease that is held or followed, or of the time to wait.
   Span remaining(Time now, const std::string& lease_name) const;
 
-  /// Appends all that decides the future behaviour, moments relative to `now`, so that a model checker
-  /// explores equal states once.
+  /// Appends all state that determines future behaviour, with times relative to `now`. The model checker
+  /// compares these words in order to explore equal states only once.
   void AppendFingerprint(Time now, std::vector<std::uint64_t>* words) const;
 
  private:
-  // Requests and their answers: requests.cpp.
+  // Requests and answers, defined in requests.cpp.
   void SendRequest(Time now, LeaseState& lease, FencingToken token);
   void RetransmitRequest(Time now, LeaseState& lease);
   LeaseMessage MakeRequest(const LeaseState& lease) const;
@@ -118,7 +122,7 @@
   bool IsVoter(const Endpoint& address) const;
   std::size_t MajoritySize() const;
 
-  // Releases: release.cpp.
+  // Releases, defined in release.cpp.
   void ReleaseLease(Time now, LeaseState& lease);
   void TransmitRelease(Time now, LeaseState& lease);
   void ReleaseLateGrant(Time now, const Endpoint& voter, const LeaseMessage& grant, const LeaseState& lease);
--- a/src/fleet/lease/persisted_votes.h
+++ b/src/fleet/lease/persisted_votes.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The persisted form of a voter's votes, and which of them bind it after the set of voters has changed.
+/// The persisted form of a voter's votes, and the check that they remain valid after a change of the voters.
 #ifndef LOAD_BALANCER_FLEET_LEASE_PERSISTED_VOTES_H_
 #define LOAD_BALANCER_FLEET_LEASE_PERSISTED_VOTES_H_
 
@@ -14,17 +14,21 @@
 
 namespace load_balancer::fleet {
 
+/// Votes together with the configuration under which they were written.
 struct PersistedVotes {
-  std::vector<std::string> voters;  ///< The voter set of the incarnation that wrote this, host:port, sorted.
+  std::vector<std::string>
+      voters;  ///< Configured voters of the incarnation that wrote the votes, as sorted host:port.
   StoredVotes votes;
 };
 
+/// Returns the JSON document of `persisted`.
 nlohmann::json ToJson(const PersistedVotes& persisted);
-/// Throws nlohmann::json::exception if `document` does not have the form that ToJson writes.
+/// Parses a document written by ToJson. Throws nlohmann::json::exception if it has another form.
 PersistedVotes PersistedVotesFromJson(const nlohmann::json& document);
 
-/// The votes that bind a voter of the set `voters` (sorted): all of them. Fails with kVoterSetLeap if the
-/// sets differ by more than one voter, since majorities of the two need not share a voter then.
+/// Returns all persisted votes; they bind a voter of the sorted set `voters`. Fails with
+/// kVoterSetChangeTooLarge if the sets differ by more than one voter, because then a majority of one set may
+/// share no voter with a majority of the other.
 Result<StoredVotes> AdoptVotes(PersistedVotes persisted, const std::vector<std::string>& voters);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/release.cpp
+++ b/src/fleet/lease/release.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The part of Leases that releases tokens, so that the next holder need not wait for votes to expire.
+// The part of Leases that releases tokens, so that the next holder does not wait until the votes expire.
 #include <algorithm>
 #include <utility>
 
@@ -12,7 +12,7 @@
 
 using Type = LeaseMessage::Type;
 
-constexpr int kReleaseTransmissions = 4;  // nobody acknowledges a release
+constexpr int kReleaseTransmissions = 4;  // repeated because voters do not acknowledge releases
 
 }  // namespace
 
@@ -31,8 +31,8 @@
   for (auto& [name, lease] : leases_) lease.next_attempt = now + RandomSpan(RenewalInterval(terms_.term));
 }
 
-// Invalidates the proofs and forgets the grants of the token before any voter hears of the release. While
-// acts under the token have effects, the votes are left to expire instead.
+// Invalidates the proofs and discards the grants of the token, and only then informs the voters. While
+// actions under the token have effects, sends no release and leaves the votes to expire.
 void Leases::ReleaseLease(Time now, LeaseState& lease) {
   if (lease.held_lease) {
     lease.held_lease->is_released = true;
@@ -53,7 +53,7 @@
   DeliverToVoters(now, MakeMessage(Type::kRelease, lease.name, release.token));
 }
 
-// A voter has granted a token that this member has released since: it has not heard of that yet.
+// Releases a token again at a voter whose grant arrived after this member had released the token.
 void Leases::ReleaseLateGrant(Time now, const Endpoint& voter, const LeaseMessage& grant,
                               const LeaseState& lease) {
   if (grant.token != 0 && now >= lease.effects_until)
--- a/src/fleet/lease/requests.cpp
+++ b/src/fleet/lease/requests.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The part of Leases that requests leases of the voters and counts their answers.
+// The part of Leases that sends lease requests to the voters and counts their answers.
 #include <algorithm>
 #include <utility>
 
@@ -34,7 +34,8 @@
 
 void Leases::SendRequest(Time now, LeaseState& lease, FencingToken token) {
   if (lease.acquisition.token() != token) lease.acquisition = LeaseAcquisition(token);
-  // A released token is never requested again, whatever the wall clock says: its release may arrive late.
+  // A released token is never requested again, even if the wall clock goes back: a late release of the token
+  // would end the new vote.
   lease.largest_token = std::max(lease.largest_token, token);
   ++last_request_number_;
   lease.acquisition.BeginRequest(now, last_request_number_,
@@ -51,7 +52,8 @@
   }
 }
 
-// Null unless the answer is to this incarnation.
+// Returns the lease that the answer is about; null if the answer is for another incarnation or an unknown
+// lease.
 LeaseState* Leases::FindRequested(const LeaseMessage& answer) {
   const auto found = leases_.find(answer.lease_name);
   return found == leases_.end() || answer.holder != options_.holder ? nullptr : &found->second;
@@ -65,7 +67,7 @@
   if (lease->acquisition.CountGrant(from, message.request_number)) ExtendLease(now, *lease);
 }
 
-// Makes this member the holder, or the holder for longer, as far as a majority of grants allows.
+// Makes this member the holder, or extends its lease, if a majority of voters has granted.
 void Leases::ExtendLease(Time now, LeaseState& lease) {
   const std::optional<Time> bound_since = lease.acquisition.MajorityBoundSince(MajoritySize());
   if (!bound_since) return;
@@ -100,7 +102,7 @@
   FailAttempt(now, *lease);
 }
 
-// Without a majority in time. A holder requests again at once, while its lease lasts.
+// Handles a request that found no majority in time. A holder requests again at once while its lease lasts.
 void Leases::FailAttempt(Time now, LeaseState& lease) {
   if (lease.status == LeaseStatus::kHolder) {
     lease.acquisition.EndRequest();
@@ -108,7 +110,7 @@
     return;
   }
   ReleaseLease(now, lease);
-  // Exponential backoff with jitter, so that candidates that collided come apart.
+  // Exponential backoff with jitter, so that competing candidates do not collide again.
   lease.failed_attempts = std::min(lease.failed_attempts + 1, kMaxBackoffDoublings);
   const Span jitter = RandomSpan(RequestTimeout(terms_.term) * (1 << lease.failed_attempts));
   lease.next_attempt = std::max(lease.next_attempt, now + MinBackoff(terms_.term)) + jitter;
--- a/src/fleet/lease/timing.h
+++ b/src/fleet/lease/timing.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Intervals of the lease protocol, as fractions and multiples of the lease term. docs/leases.md states the
-/// bounds that follow from them.
+/// Intervals of the lease protocol, which are fractions or multiples of the lease term. docs/leases.md states
+/// the resulting time bounds.
 #ifndef LOAD_BALANCER_FLEET_LEASE_TIMING_H_
 #define LOAD_BALANCER_FLEET_LEASE_TIMING_H_
 
@@ -10,19 +10,21 @@
 
 namespace load_balancer::fleet {
 
-/// From a request that a majority has granted to the next one that renews the lease.
+/// Returns the time between a request that a majority granted and the next renewal request.
 inline std::chrono::milliseconds RenewalInterval(std::chrono::milliseconds term) { return term / 3; }
 
-/// How long a request may wait for a majority of grants; a voter counts on it, too.
+/// Returns the time in which a majority must grant a request. Voters derive the retry time of denials from
+/// it.
 inline std::chrono::milliseconds RequestTimeout(std::chrono::milliseconds term) { return term / 6; }
 
-/// Between two transmissions of a request or a release: datagrams may be lost.
+/// Returns the time between two transmissions of a request or release, which are repeated because datagrams
+/// may be lost.
 inline std::chrono::milliseconds RetransmitInterval(std::chrono::milliseconds term) { return term / 24; }
 
-/// The least wait after a failed attempt; random jitter is added to it.
+/// Returns the minimum wait after a failed attempt. Random jitter is added to it.
 inline std::chrono::milliseconds MinBackoff(std::chrono::milliseconds term) { return term / 12; }
 
-/// From losing sight of the holder to performing an available role without a lease.
+/// Returns the time after which a member that knows no holder performs an available role without a lease.
 inline std::chrono::milliseconds HolderLossTimeout(std::chrono::milliseconds term) { return 2 * term; }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/vote_file.cpp
+++ b/src/fleet/lease/vote_file.cpp
@@ -19,7 +19,7 @@
 }
 
 Result<std::optional<StoredVotes>> VoteFile::Load() {
-  // Votes are bound by the monotonic clock alone, so a file of any age is read.
+  // Votes expire by the monotonic clock, which starts anew after a restart, so a file of any age is accepted.
   constexpr auto kAnyAge = std::numeric_limits<state::UnixMs>::max() / 2;
   auto read = state::ReadFile(path_, {process_name_, kAnyAge, kAnyAge, kAnyAge});
   if (const auto* rejection = std::get_if<state::SnapshotRejection>(&read)) {
--- a/src/fleet/lease/vote_file.h
+++ b/src/fleet/lease/vote_file.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A voter's votes in a file, in the checked format of snapshots (docs/recovery.md).
+/// Stores a voter's votes in a file, in the format of snapshots with checksum (docs/recovery.md).
 #ifndef LOAD_BALANCER_FLEET_LEASE_VOTE_FILE_H_
 #define LOAD_BALANCER_FLEET_LEASE_VOTE_FILE_H_
 
@@ -14,26 +14,27 @@
 
 namespace load_balancer::fleet {
 
+/// A VoteStore that writes to a file.
 class VoteFile : public VoteStore {
  public:
-  /// `process_name` is stored in the file; `voters` are the configured ones as host:port, in any order.
+  /// `process_name` is stored in the file. `voters` are the configured voters as host:port, in any order.
   VoteFile(std::string path, std::string process_name, std::vector<std::string> voters);
 
-  /// The votes of the incarnation before; nothing if there is no file. Fails with kVotesFileRejected if the
-  /// file is damaged, and with kVoterSetLeap if its voters differ from the configured ones by more than one.
-  /// Rewrites a file of other voters under the configured ones, so that the next change is compared with
-  /// them.
+  /// Returns the votes of the previous incarnation, or nothing if there is no file. Fails with
+  /// kVotesFileRejected if the file is damaged, and with kVoterSetChangeTooLarge if its voters differ from
+  /// the configured voters by more than one. If the voters differ, rewrites the file with the configured
+  /// voters, so that the next change is compared with them.
   Result<std::optional<StoredVotes>> Load();
 
-  /// Replaces the file, with fsync, and keeps no earlier version: a forgotten vote is worse than unknown
-  /// votes.
+  /// Replaces the file and syncs it to disk. Keeps no earlier version: restoring one would lose votes
+  /// unnoticed, while a missing file leads to a grace period.
   bool Save(const StoredVotes& votes) override;
 
  private:
   const std::string path_;
   const std::string process_name_;
   std::vector<std::string> voters_;  // sorted
-  std::uint64_t last_sequence_ = 0;  // of the newest file that was read or written
+  std::uint64_t last_sequence_ = 0;  // sequence number of the file last read or written
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/voter.cpp
+++ b/src/fleet/lease/voter.cpp
@@ -34,7 +34,7 @@
 Voter::Voter(const LeaseTerms& terms, Time now, const std::optional<StoredVotes>& stored, VoteStore* store)
     : terms_(terms), store_(store), grace_period_end_(stored ? now : now + VoteDuration()) {
   if (!stored) return;
-  // No clock survives a restart, so each vote may have been granted a moment ago.
+  // The monotonic clock does not survive a restart, so each vote may have been granted just before it.
   for (const auto& [lease_name, vote] : *stored)
     votes_[lease_name] = {vote, now + std::max<Span>(milliseconds(vote.duration_ms), VoteDuration())};
 }
@@ -56,7 +56,7 @@
   const Vote& vote = found->second;
   const bool is_larger = request.token > vote.stored.largest_token;
   if (now >= vote.until) return is_larger ? DenialReason::kNone : DenialReason::kLeaseHeld;
-  // The holder requests a larger token only once it has released the one before.
+  // A holder requests a larger token only after it has released the previous one.
   const bool is_reacquired = vote.stored.holder == request.holder && is_larger;
   const bool may_grant = IsVoteFor(vote.stored, request) || is_reacquired;
   return may_grant ? DenialReason::kNone : DenialReason::kLeaseHeld;
@@ -79,7 +79,7 @@
   return grant;
 }
 
-// Renews the vote if it is the same, and stores it otherwise. Returns false if it could not be stored.
+// Extends an existing vote for the same request, or stores a new vote. Returns false if storing failed.
 bool Voter::GrantVote(Time now, const LeaseMessage& request) {
   const auto found = votes_.find(request.lease_name);
   const FencingToken largest = found == votes_.end() ? 0 : found->second.stored.largest_token;
@@ -87,8 +87,9 @@
                         MillisecondCount(terms_.term + terms_.drift)};
   const bool is_renewal = found != votes_.end() && found->second.stored == vote;
   if (!is_renewal && !PersistVote(request.lease_name, vote)) return false;
-  const Time decided_by = is_renewal ? found->second.decided_by : now + RequestTimeout(terms_.term);
-  votes_[request.lease_name] = {vote, now + VoteDuration(), decided_by};
+  const Time decision_deadline =
+      is_renewal ? found->second.decision_deadline : now + RequestTimeout(terms_.term);
+  votes_[request.lease_name] = {vote, now + VoteDuration(), decision_deadline};
   return true;
 }
 
@@ -106,9 +107,10 @@
   return denial;
 }
 
-// How long until the voter may grant. A new vote that has no majority by `decided_by` is released.
+// Returns the time until the voter may grant. A new vote without a majority by `decision_deadline` is
+// expected to be released then.
 Span Voter::RetryAfter(Time now, const Vote& vote) const {
-  const Time until = now < vote.decided_by ? std::min(vote.until, vote.decided_by) : vote.until;
+  const Time until = now < vote.decision_deadline ? std::min(vote.until, vote.decision_deadline) : vote.until;
   return std::max(Span(0), std::max(until, grace_period_end_) - now);
 }
 
@@ -123,7 +125,7 @@
   for (const auto& [lease_name, vote] : votes_)
     words->insert(words->end(), {FingerprintOf(lease_name), FingerprintOf(vote.stored.holder),
                                  vote.stored.token, vote.stored.largest_token, vote.stored.duration_ms,
-                                 FingerprintOf(now, vote.until), FingerprintOf(now, vote.decided_by)});
+                                 FingerprintOf(now, vote.until), FingerprintOf(now, vote.decision_deadline)});
 }
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/lease/voter.h
+++ b/src/fleet/lease/voter.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The voter's side of leases: which requests it grants, and what of its votes survives a restart. Owns no
-/// clock and no file. docs/leases.md argues why two leases are never live at once.
+/// The voter of the lease protocol: decides which requests are granted and which votes are persisted. It owns
+/// no clock and no file. docs/leases.md explains why two leases of a role are never valid at once.
 #ifndef LOAD_BALANCER_FLEET_LEASE_VOTER_H_
 #define LOAD_BALANCER_FLEET_LEASE_VOTER_H_
 
@@ -18,63 +18,63 @@
 
 namespace load_balancer::fleet {
 
-/// The number of leases on which a voter stores votes; it denies requests for others.
+/// Maximum number of leases for which a voter stores votes. It denies requests for further leases.
 inline constexpr std::size_t kMaxVotes = 256;
 
 /// A vote as it is persisted.
 struct StoredVote {
   std::string holder;
   FencingToken token = 0;
-  FencingToken largest_token = 0;  ///< That this voter has granted for the lease.
+  FencingToken largest_token = 0;  ///< Largest token that this voter has granted for the lease.
   std::uint64_t duration_ms = 0;   ///< How long the vote binds the voter after each grant.
   bool operator==(const StoredVote&) const = default;
 };
 
-/// By lease name.
+/// Votes by lease name.
 using StoredVotes = std::map<std::string, StoredVote>;
 
 /// Persists a voter's votes.
 class VoteStore {
  public:
   virtual ~VoteStore() = default;
-  /// Writes all votes durably before it returns. Returns false if they could not be stored.
+  /// Stores all votes durably before it returns. Returns false if they could not be stored.
   virtual bool Save(const StoredVotes& votes) = 0;
 };
 
-/// What voters and requesters must agree on.
+/// Configuration that must be equal at voters and requesters.
 struct LeaseTerms {
   std::chrono::milliseconds term{3000};  ///< How long a lease lasts.
-  std::chrono::milliseconds drift{100};  ///< What a clock may gain or lose in a term.
+  std::chrono::milliseconds drift{100};  ///< Maximum time that a clock gains or loses per term.
   std::uint64_t voter_set_hash = 0;      ///< HashVoterSet of the voters.
 };
 
-/// Grants each lease to one holder at a time and never grants a smaller token than before.
+/// Grants each lease to at most one holder at a time, and never grants a token smaller than an earlier one.
 class Voter {
  public:
-  /// `stored` holds the votes of the incarnation before. Without it they are unknown, so the voter grants
-  /// nothing during a grace period of term and drift. `store` may be null, in which case votes are in memory
-  /// alone; otherwise it must outlive the voter.
+  /// `stored` holds the votes of the previous incarnation. If it is empty, the votes are unknown and the
+  /// voter grants nothing during a grace period of term plus drift. If `store` is null, votes are kept in
+  /// memory only; otherwise it must outlive the voter.
   Voter(const LeaseTerms& terms, Time now, const std::optional<StoredVotes>& stored, VoteStore* store);
 
-  /// Grants nothing from now on.
+  /// Denies all requests from now on.
   void StopGranting() { grace_period_end_ = Time::max(); }
-  /// Raises the largest token of the lease to at least one that was seen in an earlier incarnation.
+  /// Raises the largest token of the lease to at least `token`, which an earlier incarnation has seen.
   void RaiseLargestToken(const std::string& lease_name, FencingToken token);
 
-  /// Answers a request with a grant or a denial. A new vote is stored before the grant is returned.
+  /// Returns a grant or a denial of the request. Stores a new vote before returning its grant.
   LeaseMessage Answer(Time now, const LeaseMessage& request);
-  /// Ends the vote if holder and token are those of the release.
+  /// Ends the vote if its holder and token match the release.
   void OnRelease(Time now, const LeaseMessage& release);
 
-  /// As Leases::AppendFingerprint.
+  /// Does the same as Leases::AppendFingerprint for this voter.
   void AppendFingerprint(Time now, std::vector<std::uint64_t>* words) const;
 
  private:
   struct Vote {
     StoredVote stored;
     Time until{};
-    /// By then the holder of a new vote has a majority, or has released the token.
-    Time decided_by{};
+    /// When the request of a new vote times out: by then the requester has a majority or releases the token.
+    Time decision_deadline{};
   };
 
   LeaseMessage::DenialReason CheckRequest(Time now, const LeaseMessage& request) const;
--- a/src/fleet/lease/voter_set.h
+++ b/src/fleet/lease/voter_set.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A digest of the set of voters, by which members check that they have the same configuration.
+/// A hash of the set of voters, with which members check that their configurations agree.
 #ifndef LOAD_BALANCER_FLEET_LEASE_VOTER_SET_H_
 #define LOAD_BALANCER_FLEET_LEASE_VOTER_SET_H_
 
@@ -11,7 +11,7 @@
 
 namespace load_balancer::fleet {
 
-/// Independent of the order of the voters (xxHash, over addresses in their IPv6 form).
+/// Returns a hash that does not depend on the order of the voters (xxHash of the addresses in IPv6 form).
 std::uint64_t HashVoterSet(std::vector<boost::asio::ip::udp::endpoint> voters);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/membership/callbacks.h
+++ b/src/fleet/membership/callbacks.h
@@ -14,19 +14,20 @@
 
 namespace load_balancer::fleet {
 
-/// Called from within the functions of Membership; must not call back into it.
+/// Called by functions of Membership. Implementations must not call back into Membership.
 class MembershipCallbacks {
  public:
   virtual ~MembershipCallbacks() = default;
+  /// Sends a message to the address `to`.
   virtual void Send(const Udp::endpoint& to, const Message& message) = 0;
-  /// A member's state or incarnation has changed; this member's, too. `before` is nothing for a member that
-  /// was unknown; `reason` is one word or the name of the member that reported it.
+  /// Reports that the state or incarnation of a member changed; the member may be this one. `before` is empty
+  /// if the member was unknown. `reason` is one word or the name of the member that reported the change.
   virtual void OnMemberChanged(const Member& member, std::optional<MemberState> before,
                                std::string_view reason) = 0;
-  /// This process did not run for so long.
+  /// Reports that this process did not run for `stalled_for`.
   virtual void OnStalled(Span stalled_for) = 0;
-  /// A process with this one's name and a newer incarnation has joined from `address`. This member is silent
-  /// from now on.
+  /// Reports that a process with the same name and a newer incarnation joined from `address`. This member
+  /// sends no messages from now on.
   virtual void OnDisplaced(const Udp::endpoint& address) = 0;
 };
 
--- a/src/fleet/membership/gossip_queue.h
+++ b/src/fleet/membership/gossip_queue.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// SWIM's dissemination: updates that a member piggybacks on the messages it sends, each a bounded number of
-/// times.
+/// The dissemination component of SWIM: a member piggybacks queued updates on the messages that it sends, and
+/// transmits each update a limited number of times.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_GOSSIP_QUEUE_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_GOSSIP_QUEUE_H_
 
@@ -14,12 +14,14 @@
 
 namespace load_balancer::fleet {
 
+/// Queues the newest update about each member.
 class GossipQueue {
  public:
-  /// Queues an update in place of an earlier one about the same member.
+  /// Queues an update and replaces an earlier update about the same member.
   void Add(const Update& update) { by_member_[update.name] = {update, 0}; }
-  /// Offers updates about other members than `receiver`, the least transmitted first, until `accept` returns
-  /// false, and counts those accepted as transmitted. Drops updates transmitted `max_transmissions` times.
+  /// Passes updates to `accept` until it returns false, and counts the accepted ones as transmitted. The
+  /// least transmitted updates come first; updates about `receiver` are skipped. Afterwards removes the
+  /// updates that were transmitted `max_transmissions` times.
   void Transmit(const std::string& receiver, int max_transmissions,
                 const std::function<bool(const Update&)>& accept);
 
--- a/src/fleet/membership/member.h
+++ b/src/fleet/membership/member.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A member of a fleet as another member sees it.
+/// A member of a fleet, as seen by another member.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBER_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBER_H_
 
@@ -10,12 +10,14 @@
 
 namespace load_balancer::fleet {
 
+/// The known state of a member.
 struct Member {
-  Update last;   ///< The update that holds, by SWIM's precedence (Overrides).
-  Time since{};  ///< When its state or incarnation last changed.
+  Update update;      ///< The update that takes precedence over all others received (see Overrides).
+  Time changed_at{};  ///< When the state or incarnation last changed.
 };
 
-/// Whether members in this state are probed and counted. A suspect may still refute.
+/// Returns whether members in this state are probed and counted. Suspects are, since they may refute the
+/// suspicion.
 inline bool IsPresent(MemberState state) {
   return state == MemberState::kAlive || state == MemberState::kSuspect;
 }
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -11,7 +11,7 @@
 using SampleFrom = MemberTable::SampleFrom;
 using UpdateSource = MembershipView::UpdateSource;
 
-constexpr std::size_t kMaxSeedsAsked = 16;  // at a time, while no other member is known
+constexpr std::size_t kMaxSeedsPerJoin = 16;  // contacted per interval while no other member is known
 
 }  // namespace
 
@@ -36,14 +36,15 @@
   view_.DeclareExpiredDead(now);
   if (probes_.is_interval_over(now)) {
     probes_.End(now);
-    if (present() == 1) Join();
+    if (CountPresent() == 1) Join();
     probes_.Begin(now);
     view_.ForgetAbsent(now);
   }
   if (now >= next_sync_) Sync(now);
 }
 
-// A process that did not run has heard nobody and must not blame others for it.
+// Postpones suspicions after this process did not run. It received no messages meanwhile, so silence is no
+// sign that other members failed.
 void Membership::HandleStall(Time now) {
   const Span stalled_for = now - Next();
   if (stalled_for < options_.probe_interval) return;
@@ -54,8 +55,9 @@
   callbacks_.OnStalled(stalled_for);
 }
 
-// With a present member, for updates that were lost; with a dead one, so that a healed partition is noticed;
-// and with an unknown seed, in case both sides of a partition have forgotten each other.
+// Exchanges tables with up to three members. A present member supplies updates that were lost. A dead member
+// that answers shows that a partition has healed. An unknown seed is needed if both sides of a partition have
+// forgotten each other.
 void Membership::Sync(Time now) {
   next_sync_ = now + options_.sync_interval;
   SyncWithSample(SampleFrom::kPresent);
@@ -65,36 +67,36 @@
 
 void Membership::SyncWithSample(SampleFrom from) {
   for (const Member* member : view_.table().Sample(1, from, "", random_))
-    sender_.RequestTable(member->last.address);
+    sender_.RequestTable(member->update.address);
 }
 
 void Membership::SyncWithUnknownSeed() {
   if (options_.seeds.empty()) return;
   const auto& seed = options_.seeds[random_() % options_.seeds.size()];
   const bool is_known = std::any_of(others().begin(), others().end(), [&seed](const auto& other) {
-    return IsPresent(other.second.last.state) && other.second.last.address == seed;
+    return IsPresent(other.second.update.state) && other.second.update.address == seed;
   });
   if (!is_known && seed != options_.address) sender_.RequestTable(seed);
 }
 
 void Membership::Join() {
-  std::size_t asked = 0;
+  std::size_t contacted = 0;
   for (const auto& seed : options_.seeds) {
     if (seed == options_.address) continue;
-    if (++asked > kMaxSeedsAsked) return;
+    if (++contacted > kMaxSeedsPerJoin) return;
     sender_.RequestTable(seed);
   }
 }
 
 void Membership::RaiseIncarnation(Time now, std::uint64_t earlier_incarnation) {
-  if (earlier_incarnation >= self().last.incarnation) view_.Refute(now, earlier_incarnation);
+  if (earlier_incarnation >= self().update.incarnation) view_.Refute(now, earlier_incarnation);
 }
 
 void Membership::Leave(Time now) {
   if (view_.is_silent()) return;
   view_.Leave(now);
   for (const Member* member : view_.table().Sample(kLeaveFanout, SampleFrom::kPresent, "", random_))
-    sender_.SendWithGossip(member->last.address, member->last.name, sender_.MakeMessage(Kind::kAck, 0));
+    sender_.SendWithGossip(member->update.address, member->update.name, sender_.MakeMessage(Kind::kAck, 0));
   probes_.Clear();
   view_.suspicions().Clear();
 }
@@ -108,7 +110,7 @@
 
 void Membership::Receive(Time now, const Message& message) {
   if (view_.is_silent()) return;
-  const std::uint64_t incarnation_before = self().last.incarnation;
+  const std::uint64_t incarnation_before = self().update.incarnation;
   view_.Apply(now, message.sender, message.sender.name, UpdateSource::kGossip);
   if (message.sender.name == options_.name) return;
   const UpdateSource source = message.kind == Kind::kSync ? UpdateSource::kTable : UpdateSource::kGossip;
@@ -117,8 +119,8 @@
     view_.Apply(now, update, message.sender.name, source);
   }
   if (view_.is_silent()) return;
-  // The accuser gets the refutation at once; the answer to a ping carries it anyway.
-  if (self().last.incarnation != incarnation_before && message.kind != Kind::kPing)
+  // Sends a refutation to the accuser at once. After a ping this is not needed, as the ack carries it.
+  if (self().update.incarnation != incarnation_before && message.kind != Kind::kPing)
     sender_.SendWithGossip(message.sender.address, message.sender.name, sender_.MakeMessage(Kind::kAck, 0));
   Dispatch(now, message);
 }
@@ -149,15 +151,15 @@
   const Udp::endpoint& from = message.sender.address;
   if (message.range) return sender_.SendMissing(message);
   if (message.member_buckets) return sender_.SendDifferences(from, *message.member_buckets, random_());
-  // A member of an older version sends its whole table, or the digest of it.
+  // A member of an older version sends its complete table or a digest of it.
   if (!message.updates.empty()) return sender_.SendTable(from, false);
-  if (message.member_digest != view_.table().Digest(self().last)) sender_.SendTable(from, true);
+  if (message.member_digest != view_.table().Digest(self().update)) sender_.SendTable(from, true);
 }
 
 std::vector<Udp::endpoint> Membership::Sample(std::size_t max_count) {
   std::vector<Udp::endpoint> addresses;
   for (const Member* member : view_.table().Sample(max_count, SampleFrom::kPresent, "", random_))
-    addresses.push_back(member->last.address);
+    addresses.push_back(member->update.address);
   return addresses;
 }
 
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -1,10 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Membership of a fleet: SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent Infection-style
-/// Process Group Membership Protocol", 2002) with the refinements of Lifeguard (Dadgar, Phillips, Currey:
-/// "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018). Owns no socket and no
-/// clock: time and messages come in, messages and changes go out. docs/fleet.md states the bounds.
+/// Membership of a fleet. Implements SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
+/// Infection-style Process Group Membership Protocol", 2002) with the refinements of Lifeguard (Dadgar,
+/// Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018). The code
+/// owns no socket and no clock: the caller passes in time and messages and receives messages and changes
+/// through callbacks. docs/fleet.md states the time bounds.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBERSHIP_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBERSHIP_H_
 
@@ -22,35 +23,40 @@
 
 namespace load_balancer::fleet {
 
+/// Detects which members of the fleet are alive, and takes part in the protocol as one of them.
 class Membership {
  public:
   using Callbacks = MembershipCallbacks;
 
-  /// `callbacks` must outlive this.
+  /// Starts as the only known member. `callbacks` must outlive this object.
   Membership(MembershipOptions options, Time now, Callbacks& callbacks);
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
+  /// Handles a message from another member.
   void Receive(Time now, const Message& message);
-  /// Does what is due. To be called at Next() or soon after.
+  /// Processes due timers. Must be called at Next() or soon after.
   void Tick(Time now);
+  /// Returns when Tick must be called next; Time::max() while this member is silent.
   Time Next() const;
 
-  /// Raises this member's incarnation above one that it had in an earlier life of the process.
+  /// Raises this member's incarnation above `earlier_incarnation`, which it had before the process restarted.
   void RaiseIncarnation(Time now, std::uint64_t earlier_incarnation);
-  /// Announces that this member leaves. It is silent from then on, until Rejoin.
+  /// Announces that this member leaves. It sends no messages until Rejoin.
   void Leave(Time now);
+  /// Joins the fleet again after Leave, with a new incarnation.
   void Rejoin(Time now);
 
+  /// Returns the state of this member.
   const Member& self() const { return view_.self(); }
-  /// The other members, by name.
+  /// Returns the other members by name.
   const std::map<std::string, Member>& others() const { return view_.table().all(); }
-  /// The number of members that are alive or suspect, this one included unless it has left.
-  std::size_t present() const { return view_.CountPresent(); }
-  /// Lifeguard's local health score; 0 is healthy.
+  /// Returns the number of members that are alive or suspect. This member counts unless it has left.
+  std::size_t CountPresent() const { return view_.CountPresent(); }
+  /// Returns Lifeguard's local health score; 0 is healthy.
   int health() const { return health_.score(); }
   const MembershipOptions& options() const { return options_; }
-  /// Addresses of up to `max_count` other members that are present, at random.
+  /// Returns the addresses of up to `max_count` other present members, chosen at random.
   std::vector<Udp::endpoint> Sample(std::size_t max_count);
 
  private:
--- a/src/fleet/membership/message_sender.h
+++ b/src/fleet/membership/message_sender.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Assembles and sends a member's membership messages: pings with piggybacked gossip, and table exchanges.
+/// Builds and sends the membership messages of a member: pings with piggybacked gossip, and table exchanges.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_MESSAGE_SENDER_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_MESSAGE_SENDER_H_
 
@@ -13,31 +13,35 @@
 
 namespace load_balancer::fleet {
 
+/// Sends messages that reflect a member's view of the fleet.
 class MessageSender {
  public:
-  /// Messages in which differences of one table exchange are sent, at most.
+  /// Maximum number of messages with which one table request is answered.
   static constexpr std::size_t kMaxAnswerChunks = 32;
 
-  /// All arguments must outlive this.
+  /// All arguments must outlive this object.
   MessageSender(const MembershipOptions& options, MembershipView& view, MembershipCallbacks& callbacks)
       : options_(options), view_(view), callbacks_(callbacks) {}
 
-  /// A message of this member without content.
+  /// Returns a message from this member without content.
   Message MakeMessage(Message::Kind kind, std::uint64_t sequence) const;
+  /// Sends a ping with gossip to `target`.
   void SendPing(const Update& target, std::uint64_t sequence);
+  /// Sends the message without gossip.
   void Send(const Udp::endpoint& to, const Message& message) { callbacks_.Send(to, message); }
-  /// Sends the message with gossip as far as there is room, first what the receiver must refute.
+  /// Sends the message with as much gossip as fits. If the receiver is not considered alive, that update
+  /// comes first, so that the receiver can refute it.
   void SendWithGossip(const Udp::endpoint& to, const std::string& receiver, Message message);
 
-  /// Asks for what differs between the receiver's table and this member's.
+  /// Requests the differences between the receiver's table and this member's table.
   void RequestTable(const Udp::endpoint& to);
-  /// Sends the members in the buckets whose digests differ, from the hash `start` on, in at most
-  /// kMaxAnswerChunks messages.
+  /// Sends the members in the buckets whose digests differ, in at most kMaxAnswerChunks messages. Begins at
+  /// the hash `start`.
   void SendDifferences(const Udp::endpoint& to, const BucketDigests& their_digests, std::uint64_t start);
-  /// Sends what the sender of `answer` lacks in the range of the table that it has sent.
+  /// Sends the updates that are missing in `answer`, within the range of the table that `answer` covers.
   void SendMissing(const Message& answer);
-  /// Sends the whole table in as many messages as it takes, for members of older versions. With
-  /// `wants_reply` the first one requests the other's table.
+  /// Sends the complete table in as many messages as needed. Used for members of older versions. If
+  /// `wants_reply`, the first message requests the receiver's table.
   void SendTable(const Udp::endpoint& to, bool wants_reply);
 
  private:
--- a/src/fleet/membership/options.cpp
+++ b/src/fleet/membership/options.cpp
@@ -7,8 +7,9 @@
 namespace load_balancer::fleet {
 
 Span MinSuspicionTimeout(const MembershipOptions& options, std::size_t members) {
-  const double nodes = std::max(1.0, std::log10(std::max<double>(1, static_cast<double>(members))));
-  return std::chrono::duration_cast<Span>(options.probe_interval * (options.suspicion_multiplier * nodes));
+  const double size_factor = std::max(1.0, std::log10(std::max<double>(1, static_cast<double>(members))));
+  return std::chrono::duration_cast<Span>(options.probe_interval *
+                                          (options.suspicion_multiplier * size_factor));
 }
 
 int MaxTransmissions(const MembershipOptions& options, std::size_t members) {
--- a/src/fleet/membership/probes.cpp
+++ b/src/fleet/membership/probes.cpp
@@ -9,9 +9,9 @@
 
 using Kind = Message::Kind;
 
-constexpr std::size_t kMaxSuspectsPinged = 8;  // by each member per interval, beside its target
-constexpr std::size_t kPingsPerSuspect = 8;    // from the whole fleet per interval, in the mean
-constexpr int kMaxRefills = 2;                 // of the round, in the search for a target
+constexpr std::size_t kMaxSuspectsPinged = 8;  // per member and interval, in addition to the probe's target
+constexpr std::size_t kPingsPerSuspect = 8;    // mean number per interval from all members of the fleet
+constexpr int kMaxRefills = 2;                 // new rounds begun in one search for a target
 
 }  // namespace
 
@@ -33,18 +33,19 @@
   if (!probe_) return;
   const Probe ended = *std::exchange(probe_, std::nullopt);
   const Member* target = view_.table().Find(ended.target);
-  if (ended.is_acked || !target || !IsPresent(target->last.state)) return;
+  if (ended.is_acked || !target || !IsPresent(target->update.state)) return;
   health_.Worsen(HealthPenalty(ended));
   view_.Suspect(now, ended.target, options_.name);
 }
 
-// Lifeguard: a helper that sends not even a nack speaks against this member's own health, unless the helper
-// may have failed itself. Without helpers the failed probe does.
+// Returns by how much a failed probe worsens the local health score (Lifeguard). Each helper that is
+// considered alive and sent no nack counts one, as this member may have failed to receive it. Without helpers
+// the failed probe counts one.
 int Probes::HealthPenalty(const Probe& failed) const {
   if (!failed.had_helpers) return 1;
   const auto is_alive = [this](const std::string& name) {
     const Member* helper = view_.table().Find(name);
-    return helper && helper->last.state == MemberState::kAlive;
+    return helper && helper->update.state == MemberState::kAlive;
   };
   return static_cast<int>(
       std::count_if(failed.silent_helpers.begin(), failed.silent_helpers.end(), is_alive));
@@ -57,39 +58,39 @@
   const auto target = NextTarget();
   if (!target) return;
   probe_ = Probe{*target, ++last_sequence_, now + interval / 2, next_interval_};
-  sender_.SendPing(view_.table().Find(*target)->last, probe_->sequence);
+  sender_.SendPing(view_.table().Find(*target)->update, probe_->sequence);
 }
 
-// Pings the target once more as well.
+// Requests indirect probes of the target, and pings it directly once more.
 void Probes::RequestIndirectProbes() {
   probe_->is_indirect = true;
   const Member* target = view_.table().Find(probe_->target);
   if (!target) return;
-  sender_.SendPing(target->last, probe_->sequence);
+  sender_.SendPing(target->update, probe_->sequence);
   const auto max_helpers = static_cast<std::size_t>(options_.indirect_probes);
   const auto helpers =
       view_.table().Sample(max_helpers, MemberTable::SampleFrom::kPresent, probe_->target, random_);
   probe_->had_helpers = !helpers.empty();
   for (const Member* helper : helpers) {
-    probe_->silent_helpers.insert(helper->last.name);
+    probe_->silent_helpers.insert(helper->update.name);
     Message message = sender_.MakeMessage(Kind::kPingReq, probe_->sequence);
     message.target = probe_->target;
-    message.target_address = target->last.address;
-    sender_.SendWithGossip(helper->last.address, helper->last.name, std::move(message));
+    message.target_address = target->update.address;
+    sender_.SendWithGossip(helper->update.address, helper->update.name, std::move(message));
   }
 }
 
-// Each ping tells the suspect of its suspicion and brings back its refutation. All members hold the
-// suspicion, so each pings with a probability that bounds the pings of the whole fleet.
+// Pings suspects, so that they learn of the suspicion and answer with a refutation. Since every member
+// suspects them, each member pings with a probability that limits the total number of pings from the fleet.
 void Probes::PingSuspects() {
   std::uniform_int_distribution<std::size_t> any_member(0, view_.CountPresent() - 1);
   for (const std::string& name : view_.suspicions().FirstSuspects(kMaxSuspectsPinged))
     if (any_member(random_) < kPingsPerSuspect)
-      sender_.SendPing(view_.table().Find(name)->last, ++last_sequence_);
+      sender_.SendPing(view_.table().Find(name)->update, ++last_sequence_);
 }
 
-// Goes round the members in an order that is shuffled for each round (SWIM, section 4.3), so that each member
-// is probed within 2n - 1 intervals.
+// Returns the next target. Each round visits all members in a newly shuffled order (SWIM, section 4.3), so
+// each member is probed within 2n - 1 intervals.
 std::optional<std::string> Probes::NextTarget() {
   for (int refills = 0; refills < kMaxRefills;) {
     if (round_.empty()) {
@@ -100,19 +101,19 @@
     std::string name = std::move(round_.back());
     round_.pop_back();
     const Member* member = view_.table().Find(name);
-    if (member && IsPresent(member->last.state)) return name;
+    if (member && IsPresent(member->update.state)) return name;
   }
   return std::nullopt;
 }
 
 void Probes::RefillRound() {
   for (const auto& [name, member] : view_.table().all())
-    if (IsPresent(member.last.state)) round_.push_back(name);
+    if (IsPresent(member.update.state)) round_.push_back(name);
   std::shuffle(round_.begin(), round_.end(), random_);
 }
 
 void Probes::OnPing(const Message& message) {
-  // Meant for a process that had this address before.
+  // A ping with another target is meant for a process that had this address before.
   if (message.target != options_.name) return;
   sender_.SendWithGossip(message.sender.address, message.sender.name,
                          sender_.MakeMessage(Kind::kAck, message.sequence));
--- a/src/fleet/membership/probes.h
+++ b/src/fleet/membership/probes.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// SWIM's failure detector: in each interval one member is pinged, directly and then through other members.
-/// Answers the pings of others and makes the indirect ones that they request.
+/// The failure detector of SWIM: in each interval this member pings one other member, first directly and then
+/// through other members. It also answers pings and makes indirect probes on request of other members.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_PROBES_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_PROBES_H_
 
@@ -18,9 +18,10 @@
 
 namespace load_balancer::fleet {
 
+/// The probe of the current interval and the indirect probes for other members.
 class Probes {
  public:
-  /// All arguments but `now` must outlive this.
+  /// All arguments except `now` must outlive this object.
   Probes(const MembershipOptions& options, Time now, MembershipView& view, MessageSender& sender,
          LocalHealth& health, std::mt19937_64& random)
       : options_(options),
@@ -30,24 +31,29 @@
         random_(random),
         next_interval_(now) {}
 
-  /// Requests indirect probes of a target that has not answered, and sends the nacks that are due.
+  /// Requests indirect probes if the target has not answered in time, and sends the nacks that are due.
   void Continue(Time now);
-  /// Whether an interval is over. Then End and Begin are to be called.
+  /// Returns whether the interval is over. The caller must then call End and Begin.
   bool is_interval_over(Time now) const { return now >= next_interval_; }
-  /// Ends the probe of the interval, and suspects its target if it has not answered.
+  /// Ends the probe of the interval. Suspects the target if it has not answered.
   void End(Time now);
   /// Begins an interval with a ping of the next target.
   void Begin(Time now);
-  /// When something is due next.
+  /// Returns when Continue, or End and Begin, must be called next.
   Time Next() const;
 
+  /// Answers a ping that is meant for this member.
   void OnPing(const Message& message);
+  /// Pings the target of the request on behalf of its sender.
   void OnPingRequest(Time now, const Message& message);
+  /// Completes the probe that the ack answers.
   void OnAck(const Message& message);
+  /// Records that the sender of the nack works, although the target has not answered it.
   void OnNack(const Message& message);
 
-  /// Abandons all probes. Restart begins an interval.
+  /// Abandons all probes.
   void Clear();
+  /// Ends the current interval, so that a new one can begin at `now`.
   void Restart(Time now) { next_interval_ = now; }
 
  private:
@@ -57,9 +63,9 @@
     Time indirect_at{};
     Time ends_at{};
     bool is_acked = false;
-    bool is_indirect = false;  // helpers were looked for
-    bool had_helpers = false;
-    std::set<std::string> silent_helpers{};  // that were asked to ping and have sent no nack
+    bool is_indirect = false;                // whether indirect probes were requested
+    bool had_helpers = false;                // whether any member was available for indirect probes
+    std::set<std::string> silent_helpers{};  // members that were asked to ping and have sent no nack
   };
 
   void RequestIndirectProbes();
@@ -74,7 +80,7 @@
   LocalHealth& health_;
   std::mt19937_64& random_;
   IndirectProbes indirect_probes_;
-  std::vector<std::string> round_;  // targets left in this round, taken from the back
+  std::vector<std::string> round_;  // remaining targets of this round; the next one is at the back
   std::optional<Probe> probe_;
   std::uint64_t last_sequence_ = 0;
   Time next_interval_;
--- a/src/fleet/membership/suspicions.cpp
+++ b/src/fleet/membership/suspicions.cpp
@@ -7,7 +7,8 @@
 namespace load_balancer::fleet {
 namespace {
 
-// Lifeguard's timeout: from the longest towards the shortest, by the logarithm of the confirmations.
+// Returns Lifeguard's timeout, which shrinks from `max_timeout` to `min_timeout` with the logarithm of the
+// number of confirmations.
 Span TimeoutAfter(int confirmations, int wanted_confirmations, Span min_timeout, Span max_timeout) {
   if (wanted_confirmations <= 0) return min_timeout;
   const double fraction = std::log(confirmations + 1.0) / std::log(wanted_confirmations + 1.0);
@@ -22,7 +23,7 @@
   suspicion.began_at = now;
   suspicion.min_timeout = min_timeout;
   suspicion.max_timeout = min_timeout * kSuspicionTimeoutRatio;
-  // All but the suspect and its accuser could confirm.
+  // All members except the suspect and its accuser can confirm.
   suspicion.wanted_confirmations = std::min(kMaxConfirmations, static_cast<int>(present_members) - 2);
   suspicion.accusers.insert(update.accuser);
   suspicion.expires_at =
--- a/src/fleet/membership/suspicions.h
+++ b/src/fleet/membership/suspicions.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Suspicions and their timeouts. By Lifeguard's dogpile, each further accuser shortens the timeout, so that
-/// a suspicion that only a slow member has takes long to become a death.
+/// Suspicions and their timeouts. As in Lifeguard, each further accuser shortens the timeout of a suspicion.
+/// A suspicion raised by a single slow member therefore has a long timeout, in which it can be refuted.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_SUSPICIONS_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_SUSPICIONS_H_
 
@@ -15,23 +15,25 @@
 
 namespace load_balancer::fleet {
 
+/// The members that are suspected, with their accusers.
 class Suspicions {
  public:
-  /// Begins the suspicion that `update` makes known, in place of one of the same member. `present_members`
-  /// counts the suspect, its accuser and those that could confirm it.
+  /// Begins the suspicion that `update` reports. Replaces an existing suspicion of the same member.
+  /// `present_members` counts the suspect, its accuser and the members that could confirm the suspicion.
   void Begin(Time now, const Update& update, Span min_timeout, std::size_t present_members);
-  /// Adds the accuser of `update`. Returns whether it is one more that counts.
+  /// Adds the accuser of `update`. Returns whether it is a new accuser that shortened the timeout.
   bool Confirm(const Update& update);
+  /// Ends the suspicion of the member, if there is one.
   void End(const std::string& name) { by_member_.erase(name); }
   void Clear() { by_member_.clear(); }
-  /// Extends all timeouts, since this member heard no refutation while it stalled.
+  /// Extends all timeouts by `stalled_for`, in which this member could not receive refutations.
   void Postpone(Span stalled_for);
 
-  /// Names of up to `max_count` suspects.
+  /// Returns the names of up to `max_count` suspects.
   std::vector<std::string> FirstSuspects(std::size_t max_count) const;
-  /// Names of the suspects whose timeout is over.
+  /// Returns the names of the suspects whose timeout has passed.
   std::vector<std::string> ExpiredSuspects(Time now) const;
-  /// When the next timeout is over; Time::max() if there is no suspicion.
+  /// Returns when the next timeout ends; Time::max() if there is no suspicion.
   Time NextExpiry() const;
 
  private:
@@ -40,7 +42,7 @@
     Time expires_at{};
     Span min_timeout{};
     Span max_timeout{};
-    int wanted_confirmations = 0;  // that bring the timeout down to the shortest
+    int wanted_confirmations = 0;  // number that reduces the timeout to min_timeout
     std::set<std::string> accusers;
   };
 
--- a/src/fleet/membership/table.cpp
+++ b/src/fleet/membership/table.cpp
@@ -33,7 +33,7 @@
 
 std::size_t MemberTable::CountPresent() const {
   const auto count = std::count_if(members_.begin(), members_.end(),
-                                   [](const auto& entry) { return IsPresent(entry.second.last.state); });
+                                   [](const auto& entry) { return IsPresent(entry.second.update.state); });
   return static_cast<std::size_t>(count);
 }
 
@@ -41,17 +41,17 @@
                                                const std::string& excluded, std::mt19937_64& random) const {
   std::vector<const Member*> candidates;
   for (const auto& [name, member] : members_)
-    if (IsSampled(member.last.state, from) && name != excluded) candidates.push_back(&member);
+    if (IsSampled(member.update.state, from) && name != excluded) candidates.push_back(&member);
   std::vector<const Member*> sample;
   std::sample(candidates.begin(), candidates.end(), std::back_inserter(sample), max_count, random);
   return sample;
 }
 
 std::uint64_t MemberTable::Digest(const Update& self) const {
-  // A sum, so that the order of members does not matter.
+  // The digest is a sum, so it does not depend on the order of members.
   std::uint64_t digest = HashContent(self);
   for (const auto& [name, member] : members_)
-    if (IsPresent(member.last.state)) digest += HashContent(member.last);
+    if (IsPresent(member.update.state)) digest += HashContent(member.update);
   return digest;
 }
 
@@ -59,7 +59,7 @@
   BucketDigests digests(count);
   digests.Add(HashOf(self.name), HashContent(self));
   for (const auto& [name, member] : members_)
-    if (IsPresent(member.last.state)) digests.Add(HashOf(name), HashContent(member.last));
+    if (IsPresent(member.update.state)) digests.Add(HashOf(name), HashContent(member.update));
   return digests;
 }
 
@@ -67,7 +67,7 @@
 
 void MemberTable::Forget(Time now, Span after) {
   std::erase_if(members_, [&](const auto& entry) {
-    return !IsPresent(entry.second.last.state) && now - entry.second.since >= after;
+    return !IsPresent(entry.second.update.state) && now - entry.second.changed_at >= after;
   });
 }
 
--- a/src/fleet/membership/table.h
+++ b/src/fleet/membership/table.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The table of the other members that a member knows.
+/// The table of the other members that a member knows of.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_TABLE_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_TABLE_H_
 
@@ -16,30 +16,35 @@
 
 namespace load_balancer::fleet {
 
+/// Maps names to members.
 class MemberTable {
  public:
-  /// Which members a sample is drawn from.
+  /// The members from which a sample is drawn.
   enum class SampleFrom { kPresent, kDead };
 
-  /// By name.
+  /// Returns all members by name.
   const std::map<std::string, Member>& all() const { return members_; }
+  /// Returns whether the table holds kMaxMembers members.
   bool is_full() const { return members_.size() >= kMaxMembers; }
-  /// Null if the member is unknown.
+  /// Returns the member, or null if it is unknown.
   Member* Find(const std::string& name);
   const Member* Find(const std::string& name) const;
+  /// Adds the member that `update` is about.
   Member& Add(const Update& update, Time now);
 
+  /// Returns the number of members that are alive or suspect.
   std::size_t CountPresent() const;
-  /// Up to `max_count` members at random, without the one named `excluded`.
+  /// Returns up to `max_count` randomly chosen members, never the one named `excluded`.
   std::vector<const Member*> Sample(std::size_t max_count, SampleFrom from, const std::string& excluded,
                                     std::mt19937_64& random) const;
-  /// A digest of the members that are present, `self` among them. A joining member need not know the others.
+  /// Returns a digest of the present members including `self`. Absent members are left out, because a joining
+  /// member need not learn of them.
   std::uint64_t Digest(const Update& self) const;
-  /// The same digest for each of `count` buckets of members.
+  /// Returns such a digest for each of `count` buckets of members.
   BucketDigests DigestByBucket(const Update& self, std::size_t count) const;
-  /// The position of a member in the space of hashes, which the buckets divide.
+  /// Returns the hash of a member's name, by which members are assigned to buckets.
   static std::uint64_t HashOf(const std::string& name);
-  /// Removes members that have been dead or left for `after`.
+  /// Removes the members that have been dead or left for at least `after`.
   void Forget(Time now, Span after);
 
  private:
--- a/src/fleet/membership/view.h
+++ b/src/fleet/membership/view.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A member's view of the fleet: SWIM's precedence of updates, suspicions and their end, and the refutation
-/// of what others say of this member.
+/// A member's view of the fleet. It applies updates by SWIM's precedence, begins and ends suspicions, and
+/// refutes reports that this member is suspect or dead.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_VIEW_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_VIEW_H_
 
@@ -18,44 +18,49 @@
 
 namespace load_balancer::fleet {
 
-/// SWIM's precedence: whether `update` replaces `current`. The higher incarnation wins, and of equal ones the
-/// graver state, so that a member that is dead or has left comes back with a new incarnation alone.
+/// Returns whether `update` replaces `current` by SWIM's precedence. The higher incarnation wins; for equal
+/// incarnations the later state in the order of MemberState wins. A dead or left member can therefore only
+/// come back with a new incarnation.
 inline bool Overrides(const Update& update, const Update& current) {
   if (update.incarnation != current.incarnation) return update.incarnation > current.incarnation;
   return update.state > current.state;
 }
 
+/// The state of this member and of all others that it knows.
 class MembershipView {
  public:
-  /// How an update came.
+  /// The way in which an update arrived.
   enum class UpdateSource {
-    kGossip,  ///< Piggybacked, or about the sender itself.
-    kTable,   ///< In a table exchange, which may be old: a death is taken as a suspicion.
+    kGossip,  ///< Piggybacked on a message, or about the sender itself.
+    kTable,   ///< In a table exchange. It may be old, so a death counts as a suspicion.
   };
 
-  /// All arguments but `now` must outlive this.
+  /// All arguments except `now` must outlive this object.
   MembershipView(const MembershipOptions& options, Time now, MembershipCallbacks& callbacks,
                  LocalHealth& health);
 
-  /// Applies an update from a message of the member `sender`.
+  /// Applies an update from a message that the member `sender` sent.
   void Apply(Time now, Update update, std::string_view sender, UpdateSource source);
   /// Suspects a member on behalf of `accuser`.
   void Suspect(Time now, const std::string& name, const std::string& accuser);
-  /// Declares the suspects dead whose timeout is over.
+  /// Declares all suspects dead whose timeout has passed.
   void DeclareExpiredDead(Time now);
-  /// Announces that this member is alive, whatever was said of it up to `refuted_incarnation`.
+  /// Announces that this member is alive, with an incarnation above `refuted_incarnation`.
   void Refute(Time now, std::uint64_t refuted_incarnation);
+  /// Marks this member as left. It is silent until Rejoin.
   void Leave(Time now);
+  /// Marks this member as alive again, with a new incarnation.
   void Rejoin(Time now);
-  /// Removes members that have been dead or left for long.
+  /// Removes members that have been dead or left for `forget_after`.
   void ForgetAbsent(Time now) { table_.Forget(now, options_.forget_after); }
 
   const Member& self() const { return self_; }
   const MemberTable& table() const { return table_; }
-  /// Whether this member has left or was displaced.
+  /// Returns whether this member has left or was displaced, and therefore sends no messages.
   bool is_silent() const { return is_silent_; }
+  /// Returns whether a newer process took the name of this member.
   bool is_displaced() const { return is_displaced_; }
-  /// The number of members that are alive or suspect, this one included unless it is silent.
+  /// Returns the number of members that are alive or suspect. This member counts unless it is silent.
   std::size_t CountPresent() const { return table_.CountPresent() + (is_silent_ ? 0 : 1); }
   Suspicions& suspicions() { return suspicions_; }
   const Suspicions& suspicions() const { return suspicions_; }
