--- a/model/lease/cluster.h
+++ b/model/lease/cluster.h
@@ -1,9 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Three members around the real Leases, each with a clock, a disk and a resource to act on, in steps of
-// virtual time that a search chooses. A message may be delivered at any later step, or never, and, as a
-// fault, once more: so it can be lost, late, doubled and overtaken. A member that is not ticked stands still.
-// Denials are lost, since they bear on when somebody asks again, which is any time here.
+// A cluster of three members that run the real Leases. Each member has a clock and a disk, and all act on one
+// protected resource. A search chooses the steps that the cluster takes in virtual time.
+//
+// A message may be delivered at any later step or never, and it may be delivered several times as a fault.
+// This covers lost, late, duplicated and reordered messages. A member whose timers are not processed is
+// stalled. Denials are dropped: they only influence when a member sends its next request, and the search
+// explores all such times anyway.
 #ifndef LOAD_BALANCER_MODEL_LEASE_CLUSTER_H_
 #define LOAD_BALANCER_MODEL_LEASE_CLUSTER_H_
 
@@ -18,95 +21,109 @@
 
 namespace load_balancer::model {
 
-inline constexpr std::size_t kSeats = 3;
+inline constexpr std::size_t kClusterMembers = 3;
 
+// A step of the cluster. The operand is an amount of time, the index of a pending message or the index of a
+// member, depending on the kind.
 struct Step {
-  // kTime: true time passes, `which` times three seconds. Of member `which`: kTick, its timers; kCheck, it
-  // takes a proof; kAct, what it took the proof for reaches the resource; kGiveBack, kResume; kRestart,
-  // kRestartWithoutDisk, it crashes and is back. kDeliver: message `which`; kDouble: it stays under way all
-  // the same; kLose, in beginnings alone: it is gone.
   enum class Kind : std::uint8_t {
-    kTime,
-    kDeliver,
-    kDouble,
-    kLose,
-    kTick,
-    kCheck,
-    kAct,
-    kGiveBack,
-    kResume,
-    kRestart,
-    kRestartWithoutDisk
+    kAdvanceTime,         ///< True time advances by `operand` * 3 s.
+    kDeliver,             ///< Message `operand` is delivered.
+    kDeliverCopy,         ///< Message `operand` is delivered and remains pending.
+    kDrop,                ///< Message `operand` is dropped. Only used to build initial states.
+    kTick,                ///< Member `operand` processes its timers.
+    kTakeProof,           ///< Member `operand` takes a proof of its lease.
+    kAct,                 ///< The action for which member `operand` took a proof reaches the resource.
+    kRelease,             ///< Member `operand` releases its leases.
+    kResume,              ///< Member `operand` requests leases again.
+    kRestart,             ///< Member `operand` crashes and restarts with its disk.
+    kRestartWithoutDisk,  ///< Member `operand` crashes and restarts, and its disk is lost.
   };
-  Kind kind = Kind::kTime;
-  std::uint8_t which = 0;
+  Kind kind = Kind::kAdvanceTime;
+  std::uint8_t operand = 0;
 };
 
-struct TableOptions {
-  // Of true time, the rates of the clocks, in sixths: within the bound, a sixth of the term.
-  std::array<int, kSeats> sixths{5, 7, 6};
+// Configuration of a cluster and limits of the search.
+struct ClusterOptions {
+  // Rates of the members' clocks, in sixths of the rate of true time. They are within the drift bound, which
+  // is a sixth of the term.
+  std::array<int, kClusterMembers> clock_rates{5, 7, 6};
   std::chrono::milliseconds term{36000}, drift{6000};
-  std::chrono::milliseconds first_term{36000};  // of member 0
-  bool disks = true;                            // the members begin with disks that have no vote
-  bool walls_run = true;  // false: the wall clocks stand still, each ahead of the one before
-  // On one path: crashes, give-backs and doubled messages; and guards that are taken some time before the
-  // act.
-  int most_faults = 2, max_proofs = 1;
+  std::chrono::milliseconds first_term{36000};  // lease term of member 0
+  // Whether the members start with disks that hold no vote, instead of without disks.
+  bool has_initial_disks = true;
+  // If false, the wall clocks show constant times, which differ between members.
+  bool are_wall_clocks_running = true;
+  int max_faults = 2;  // limit per path, of restarts, releases and duplicated messages
+  int max_proofs = 1;  // limit per path, of proofs that are taken some time before the action
 };
 
-class Table {
+// The state of the cluster.
+class LeaseCluster {
  public:
-  explicit Table(const TableOptions& options);
-  Table(const Table&) = delete;
-  Table& operator=(const Table&) = delete;
+  explicit LeaseCluster(const ClusterOptions& options);
+  LeaseCluster(const LeaseCluster&) = delete;
+  LeaseCluster& operator=(const LeaseCluster&) = delete;
 
-  std::vector<Step> Steps() const;  // those that can be done now
-  void Do(const Step& step);
-  std::string Text(const Step& step) const;  // to be called before Do
+  // Returns the steps that are possible now.
+  std::vector<Step> EnabledSteps() const;
+  // Performs a step.
+  void Apply(const Step& step);
+  // Describes a step. Must be called before Apply, while the step's message is still pending.
+  std::string Describe(const Step& step) const;
 
-  // What has gone wrong: two act at once, or the resource took what it must not.
-  std::optional<std::string> Broken() const;
-  // Equal for two tables that go on alike (xxHash).
+  // Returns a description of the violated safety property, or nothing if there is none. A property is
+  // violated if two members act at once, two members use one token, or the resource admits an action that it
+  // must reject.
+  std::optional<std::string> FindViolation() const;
+  // Returns a hash (xxHash) that is equal for clusters with equal future behaviour.
   std::uint64_t Fingerprint() const;
 
  private:
-  struct Letter {
+  // A message that was sent and may still be delivered.
+  struct PendingMessage {
     std::size_t from, to;
     fleet::LeaseMessage message;
   };
-  struct Seat : fleet::Leases::Callbacks, fleet::VoteStore {
+  // One member with its disk. It receives the callbacks of its Leases.
+  struct Member : fleet::Leases::Callbacks, fleet::VoteStore {
     void Send(const fleet::Leases::Endpoint& to, const fleet::LeaseMessage& message) override;
     void OnLeaseStatus(const std::string&, fleet::LeaseStatus status, fleet::FencingToken token, Span,
                        std::string_view) override;
     void OnFailure(const Failure&) override {}
     bool Save(const fleet::StoredVotes& votes) override;
 
-    Table* table = nullptr;
+    LeaseCluster* cluster = nullptr;
     std::size_t index = 0;
-    int life = 0;
-    bool released = false;
+    int incarnation = 0;
+    bool is_released = false;
     std::optional<fleet::StoredVotes> disk;
     std::unique_ptr<fleet::Leases> leases;
-    std::optional<fleet::LeaseProof> proof;  // checked, and not acted on yet
+    std::optional<fleet::LeaseProof> proof;  // taken, while the action has not reached the resource
   };
 
-  void Sit(std::size_t index);
-  Time Now(std::size_t index) const;
-  std::uint64_t Wall(std::size_t index) const;
+  // Starts an incarnation of the member.
+  void StartMember(std::size_t index);
+  // Returns the time by the member's monotonic clock.
+  Time ClockOf(std::size_t index) const;
+  // Returns the time by the member's wall clock, in ms.
+  std::uint64_t WallClockOf(std::size_t index) const;
+  // Lets the action of the member reach the resource.
   void Act(std::size_t index);
-  bool Acts(std::size_t index) const;
+  // Returns whether the member may act, either by its lease or by a valid proof.
+  bool IsActing(std::size_t index) const;
 
-  const TableOptions options_;
-  std::int64_t passed_ = 0;  // of true time since the beginning, in three seconds
+  const ClusterOptions options_;
+  std::int64_t elapsed_units_ = 0;  // true time since the start, in units of 3 s
   int faults_ = 0, proofs_ = 0;
-  std::array<Seat, kSeats> seats_;
-  std::vector<Letter> letters_;
+  std::array<Member, kClusterMembers> members_;
+  std::vector<PendingMessage> pending_messages_;
   fleet::Fence resource_;
-  fleet::FencingToken written_ = 0;  // by whom, and with what token
-  std::size_t writer_ = kSeats;
-  fleet::FencingToken newest_ = 0;  // of a lease, and whose it was
-  std::size_t newest_of_ = kSeats;
-  std::optional<std::string> broken_;  // at the resource, or by its token
+  fleet::FencingToken last_token_ = 0;           // token of the last action that the resource admitted
+  std::size_t last_writer_ = kClusterMembers;    // member that made it
+  fleet::FencingToken newest_token_ = 0;         // token of the last lease that was granted or renewed
+  std::size_t newest_holder_ = kClusterMembers;  // its holder
+  std::optional<std::string> violation_;         // the violation found by Act or by a change of a lease
 };
 
 }  // namespace load_balancer::model
--- a/model/lease/member.h
+++ b/model/lease/member.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member that holds leases, as a program of the World: it makes its lease known, acts while it holds it,
-// and keeps its votes on its machine's disk. All members of a run share an Arena, which sees what goes wrong.
+// A member of the lease protocol as a program of the World. It announces its lease, acts while it holds the
+// lease, and stores its votes on its machine's disk. All members of a run share a LeaseRun, in which they
+// record violations of the safety properties.
 #ifndef LOAD_BALANCER_MODEL_LEASE_MEMBER_H_
 #define LOAD_BALANCER_MODEL_LEASE_MEMBER_H_
 
@@ -19,16 +20,16 @@
 
 class LeaseMember;
 
-// The resource that is acted on, and the watch over who acts.
-struct Arena {
+// The state that all members of a run share: configuration, protected resource and the results of the checks.
+struct LeaseRun {
   std::chrono::milliseconds term{3000}, drift{100};
   std::vector<Endpoint> members;
-  std::vector<std::vector<Endpoint>> voters;  // as each member is configured for its next life
-  std::set<const FailureKind*> expected;      // that members may complain of
-  bool disks_last = false;                    // no disk is lost: tokens must grow from lease to lease
-  bool told = true;                           // holders make their leases known
+  std::vector<std::vector<Endpoint>> voters;       // by member: configured voters of its next incarnation
+  std::set<const FailureKind*> expected_failures;  // failures that members may report
+  bool disks_survive = false;        // no disk is lost, so tokens must increase from lease to lease
+  bool are_leases_announced = true;  // holders announce their leases to all members
 
-  // Of an act, until its machine's clock says so, whatever becomes of the process.
+  // The effect of an action. It lasts until `until` on the clock of its machine, even if the process crashes.
   struct Effect {
     const Host* host;
     fleet::FencingToken token;
@@ -36,53 +37,59 @@
   };
   std::vector<Effect> effects;
 
-  std::vector<LeaseMember*> present;  // by index; null while down
+  std::vector<LeaseMember*> running_members;  // by index; null while the member is down
   fleet::Fence resource;
-  fleet::FencingToken written = 0, newest = 0;
-  std::string writer, holder;
-  std::uint64_t leases = 0, acts = 0, refused = 0;
-  int lives = 0;
-  std::optional<std::string> broken;
+  fleet::FencingToken last_token = 0;        // token of the last action that the resource admitted
+  fleet::FencingToken newest_token = 0;      // token of the last lease that was granted or renewed
+  std::string last_writer;                   // holder that made the last admitted action
+  std::string newest_holder;                 // holder of the last lease that was granted or renewed
+  std::uint64_t handovers = 0;               // number of times that a new holder or token appeared
+  std::uint64_t admitted = 0, rejected = 0;  // number of actions that the resource admitted and rejected
+  int incarnations = 0;                      // number of incarnations of all members
+  std::optional<std::string> violation;      // the last violation of a safety property
 };
 
+// Runs Leases on a machine of the World.
 class LeaseMember : public Program, private fleet::Leases::Callbacks {
  public:
-  LeaseMember(Host& host, World& world, Arena& arena, std::size_t index);
+  LeaseMember(Host& host, World& world, LeaseRun& run, std::size_t index);
   ~LeaseMember() override;
 
   void Receive(const Packet& packet) override;
   void Tick() override;
   Time Next() const override;
 
-  void GiveBack();
+  // Releases the lease and requests none until Resume.
+  void Release();
+  // Requests leases again after Release.
   void Resume();
-  // By its clock, or by a proof that it has taken and that holds.
-  bool Acts() const;
+  // Returns whether this member may act, either by its lease or by a valid proof.
+  bool IsActing() const;
 
  private:
-  // A holder's word of its lease.
-  struct Word {
+  // A holder's announcement of its lease.
+  struct Announcement {
     std::string holder;
     fleet::FencingToken token = 0;
-    Span left{0};
+    Span remaining{0};
   };
 
   void Send(const Endpoint& to, const fleet::LeaseMessage& message) override;
-  void OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status, fleet::FencingToken token, Span left,
-                     std::string_view why) override;
+  void OnLeaseStatus(const std::string& lease_name, fleet::LeaseStatus status, fleet::FencingToken token,
+                     Span remaining, std::string_view reason) override;
   void OnFailure(const Failure& failure) override;
   fleet::LeaseOptions Options();
   void Act(const fleet::LeaseProof& proof);
 
   Host& host_;
   World& world_;
-  Arena& arena_;
+  LeaseRun& run_;
   const std::size_t index_;
   const std::string holder_;
   DiskVotes votes_;
   fleet::Leases leases_;
-  std::optional<fleet::LeaseProof> proof_;  // of the act under way
-  Time act_at_;                             // when it reaches the resource, or the next one begins
+  std::optional<fleet::LeaseProof> proof_;  // of the action in progress
+  Time next_action_at_;                     // when it reaches the resource, or the next one starts
 };
 
 }  // namespace load_balancer::model
--- a/model/lease/operator.h
+++ b/model/lease/operator.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Changes the voters of members in service: restarts every member with the new set, one after another, each
-// with its disk, as docs/leases.md says or as it forbids.
+// Changes the set of voters of a running cluster. To do so, it restarts all members with the new set, one
+// after another and each with its disk. It follows the rule of docs/leases.md or violates it deliberately.
 #ifndef LOAD_BALANCER_MODEL_LEASE_OPERATOR_H_
 #define LOAD_BALANCER_MODEL_LEASE_OPERATOR_H_
 
@@ -14,36 +14,49 @@
 
 namespace load_balancer::model {
 
-// kByRule: one voter more or less; then until somebody holds, and a term. kTwoAtOnce: two voters more, less
-// or one for another, and the same wait. kNoWait: as the rule, but the next change begins at once;
-// kTermAlone: a term later, though nobody has held under the new set.
-enum class VoterChange { kNone, kByRule, kTwoAtOnce, kNoWait, kTermAlone };
+// The way in which voters are changed.
+enum class VoterChange {
+  kNone,          ///< Voters are not changed.
+  kOneAtATime,    ///< Adds or removes one voter. Then waits until some member holds the lease, and one more
+                  ///< term.
+  kTwoAtOnce,     ///< Adds, removes or exchanges two voters. Waits as kOneAtATime does.
+  kWithoutWait,   ///< Adds or removes one voter. Begins the next change at once.
+  kAfterOneTerm,  ///< Adds or removes one voter. Waits one term, but not until a member holds the lease.
+};
 
+// Performs the changes of one run.
 class Operator {
  public:
-  // All outlive this.
-  Operator(World& world, Arena& arena, std::uint64_t seed, VoterChange how);
+  // `world` and `run` must outlive this object.
+  Operator(World& world, LeaseRun& run, std::uint64_t seed, VoterChange change);
 
-  // Changes again and again, and begins none after `until`.
-  void Begin(Moment until);
-  // Whether the last change is over, its wait, too.
-  bool done() const { return done_; }
+  // Changes the voters repeatedly, and begins no change after `until`.
+  void Start(Moment until);
+  // Returns whether the last change is complete, including the wait after it.
+  bool is_done() const { return is_done_; }
 
  private:
-  void Change();
-  std::vector<std::size_t> NextSet();
-  void Restart(std::size_t nth);
-  void Wait();
-  void Next();
-  bool Held() const;
+  // Begins a change to another set of voters.
+  void BeginChange();
+  // Returns a random new set of voters, which differs from the current set as `change_` says.
+  std::vector<std::size_t> DrawVoters();
+  // Restarts the members one after another, starting at `position` in restart_order_.
+  void RestartFrom(std::size_t position);
+  // Waits until the next change may begin.
+  void AwaitNextChange();
+  // Begins the next change, or finishes.
+  void FinishChange();
+  // Returns whether a member may act.
+  bool HasHolder() const;
 
   World& world_;
-  Arena& arena_;
-  const VoterChange how_;
+  LeaseRun& run_;
+  const VoterChange change_;
   std::mt19937_64 random_;
-  Moment until_{0}, pause_;
-  std::vector<std::size_t> voters_, order_;  // members: the newest set, and all as they are restarted
-  bool done_ = true;
+  Moment until_{0}, max_pause_;
+  std::vector<std::size_t> voters_;         // members that are voters in the newest set
+  std::vector<std::size_t> restart_order_;  // all members in the order of their restarts
+  bool is_done_ = true;
 };
 
 }  // namespace load_balancer::model
--- a/model/lease/schedule.h
+++ b/model/lease/schedule.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Leases among five or seven members of a World, under faults drawn from a seed: crashes with and without
-// disks, stalls, cuts, loss, delay, doubled and overtaken messages, wall clocks that jump, monotonic clocks
-// at any rate within the bound, give-backs, time between an act's check and its reaching the resource, acts
-// with effects that last, and voters that are changed.
+// Random schedules of leases among five or seven members of a World. The faults are drawn from a seed:
+// crashes with and without loss of the disk, stalls, network cuts, and lost, delayed, duplicated and
+// reordered messages. Wall clocks jump, and monotonic clocks run at any rate within the drift bound. Members
+// also release leases, and their actions may reach the resource late or have lasting effects. Voters may be
+// changed during the run.
 #ifndef LOAD_BALANCER_MODEL_LEASE_SCHEDULE_H_
 #define LOAD_BALANCER_MODEL_LEASE_SCHEDULE_H_
 
@@ -17,22 +18,27 @@
 
 namespace load_balancer::model {
 
+// The extent of a schedule and the kinds of faults in it.
 struct ScheduleOptions {
-  std::size_t members = 5;
-  Moment length = std::chrono::seconds(60), faults_until = std::chrono::seconds(45);
-  std::size_t faults = 14;
+  std::size_t member_count = 5;
+  Moment duration = std::chrono::seconds(60), faults_end = std::chrono::seconds(45);
+  std::size_t fault_count = 14;
   VoterChange change = VoterChange::kNone;
-  bool files = false;  // no disk is lost, and every voter begins with a file of votes
+  bool has_vote_files = false;  // no disk is lost, and every voter starts with a file of votes
 };
 
+// The outcome of a schedule.
 struct ScheduleResult {
-  std::optional<std::string> broken;
-  std::uint64_t leases = 0, acts = 0, refused = 0;  // hand-offs; at the resource: taken, refused
-  Moment quiet{0};                                  // from the last fault's end until somebody held for good
+  std::optional<std::string> violation;      // the violated property, if any
+  std::uint64_t handovers = 0;               // number of times that a new holder or token appeared
+  std::uint64_t admitted = 0, rejected = 0;  // number of actions that the resource admitted and rejected
+  Moment time_to_holder{0};  // from the end of the last fault until a member held the lease to the end
 };
 
-// The seed's faults. Of odd seeds none loses a disk, so that tokens must grow without exception.
-std::vector<Fault> FaultsOf(std::uint64_t seed, const ScheduleOptions& options);
+// Draws the faults of the seed. Odd seeds have no fault that loses a disk, so tokens must increase without
+// exception.
+std::vector<Fault> DrawScheduleFaults(std::uint64_t seed, const ScheduleOptions& options);
+// Runs the schedule of the seed with the given faults.
 ScheduleResult RunSchedule(std::uint64_t seed, const ScheduleOptions& options,
                            const std::vector<Fault>& faults);
 
--- a/model/lease/search.cpp
+++ b/model/lease/search.cpp
@@ -9,86 +9,87 @@
 
 using Kind = Step::Kind;
 
-// A state, by the one that it came from and the step.
+// A state, given by its parent state and the step that leads from there to it.
 struct Node {
-  std::uint32_t from;
+  std::uint32_t parent;
   Step step;
 };
 
 class Searcher {
  public:
-  explicit Searcher(const Beginning& beginning) : beginning_(beginning) {}
+  explicit Searcher(const InitialState& initial_state) : initial_state_(initial_state) {}
 
-  SearchResult Run(int depth, std::uint64_t most_states) {
+  SearchResult Run(int depth, std::uint64_t max_states) {
     nodes_.push_back({0, {}});
-    Table first(beginning_.options);
-    for (const Step& step : beginning_.steps) first.Do(step);
+    LeaseCluster first(initial_state_.options);
+    for (const Step& step : initial_state_.steps) first.Apply(step);
     seen_.insert(first.Fingerprint());
     for (std::uint32_t begin = 0; result_.depth < depth; ++result_.depth) {
       const auto end = static_cast<std::uint32_t>(nodes_.size());
       for (std::uint32_t node = begin; node < end; ++node) {
         Expand(node);
-        if (result_.found || seen_.size() >= most_states) return Done();
+        if (result_.counterexample || seen_.size() >= max_states) return Finish();
       }
       begin = end;
     }
-    return Done();
+    return Finish();
   }
 
  private:
   void Expand(std::uint32_t node) {
     const std::vector<Step> path = PathTo(node);
-    const auto table = Rebuild(path);
-    const std::vector<Step> steps = table->Steps();
+    const auto cluster = Rebuild(path);
+    const std::vector<Step> steps = cluster->EnabledSteps();
     for (const Step& step : steps) {
       const auto next = &step == &steps.back() ? nullptr : Rebuild(path);
-      Table& then = next ? *next : *table;
-      then.Do(step);
+      LeaseCluster& successor = next ? *next : *cluster;
+      successor.Apply(step);
       ++result_.steps;
-      if (!seen_.insert(then.Fingerprint()).second) continue;
+      if (!seen_.insert(successor.Fingerprint()).second) continue;
       nodes_.push_back({node, step});
-      const auto broken = then.Broken();
-      if (!broken) continue;
-      result_.found = Tell(*broken, PathTo(static_cast<std::uint32_t>(nodes_.size() - 1)));
+      const auto violation = successor.FindViolation();
+      if (!violation) continue;
+      result_.counterexample =
+          MakeCounterexample(*violation, PathTo(static_cast<std::uint32_t>(nodes_.size() - 1)));
       return;
     }
   }
 
   std::vector<Step> PathTo(std::uint32_t node) const {
     std::vector<Step> path;
-    for (; node != 0; node = nodes_[node].from) path.push_back(nodes_[node].step);
+    for (; node != 0; node = nodes_[node].parent) path.push_back(nodes_[node].step);
     std::reverse(path.begin(), path.end());
     return path;
   }
 
-  std::unique_ptr<Table> Rebuild(const std::vector<Step>& path) const {
-    auto table = std::make_unique<Table>(beginning_.options);
-    for (const Step& step : beginning_.steps) table->Do(step);
-    for (const Step& step : path) table->Do(step);
-    return table;
+  std::unique_ptr<LeaseCluster> Rebuild(const std::vector<Step>& path) const {
+    auto cluster = std::make_unique<LeaseCluster>(initial_state_.options);
+    for (const Step& step : initial_state_.steps) cluster->Apply(step);
+    for (const Step& step : path) cluster->Apply(step);
+    return cluster;
   }
 
-  Found Tell(const std::string& what, const std::vector<Step>& path) const {
-    Found found{what, {}};
-    Table table(beginning_.options);
-    const auto follow = [&](const std::vector<Step>& steps) {
+  Counterexample MakeCounterexample(const std::string& violation, const std::vector<Step>& path) const {
+    Counterexample counterexample{violation, {}};
+    LeaseCluster cluster(initial_state_.options);
+    const auto append_steps = [&](const std::vector<Step>& steps) {
       for (const Step& step : steps) {
-        found.trace.push_back(table.Text(step));
-        table.Do(step);
+        counterexample.trace.push_back(cluster.Describe(step));
+        cluster.Apply(step);
       }
     };
-    follow(beginning_.steps);
-    found.trace.push_back("--");
-    follow(path);
-    return found;
+    append_steps(initial_state_.steps);
+    counterexample.trace.push_back("--");
+    append_steps(path);
+    return counterexample;
   }
 
-  SearchResult Done() {
+  SearchResult Finish() {
     result_.states = seen_.size();
     return result_;
   }
 
-  const Beginning& beginning_;
+  const InitialState& initial_state_;
   std::vector<Node> nodes_;
   std::unordered_set<std::uint64_t> seen_;
   SearchResult result_;
@@ -96,39 +97,41 @@
 
 }  // namespace
 
-std::vector<Beginning> Beginnings() {
-  const auto pass = [](std::uint8_t times) { return Step{Kind::kTime, times}; };
-  const Step wait = pass(8), a_asks{Kind::kTick, 0};
-  const auto deliver = [](std::uint8_t letter) { return Step{Kind::kDeliver, letter}; };
-  // A's requests to B and C; C's is lost.
-  const Step lose_other{Kind::kLose, 1}, lose_first{Kind::kLose, 0};
-  const std::vector<Step> held{wait, a_asks, lose_other, deliver(0), deliver(0)};
-  // B's answer to the second request is late, and the third is lost.
-  const std::vector<Step> late{wait,    a_asks,     lose_other, deliver(0), deliver(0),
-                               pass(6), a_asks,     lose_other, deliver(0), pass(4),
-                               a_asks,  lose_other, lose_other, pass(7)};
-  std::vector<Step> later = held;
-  later.push_back(pass(12));
-  TableOptions one_fault;
-  one_fault.most_faults = 1;
+std::vector<InitialState> InitialStates() {
+  const auto pass = [](std::uint8_t units) { return Step{Kind::kAdvanceTime, units}; };
+  const Step wait = pass(8), tick_a{Kind::kTick, 0};
+  const auto deliver = [](std::uint8_t message) { return Step{Kind::kDeliver, message}; };
+  // A sends requests to B and C; the request to C is lost.
+  const Step drop_second{Kind::kDrop, 1}, drop_first{Kind::kDrop, 0};
+  const std::vector<Step> a_holds{wait, tick_a, drop_second, deliver(0), deliver(0)};
+  // The grant of B for A's second request is still pending, and the third request is lost.
+  const std::vector<Step> late_grant{wait,    tick_a,      drop_second, deliver(0), deliver(0),
+                                     pass(6), tick_a,      drop_second, deliver(0), pass(4),
+                                     tick_a,  drop_second, drop_second, pass(7)};
+  std::vector<Step> a_holds_longer = a_holds;
+  a_holds_longer.push_back(pass(12));
+  ClusterOptions one_fault;
+  one_fault.max_faults = 1;
   one_fault.max_proofs = 0;
-  // The first request is lost and given back, and B's release is late; B and C grant the second.
-  const std::vector<Step> again{wait, a_asks, lose_other, lose_first, pass(3),    a_asks,    lose_other,
-                                wait, a_asks, deliver(1), deliver(1), deliver(1), deliver(1)};
-  TableOptions no_disks, longer, walls_stand;
-  walls_stand.walls_run = false;
-  no_disks.disks = false;
-  longer.first_term *= 2;
-  return {{"A holds after a give-back", walls_stand, again},
-          {"A's renewal is granted late", one_fault, late},
-          {"A's term is longer", longer, later},
+  // A's first request is lost and released, and the release to B is late. B and C grant the second
+  // request.
+  const std::vector<Step> second_request{wait,       tick_a,      drop_second, drop_first, pass(3),
+                                         tick_a,     drop_second, wait,        tick_a,     deliver(1),
+                                         deliver(1), deliver(1),  deliver(1)};
+  ClusterOptions no_disks, longer_term, constant_wall_clocks;
+  constant_wall_clocks.are_wall_clocks_running = false;
+  no_disks.has_initial_disks = false;
+  longer_term.first_term *= 2;
+  return {{"A holds after a give-back", constant_wall_clocks, second_request},
+          {"A's renewal is granted late", one_fault, late_grant},
+          {"A's term is longer", longer_term, a_holds_longer},
           {"all start without disks", no_disks, {wait}},
-          {"A holds", {}, held},
+          {"A holds", {}, a_holds},
           {"all start", {}, {wait}}};
 }
 
-SearchResult Search(const Beginning& beginning, int depth, std::uint64_t most_states) {
-  return Searcher(beginning).Run(depth, most_states);
+SearchResult Search(const InitialState& initial_state, int depth, std::uint64_t max_states) {
+  return Searcher(initial_state).Run(depth, max_states);
 }
 
 }  // namespace load_balancer::model
--- a/model/lease/search.h
+++ b/model/lease/search.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Model checking of leases: every sequence of steps of a Table up to a depth, breadth first, so that the
-// first one that breaks something is a shortest one. A state is rebuilt by doing its steps anew, and looked
-// at once, by its fingerprint.
+// Model checking of leases. Explores every sequence of steps of a LeaseCluster up to a depth, breadth first,
+// so that the first violation found has a shortest path. States with equal fingerprints are explored once. A
+// state is rebuilt by applying its steps again.
 #ifndef LOAD_BALANCER_MODEL_LEASE_SEARCH_H_
 #define LOAD_BALANCER_MODEL_LEASE_SEARCH_H_
 
@@ -15,29 +15,33 @@
 
 namespace load_balancer::model {
 
-// Where a search begins: after these steps, which count nothing towards its depth.
-struct Beginning {
+// The state in which a search starts: the state after `steps`, which do not count towards the depth.
+struct InitialState {
   std::string name;
-  TableOptions options;
+  ClusterOptions options;
   std::vector<Step> steps;
 };
 
-// A holder that has just been granted; one whose renewal is answered late; a start without disks; and others.
-std::vector<Beginning> Beginnings();
+// Returns the initial states, such as a holder with a new lease, a renewal that is granted late, and a start
+// without disks.
+std::vector<InitialState> InitialStates();
 
-struct Found {
-  std::string what;
-  std::vector<std::string> trace;  // one line a step
+// A violation and the steps that lead to it.
+struct Counterexample {
+  std::string violation;
+  std::vector<std::string> trace;  // one line per step
 };
 
+// The result and the extent of a search.
 struct SearchResult {
-  std::uint64_t states = 0, steps = 0;  // looked at, done (without those of rebuilding)
-  int depth = 0;                        // up to which all were done
-  std::optional<Found> found;
+  std::uint64_t states = 0;  // number of different states
+  std::uint64_t steps = 0;   // number of applied steps, without those that rebuild a state
+  int depth = 0;             // depth up to which all sequences were explored
+  std::optional<Counterexample> counterexample;
 };
 
-// Ends early, with the depth that it has reached, once it has looked at `most_states`.
-SearchResult Search(const Beginning& beginning, int depth, std::uint64_t most_states);
+// Explores all sequences of up to `depth` steps. Stops early once it has seen `max_states` states.
+SearchResult Search(const InitialState& initial_state, int depth, std::uint64_t max_states);
 
 }  // namespace load_balancer::model
 
