--- a/src/fleet/lease/failures.h
+++ b/src/fleet/lease/failures.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The failures of leases that are reported to operators.
+/// \file
+/// The failures of leases that are reported to operators.
 #ifndef LOAD_BALANCER_FLEET_LEASE_FAILURES_H_
 #define LOAD_BALANCER_FLEET_LEASE_FAILURES_H_
 
--- a/src/fleet/lease/fencing.h
+++ b/src/fleet/lease/fencing.h
@@ -31,7 +31,9 @@
   LeaseProof(LeaseProof&&) = default;
   LeaseProof& operator=(LeaseProof&&) = default;
 
+  /// Returns the name of the lease.
   const std::string& lease_name() const { return lease_name_; }
+  /// Returns the fencing token of the lease.
   FencingToken token() const { return token_; }
   /// Returns the deadline on this process's monotonic clock.
   Time deadline() const { return deadline_; }
--- a/src/fleet/lease/leases.h
+++ b/src/fleet/lease/leases.h
@@ -27,6 +27,7 @@
 
 namespace load_balancer::fleet {
 
+/// Configuration of a member's leases.
 struct LeaseOptions {
   using Endpoint = boost::asio::ip::udp::endpoint;
 
@@ -51,6 +52,7 @@
   class Callbacks {
    public:
     virtual ~Callbacks() = default;
+    /// Sends a message to the address `to`.
     virtual void Send(const Endpoint& to, const LeaseMessage& message) = 0;
     /// Reports that the status of a lease has changed, or was extended if the reason is "renewed". A holder
     /// must stop after `remaining`.
@@ -97,6 +99,7 @@
   LeaseStatus status(Time now, const std::string& lease_name) const {
     return leases_.at(lease_name).StatusAt(now);
   }
+  /// Returns whether the role is exclusive or available.
   LeasedRoleKind kind(const std::string& lease_name) const { return leases_.at(lease_name).kind; }
   /// Returns the token of the lease that is held or followed; 0 before the first lease.
   FencingToken token(const std::string& lease_name) const { return leases_.at(lease_name).token; }
--- a/src/fleet/lease/voter.h
+++ b/src/fleet/lease/voter.h
@@ -70,9 +70,10 @@
   void AppendFingerprint(Time now, std::vector<std::uint64_t>* words) const;
 
  private:
+  /// A vote with the times that are not persisted.
   struct Vote {
     StoredVote stored;
-    Time until{};
+    Time until{};  ///< End of the time for which the vote binds this voter.
     /// When the request of a new vote times out: by then the requester has a majority or releases the token.
     Time decision_deadline{};
   };
--- a/src/fleet/membership/membership.h
+++ b/src/fleet/membership/membership.h
@@ -4,8 +4,8 @@
 /// Membership of a fleet. Implements SWIM (Das, Gupta, Motivala: "SWIM: Scalable Weakly-consistent
 /// Infection-style Process Group Membership Protocol", 2002) with the refinements of Lifeguard (Dadgar,
 /// Phillips, Currey: "Lifeguard: Local Health Awareness for More Accurate Failure Detection", 2018). The code
-/// owns no socket and no clock: the caller passes in time and messages and receives messages and changes
-/// through callbacks. docs/fleet.md states the time bounds.
+/// owns no socket and no clock. The caller passes in the time and received messages. Messages to send and
+/// changes of members are reported through callbacks. docs/fleet.md states the time bounds.
 #ifndef LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBERSHIP_H_
 #define LOAD_BALANCER_FLEET_MEMBERSHIP_MEMBERSHIP_H_
 
