--- a/tests/fleet/lease_actor.cpp
+++ b/tests/fleet/lease_actor.cpp
@@ -1,9 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member of a fleet that does nothing but act, for tests: while it holds the lease of maintenance it writes
-// to a stand-in resource, each time under a proof, and prints each act with its begin and end on the
-// machine's monotonic clock. A fleet::Node as the program has it, with real sockets, timers and a file of
-// votes.
+// A test program that runs a fleet::Node with real sockets, timers and a file of votes, as the proxy does.
+// While it holds the lease of maintenance, it writes to a stand-in resource, each time under a proof. It
+// prints the begin and end of each write on the machine's monotonic clock.
 //
 //   lease_actor --name N --bind A --advertise A --seeds A... --votes FILE --resource PORT --term MS
 #include <CLI/CLI.hpp>
@@ -38,7 +37,7 @@
   void OnFencedValue(const fl::FencedValue&) override {}
 };
 
-long long Count(Steady::time_point moment) { return moment.time_since_epoch().count(); }
+long long ToNanoseconds(Steady::time_point moment) { return moment.time_since_epoch().count(); }
 
 fl::NodeOptions OptionsWith(const std::string& votes) {
   fl::NodeOptions options;
@@ -52,49 +51,49 @@
         const std::string& votes, unsigned short resource)
       : name_(name),
         random_(std::random_device()()),
-        node_(io, section, name, random_(), facts_, OptionsWith(votes)),
+        node_(io, section, name, random_(), listener_, OptionsWith(votes)),
         timer_(io),
         resource_(io) {
     resource_.connect(Tcp::endpoint(asio::ip::address_v4::loopback(), resource));
-    Arm();
+    ScheduleNext();
   }
 
  private:
-  // Takes a proof, and acts on it a little later, sometimes much later.
-  void Arm() {
+  // Takes a proof and writes shortly after, or sometimes much later.
+  void ScheduleNext() {
     timer_.expires_after(milliseconds(proof_ && random_() % 32 == 0 ? random_() % 4000 : random_() % 10));
-    timer_.async_wait([this](const boost::system::error_code& failed) {
-      if (failed) return;
+    timer_.async_wait([this](const boost::system::error_code& error) {
+      if (error) return;
       if (proof_)
-        Act(*std::exchange(proof_, std::nullopt));
+        Write(*std::exchange(proof_, std::nullopt));
       else if ((proof_ = node_.ProveLease(fl::kMaintenanceDuty)))
-        began_ = Count(Steady::now());
-      Arm();
+        proof_taken_at_ = ToNanoseconds(Steady::now());
+      ScheduleNext();
     });
   }
 
-  // The resource looks at deadline and token, and says when it took the write, if it did.
-  void Act(const fl::LeaseProof& proof) {
-    asio::write(resource_,
-                asio::buffer(name_ + " " + std::to_string(proof.token()) + " " + std::to_string(began_) +
-                             " " + std::to_string(Count(proof.deadline())) + "\n"));
+  // Sends a write with the proof's deadline and token to the resource and prints the answer.
+  void Write(const fl::LeaseProof& proof) {
+    asio::write(resource_, asio::buffer(name_ + " " + std::to_string(proof.token()) + " " +
+                                        std::to_string(proof_taken_at_) + " " +
+                                        std::to_string(ToNanoseconds(proof.deadline())) + "\n"));
     asio::read_until(resource_, answer_, '\n');
     std::string answer;
     std::getline(std::istream(&answer_), answer);
     std::printf("act token=%llu begin=%lld end=%lld %s\n", static_cast<unsigned long long>(proof.token()),
-                began_, Count(Steady::now()), answer.c_str());
+                proof_taken_at_, ToNanoseconds(Steady::now()), answer.c_str());
     std::fflush(stdout);
   }
 
   const std::string name_;
   std::mt19937_64 random_;
-  IgnoringListener facts_;
+  IgnoringListener listener_;
   fl::Node node_;
   asio::steady_timer timer_;
   Tcp::socket resource_;
   asio::streambuf answer_;
-  std::optional<fl::LeaseProof> proof_;  // of the act under way
-  long long began_ = 0;
+  std::optional<fl::LeaseProof> proof_;  // for the next write
+  long long proof_taken_at_ = 0;
 };
 
 }  // namespace
--- a/tests/fleet/lease_chaos_test.cpp
+++ b/tests/fleet/lease_chaos_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Seven real processes that act for one duty, behind the relay, under a minute of faults: no two acts of two
-// holders overlap, and the resource takes nothing that is stale. LEASE_CHAOS_SEEDS names the seeds (default
-// "1").
+// Runs seven real processes that request one lease through the relay, and injects faults for a minute. Checks
+// that writes of different holders never overlap and that the resource admits no stale token.
+// LEASE_CHAOS_SEEDS lists the seeds (default "1").
 #include <gtest/gtest.h>
 
 #include <random>
@@ -17,102 +17,105 @@
 using Steady = std::chrono::steady_clock;
 using Token = std::uint64_t;
 
-constexpr std::size_t kActors = 7, kMostHit = 3;
-constexpr milliseconds kFaults(60000), kTerm(2000);
+constexpr std::size_t kActors = 7, kMaxStoppedActors = 3;
+constexpr milliseconds kFaultDuration(60000), kTerm(2000);
 
-struct Written {
-  std::string who;
+// A write that the resource admitted.
+struct AdmittedWrite {
+  std::string actor;
   Token token = 0;
-  long long begin = 0, taken = 0;  // of the machine's monotonic clock, ns
+  long long begin = 0, admitted_at = 0;  // ns on the machine's monotonic clock
 };
 
-// Takes writes of "WHO TOKEN BEGIN DEADLINE", one at a time, unless the deadline has passed or a larger token
-// has written before.
+// The protected resource. Receives writes in the form "ACTOR TOKEN BEGIN DEADLINE" one at a time. Rejects a
+// write if its deadline has passed or a larger token was admitted before.
 class Resource {
  public:
   Resource() : listener_([this](Tcp::socket& socket) { Serve(socket); }) {}
   unsigned short port() const { return listener_.address.port(); }
-  std::vector<Written> All() {
+  std::vector<AdmittedWrite> Writes() {
     const std::lock_guard lock(mutex_);
-    return written_;
+    return writes_;
   }
-  // Writes before their deadline, but after one with a larger token: two have held at once.
-  std::size_t Rivals() {
+  // Returns the number of writes that came before their deadline but after a larger token. Such a write shows
+  // that two processes held the lease at once.
+  std::size_t CountStaleWrites() {
     const std::lock_guard lock(mutex_);
-    return rivals_;
+    return stale_writes_;
   }
 
  private:
   void Serve(Tcp::socket& socket) {
     asio::streambuf in;
-    error_code failed;
-    while (asio::read_until(socket, in, '\n', failed), !failed) {
-      Written write;
+    error_code error;
+    while (asio::read_until(socket, in, '\n', error), !error) {
+      AdmittedWrite write;
       long long deadline = 0;
-      std::istream(&in) >> write.who >> write.token >> write.begin >> deadline;
+      std::istream(&in) >> write.actor >> write.token >> write.begin >> deadline;
       in.consume(in.size());
-      asio::write(socket, asio::buffer(Take(std::move(write), deadline)), failed);
+      asio::write(socket, asio::buffer(Admit(std::move(write), deadline)), error);
     }
   }
-  std::string Take(Written write, long long deadline) {
+  std::string Admit(AdmittedWrite write, long long deadline) {
     const std::lock_guard lock(mutex_);
-    write.taken = Steady::now().time_since_epoch().count();
-    if (write.taken >= deadline) return "past\n";
+    write.admitted_at = Steady::now().time_since_epoch().count();
+    if (write.admitted_at >= deadline) return "past\n";
     if (write.token < largest_) {
-      ++rivals_;
+      ++stale_writes_;
       return "older\n";
     }
     largest_ = write.token;
-    written_.push_back(std::move(write));
+    writes_.push_back(std::move(write));
     return "taken\n";
   }
 
   std::mutex mutex_;
-  std::vector<Written> written_;
+  std::vector<AdmittedWrite> writes_;
   Token largest_ = 0;
-  std::size_t rivals_ = 0;
+  std::size_t stale_writes_ = 0;
   Listener listener_;
 };
 
-class Chaos {
+// The processes, the relay between them and the faults.
+class FaultRun {
  public:
-  explicit Chaos(unsigned seed)
+  explicit FaultRun(unsigned seed)
       : random_(seed), binds_(kActors), relay_(load_balancer::testing::kRelayPath, Routes()) {
     std::printf("seed %u\n", seed);
     for (std::size_t i = 0; i < kActors; ++i) Start(i);
   }
 
   void Run() {
-    const auto end = Steady::now() + kFaults;
+    const auto end = Steady::now() + kFaultDuration;
     while (Steady::now() < end) {
-      Undo(false);
-      Hit();
+      EndFaults(false);
+      InjectFault();
       std::this_thread::sleep_for(milliseconds(100 + random_() % 500));
     }
-    Undo(true);
+    EndFaults(true);
     relay_.Say("CLEAR *");
   }
-  // Somebody's write is taken after the faults.
-  bool ActsAgain() {
+  // Waits for a write that began after this call. Returns whether there was one in time.
+  bool WaitForNewWrite() {
     const auto now = Steady::now().time_since_epoch().count();
     const auto until = Steady::now() + kBound;
     while (Steady::now() < until) {
-      const auto all = resource_.All();
+      const auto all = resource_.Writes();
       if (!all.empty() && all.back().begin > now) return true;
       std::this_thread::sleep_for(milliseconds(50));
     }
     return false;
   }
-  std::vector<Written> Writes() { return resource_.All(); }
-  std::size_t Rivals() { return resource_.Rivals(); }
-  std::size_t Refused() {
-    std::size_t refused = 0;
+  std::vector<AdmittedWrite> Writes() { return resource_.Writes(); }
+  std::size_t CountStaleWrites() { return resource_.CountStaleWrites(); }
+  std::size_t CountRejectedWrites() {
+    std::size_t rejected = 0;
     for (auto& process : processes_)
       for (const std::string& line : process->Lines())
-        refused += line.starts_with("act ") && !line.ends_with("taken");
-    return refused;
+        rejected += line.starts_with("act ") && !line.ends_with("taken");
+    return rejected;
   }
-  const std::map<std::string, int>& done() const { return done_; }
+  const std::map<std::string, int>& fault_counts() const { return fault_counts_; }
 
  private:
   std::vector<std::string> Routes() const {
@@ -121,12 +124,12 @@
       routes.push_back(Cluster::Name(i) + "=udp:127.0.0.1:0=" + Host(binds_[i].port()));
     return routes;
   }
-  std::string VotesOf(std::size_t i) const { return folder_.path / (Cluster::Name(i) + ".votes"); }
+  std::string VoteFileOf(std::size_t i) const { return folder_.path / (Cluster::Name(i) + ".votes"); }
   void Start(std::size_t i) {
     std::vector<std::string> args{"--name",      Cluster::Name(i),
                                   "--bind",      Host(binds_[i].port()),
                                   "--advertise", Host(relay_.Port(Cluster::Name(i))),
-                                  "--votes",     VotesOf(i),
+                                  "--votes",     VoteFileOf(i),
                                   "--resource",  std::to_string(resource_.port()),
                                   "--term",      std::to_string(kTerm.count()),
                                   "--seeds"};
@@ -135,70 +138,71 @@
                                                  std::map<std::string, std::string>{});
   }
 
-  // What is to be undone, and when.
-  struct Later {
+  // An action that ends a fault, and the time for it.
+  struct Repair {
     Steady::time_point at;
-    std::size_t who;
-    std::function<void()> undo;
+    std::size_t actor;
+    std::function<void()> run;
   };
-  void Undo(bool all) {
-    for (std::size_t i = 0; i < later_.size();) {
-      if (!all && Steady::now() < later_[i].at) {
+  // Ends the faults whose time has come, or all faults.
+  void EndFaults(bool all) {
+    for (std::size_t i = 0; i < repairs_.size();) {
+      if (!all && Steady::now() < repairs_[i].at) {
         ++i;
         continue;
       }
-      const Later due = std::move(later_[i]);
-      later_.erase(later_.begin() + static_cast<std::ptrdiff_t>(i));
-      due.undo();
+      const Repair due = std::move(repairs_[i]);
+      repairs_.erase(repairs_.begin() + static_cast<std::ptrdiff_t>(i));
+      due.run();
     }
   }
-  bool Down(std::size_t i) const {
-    return std::any_of(later_.begin(), later_.end(), [i](const Later& each) { return each.who == i; });
+  bool IsStopped(std::size_t i) const {
+    return std::any_of(repairs_.begin(), repairs_.end(), [i](const Repair& each) { return each.actor == i; });
   }
 
-  std::size_t CountDown() const {
-    return static_cast<std::size_t>(
-        std::count_if(later_.begin(), later_.end(), [](const Later& each) { return each.who < kActors; }));
+  std::size_t CountStopped() const {
+    return static_cast<std::size_t>(std::count_if(repairs_.begin(), repairs_.end(),
+                                                  [](const Repair& each) { return each.actor < kActors; }));
   }
 
-  void Hit() {
-    // Whoever wrote last, half of the time.
-    const auto all = resource_.All();
-    const std::size_t last = all.empty() ? 0 : static_cast<std::size_t>(all.back().who.at(1) - '1');
+  // Injects a random fault. Half of the faults concern the process that wrote last.
+  void InjectFault() {
+    const auto all = resource_.Writes();
+    const std::size_t last = all.empty() ? 0 : static_cast<std::size_t>(all.back().actor.at(1) - '1');
     const std::size_t i = random_() % 2 == 0 ? last : random_() % kActors;
     const std::size_t other = (i + 1 + random_() % (kActors - 1)) % kActors;
-    const auto lasts = Steady::now() + milliseconds(300 + random_() % 4000);
+    const auto ends_at = Steady::now() + milliseconds(300 + random_() % 4000);
     const std::string name = Cluster::Name(i), from = " from=" + Host(binds_[other].port());
     switch (random_() % 6) {
       case 0:
       case 1: {
-        if (Down(i) || CountDown() >= kMostHit) return;
+        if (IsStopped(i) || CountStopped() >= kMaxStoppedActors) return;
         if (random_() % 2 == 0) {
-          ++done_["SIGSTOP"];
+          ++fault_counts_["SIGSTOP"];
           processes_[i]->Signal(SIGSTOP);
-          return later_.push_back({lasts, i, [this, i] { processes_[i]->Signal(SIGCONT); }});
+          return repairs_.push_back({ends_at, i, [this, i] { processes_[i]->Signal(SIGCONT); }});
         }
-        ++done_["SIGKILL"];
+        ++fault_counts_["SIGKILL"];
         processes_[i]->Kill();
-        if (random_() % 4 == 0) std::filesystem::remove(VotesOf(i));
-        return later_.push_back({lasts, i, [this, i] { Start(i); }});
+        if (random_() % 4 == 0) std::filesystem::remove(VoteFileOf(i));
+        return repairs_.push_back({ends_at, i, [this, i] { Start(i); }});
       }
       case 2:
-        return Disturb("cut", name, from + " cut=1");
+        return DisturbRoute("cut", name, from + " cut=1");
       case 3:
-        return Disturb("loss", name, " drop=0.3");
+        return DisturbRoute("loss", name, " drop=0.3");
       case 4:
-        return Disturb("delay", name, " delay=700");
+        return DisturbRoute("delay", name, " delay=700");
       default:
-        return Disturb("doubled", name, " duplicate=0.3 reorder=0.3");
+        return DisturbRoute("doubled", name, " duplicate=0.3 reorder=0.3");
     }
   }
-  // For a while; one that ends takes the route's others along.
-  void Disturb(const std::string& what, const std::string& route, const std::string& fault) {
-    ++done_[what];
+  // Disturbs a route for a random time. The end of one fault also clears the other faults of the route.
+  void DisturbRoute(const std::string& name, const std::string& route, const std::string& fault) {
+    ++fault_counts_[name];
     relay_.Say("FAULT " + route + fault);
-    later_.push_back({Steady::now() + milliseconds(300 + random_() % 2000), kActors,
-                      [this, route] { relay_.Say("CLEAR " + route); }});
+    repairs_.push_back({Steady::now() + milliseconds(300 + random_() % 2000), kActors,
+                        [this, route] { relay_.Say("CLEAR " + route); }});
   }
 
   std::mt19937 random_;
@@ -207,36 +211,37 @@
   Folder folder_;
   Resource resource_;
   std::array<std::unique_ptr<Process>, kActors> processes_;
-  std::vector<Later> later_;
-  std::map<std::string, int> done_;
+  std::vector<Repair> repairs_;
+  std::map<std::string, int> fault_counts_;
 };
 
 class LeaseChaos : public ::testing::TestWithParam<unsigned> {};
 
-TEST_P(LeaseChaos, NoTwoActAtOnceAndNothingStaleIsTaken) {
-  Chaos chaos(GetParam());
-  chaos.Run();
-  EXPECT_TRUE(chaos.ActsAgain());
-  const std::vector<Written> all = chaos.Writes();
-  std::size_t overlaps = 0, stale = 0, hand_offs = 0;
+TEST_P(LeaseChaos, WritesNeverOverlapAndStaleTokensAreRejected) {
+  FaultRun run(GetParam());
+  run.Run();
+  EXPECT_TRUE(run.WaitForNewWrite());
+  const std::vector<AdmittedWrite> all = run.Writes();
+  std::size_t overlaps = 0, stale = 0, handovers = 0;
   for (std::size_t i = 1; i < all.size(); ++i) {
     stale += all[i].token < all[i - 1].token;
-    hand_offs += all[i].token != all[i - 1].token;
+    handovers += all[i].token != all[i - 1].token;
   }
-  // In the order in which they were taken: each act began after the last of another holder had ended.
+  // The writes are in the order of their admission. Each must have begun after all earlier writes under other
+  // tokens had ended.
   std::map<Token, long long> ended;
-  for (const Written& write : all) {
+  for (const AdmittedWrite& write : all) {
     for (const auto& [token, end] : ended) overlaps += token != write.token && write.begin < end;
-    ended[write.token] = std::max(ended[write.token], write.taken);
+    ended[write.token] = std::max(ended[write.token], write.admitted_at);
   }
-  std::printf("acts=%zu hand-offs=%zu refused=%zu overlaps=%zu stale=%zu;", all.size(), hand_offs,
-              chaos.Refused(), overlaps, stale);
-  for (const auto& [what, times] : chaos.done()) std::printf(" %s=%d", what.c_str(), times);
+  std::printf("acts=%zu hand-offs=%zu refused=%zu overlaps=%zu stale=%zu;", all.size(), handovers,
+              run.CountRejectedWrites(), overlaps, stale);
+  for (const auto& [fault, count] : run.fault_counts()) std::printf(" %s=%d", fault.c_str(), count);
   std::printf("\n");
   EXPECT_EQ(overlaps, 0u);
   EXPECT_EQ(stale, 0u);
-  EXPECT_EQ(chaos.Rivals(), 0u);
-  EXPECT_GT(hand_offs, 0u) << "the faults must have reached the holders";
+  EXPECT_EQ(run.CountStaleWrites(), 0u);
+  EXPECT_GT(handovers, 0u) << "no fault has affected a holder";
 }
 
 std::vector<unsigned> Seeds() {
--- a/tests/fleet/lease_test.cpp
+++ b/tests/fleet/lease_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Leases among real processes, with faults between them; and of the protocol alone what processes cannot be
-// brought to show.
+// Tests leases among real processes with network faults, and tests the protocol alone for cases that
+// cannot be produced with processes.
 #include <gtest/gtest.h>
 
 #include "cluster.h"
@@ -16,56 +16,58 @@
 
 constexpr milliseconds kTerm(1200), kDrift(100);
 
-// A discovery that counts its watches and keeps their tokens; every watch is told of one server.
+// A stand-in discovery that counts its watches by token and answers each watch with the list that it was
+// given.
 class CountingDiscovery {
  public:
-  struct Seen {
-    std::map<std::string, int> open;    // watches by token; "" for none
-    std::vector<std::string> began;     // tokens in the order of their watches
-    std::size_t most_held_at_once = 0;  // tokens with a watch
+  struct Watches {
+    std::map<std::string, int> open;   // number of open watches by token; "" if a watch has no token
+    std::vector<std::string> started;  // tokens of all watches, in the order of their start
+    std::size_t max_open_tokens = 0;   // maximum number of tokens with an open watch
   };
   explicit CountingDiscovery(nlohmann::json list)
       : list_(list.dump() + "\n"), listener_([this](Tcp::socket& s) { Serve(s); }) {}
   Tcp::endpoint address() const { return listener_.address; }
-  Watched<Seen> seen;
+  Watched<Watches> watches;
 
  private:
-  // Holders, not connections: one that opens its watch anew may be heard before its last one's end.
-  static std::size_t Held(const Seen& s) {
-    std::size_t held = 0;
-    for (const auto& [token, count] : s.open) held += !token.empty() && count > 0;
-    return held;
+  // Counts tokens instead of connections, since a holder may open a new watch before the end of its last one
+  // is seen.
+  static std::size_t CountOpenTokens(const Watches& s) {
+    std::size_t count_open = 0;
+    for (const auto& [token, count] : s.open) count_open += !token.empty() && count > 0;
+    return count_open;
   }
   void Serve(Tcp::socket& socket) {
     boost::beast::flat_buffer buffer;
     HttpRequest request;
-    error_code failed;
-    http::read(socket, buffer, request, failed);
-    if (failed) return;
+    error_code error;
+    http::read(socket, buffer, request, error);
+    if (error) return;
     const std::string token(request["Fencing-Token"]);
-    seen.Do([&](Seen& s) {
-      s.began.push_back(token);
+    watches.Do([&](Watches& s) {
+      s.started.push_back(token);
       ++s.open[token];
-      s.most_held_at_once = std::max(s.most_held_at_once, Held(s));
+      s.max_open_tokens = std::max(s.max_open_tokens, CountOpenTokens(s));
     });
     char size[24];
     std::snprintf(size, sizeof size, "%zx", list_.size());
     SendRaw(socket, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + std::string(size) + "\r\n" +
                         list_ + "\r\n");
     char byte;
-    asio::read(socket, asio::buffer(&byte, 1), failed);  // until the proxy goes
-    seen.Do([&](Seen& s) { --s.open[token]; });
+    asio::read(socket, asio::buffer(&byte, 1), error);  // returns when the proxy closes the watch
+    watches.Do([&](Watches& s) { --s.open[token]; });
   }
 
   const std::string list_;
   Listener listener_;
 };
 
-class Leased : public ::testing::Test {
+class FleetLeases : public ::testing::Test {
  protected:
-  explicit Leased(int servers = 1) : discovery(ListJson(50, true, Servers(servers))) {}
+  explicit FleetLeases(int servers = 1) : discovery(ListJson(50, true, Servers(servers))) {}
 
-  // All five are seeds, so that all vote.
+  // Starts five processes. All are seeds, so all vote.
   std::unique_ptr<Cluster> Start() {
     nlohmann::json section{{"probe_interval_ms", 100},
                            {"sync_interval_ms", 300},
@@ -76,7 +78,8 @@
     EXPECT_TRUE(cluster->WaitUntilWhole());
     return cluster;
   }
-  // The member that logs that it holds discovery, from the marks on; 5 if none does in time.
+  // Waits until one of the members logs, after its mark, that it holds the lease of discovery. Returns the
+  // index of that member, or 5 if none logs it in time.
   static std::size_t WaitForHolder(Cluster& cluster, const std::vector<std::size_t>& marks,
                                    const std::vector<std::size_t>& among) {
     const auto until = std::chrono::steady_clock::now() + kBound;
@@ -92,33 +95,33 @@
   static fl::FencingToken TokenOf(Cluster& cluster, std::size_t member, std::size_t mark) {
     return TokenIn(cluster.process(member).WaitFor(kHolds, mark)->second);
   }
-  static std::vector<std::size_t> Others(std::size_t but) {
+  static std::vector<std::size_t> Others(std::size_t excluded) {
     std::vector<std::size_t> others;
     for (std::size_t i = 0; i < 5; ++i)
-      if (i != but) others.push_back(i);
+      if (i != excluded) others.push_back(i);
     return others;
   }
-  // Exactly one watch is open, and it carries this token.
+  // Waits until exactly one watch is open and it has this token. Returns whether that happened in time.
   bool WaitForOneWatch(fl::FencingToken token) {
-    return discovery.seen.WaitFor([&](const CountingDiscovery::Seen& s) {
+    return discovery.watches.WaitFor([&](const CountingDiscovery::Watches& s) {
       for (const auto& [each, count] : s.open)
         if (count != (each == std::to_string(token) ? 1 : 0)) return false;
       return s.open.contains(std::to_string(token));
     });
   }
-  // No watches of two tokens were open at once, and tokens only grew.
+  // Checks that watches with different tokens were never open at once and that tokens never decreased.
   void ExpectOneHolderAtATime() {
-    const auto s = discovery.seen.Get();
-    EXPECT_LE(s.most_held_at_once, 1u);
+    const auto s = discovery.watches.Get();
+    EXPECT_LE(s.max_open_tokens, 1u);
     fl::FencingToken last = 0;
-    for (const std::string& token : s.began) {
+    for (const std::string& token : s.started) {
       if (token.empty()) continue;
       EXPECT_GE(std::stoull(token), last);
       last = std::stoull(token);
     }
   }
 
-  // The entries s-1 to s-N of a list, all of one server.
+  // Returns the list entries s-1 to s-N, which all have the address of the one server.
   std::vector<nlohmann::json> Servers(int count) {
     std::vector<nlohmann::json> servers;
     for (int i = 1; i <= count; ++i)
@@ -126,8 +129,8 @@
     return servers;
   }
 
-  // The member's file of maintenance comes to name the server.
-  static bool WaitUntilOut(Cluster& cluster, std::size_t member) {
+  // Waits until the member's maintenance file contains the server s-1.
+  static bool WaitUntilInMaintenance(Cluster& cluster, std::size_t member) {
     const auto until = std::chrono::steady_clock::now() + kBound;
     while (std::chrono::steady_clock::now() < until) {
       for (const auto& entry : std::filesystem::directory_iterator(cluster[member].folder->path)) {
@@ -145,7 +148,7 @@
   CountingDiscovery discovery;
 };
 
-TEST_F(Leased, OneWatchesDiscoveryAndTheOthersServeByItsList) {
+TEST_F(FleetLeases, OnlyTheHolderWatchesDiscoveryAndAllMembersServe) {
   const auto cluster = Start();
   const std::size_t holder = WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4});
   ASSERT_LT(holder, 5u);
@@ -156,13 +159,14 @@
   ExpectOneHolderAtATime();
 }
 
-class LeasedWithALongList : public Leased {
+class FleetLeasesWithALongList : public FleetLeases {
  protected:
   static constexpr int kServers = 200;
-  LeasedWithALongList() : Leased(kServers) {}
+  FleetLeasesWithALongList() : FleetLeases(kServers) {}
 
-  // All servers, the announcements of both leases, and the set of servers in maintenance.
-  static bool WaitForAll(Cluster& cluster, std::size_t member) {
+  // Waits until the member has the entries of all servers, two lease announcements and the set of servers in
+  // maintenance.
+  static bool WaitForAllEntries(Cluster& cluster, std::size_t member) {
     const std::string all = "facts=" + std::to_string(kServers + 3) + ",";
     const auto until = std::chrono::steady_clock::now() + kBound;
     while (std::chrono::steady_clock::now() < until) {
@@ -173,16 +177,16 @@
   }
 };
 
-// Guards against the holder's list using up the bytes a second that probes and leases need, too.
-TEST_F(LeasedWithALongList, ItReachesAllAndHoldsBackNeitherProbesNorLeases) {
+// Guards against a list that uses up the bandwidth limit, which probes and leases share.
+TEST_F(FleetLeasesWithALongList, TheListReachesAllMembersWithoutThrottlingProbesOrLeases) {
   const auto cluster = Start();
   for (std::size_t i = 0; i < 5; ++i)
-    EXPECT_TRUE(WaitForAll(*cluster, i)) << i << " " << Call((*cluster)[i].operators, "STATE");
+    EXPECT_TRUE(WaitForAllEntries(*cluster, i)) << i << " " << Call((*cluster)[i].operators, "STATE");
   for (std::size_t i = 0; i < 5; ++i) EXPECT_EQ(cluster->Counted(i, "throttled"), 0u) << i;
   EXPECT_EQ(cluster->Count(" state=dead "), 0u);
 }
 
-TEST_F(Leased, AKilledHolderIsReplacedInTimeWithALargerToken) {
+TEST_F(FleetLeases, AKilledHolderIsReplacedInTimeUnderALargerToken) {
   const auto cluster = Start();
   const std::size_t holder = WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4});
   ASSERT_LT(holder, 5u);
@@ -195,16 +199,17 @@
   ASSERT_LT(next, 5u);
   const auto line = cluster->process(next).WaitFor(kHolds, marks[next]);
   const auto took = cluster->process(next).When(line->first) - killed;
-  // The voters' term and bound, what a follower still waits, and a round or two of asking.
+  // The votes last for a term and the drift bound. Followers wait up to two drift bounds longer, and the
+  // acquisition takes one or two rounds of requests.
   EXPECT_LE(took, 2 * kTerm + 3 * kDrift);
-  std::printf("handed on after %lld ms\n",
+  std::printf("handover after %lld ms\n",
               static_cast<long long>(std::chrono::duration_cast<milliseconds>(took).count()));
   EXPECT_GT(TokenIn(line->second), token);
   EXPECT_TRUE(WaitForOneWatch(TokenIn(line->second)));
   ExpectOneHolderAtATime();
 }
 
-TEST_F(Leased, AHolderThatStoodStillStepsDownAndItsOldTokenIsRefused) {
+TEST_F(FleetLeases, AStalledHolderStepsDownAndItsOldTokenIsRejected) {
   const auto cluster = Start();
   const std::size_t holder = WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4});
   ASSERT_LT(holder, 5u);
@@ -216,7 +221,7 @@
   cluster->process(holder).Signal(SIGCONT);
   EXPECT_TRUE(cluster->process(holder).WaitFor("lease duty=discovery role=waiting", marks[holder]));
   EXPECT_TRUE(cluster->process(holder).WaitFor("lease duty=discovery role=follower", marks[holder]));
-  // What it would have written under the old lease.
+  // Sends an entry that the stalled holder could have written under its old lease.
   const auto wall = static_cast<fl::UnixMs>(
       std::chrono::duration_cast<milliseconds>(std::chrono::system_clock::now().time_since_epoch()).count());
   fl::Message message;
@@ -239,31 +244,32 @@
                                              " refused=fenced"));
 }
 
-TEST_F(Leased, TheMinoritySideOfAPartitionStopsAndTheMajorityGoesOn) {
+TEST_F(FleetLeases, TheMinoritySideOfAPartitionLosesTheLeaseBeforeTheMajorityAcquiresIt) {
   const auto cluster = Start();
   const std::size_t holder = WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4});
   ASSERT_LT(holder, 5u);
-  const std::size_t mate = holder == 0 ? 1 : 0;
+  const std::size_t companion = holder == 0 ? 1 : 0;
   std::vector<std::size_t> majority;
   for (const std::size_t i : Others(holder))
-    if (i != mate) majority.push_back(i);
+    if (i != companion) majority.push_back(i);
   const auto marks = cluster->Marks();
-  cluster->Cut({holder, mate});
-  const auto stopped = cluster->process(holder).WaitFor("lease duty=discovery role=waiting", marks[holder]);
-  ASSERT_TRUE(stopped);
+  cluster->Cut({holder, companion});
+  const auto lost_lease =
+      cluster->process(holder).WaitFor("lease duty=discovery role=waiting", marks[holder]);
+  ASSERT_TRUE(lost_lease);
   const std::size_t next = WaitForHolder(*cluster, marks, majority);
   ASSERT_LT(next, 5u);
-  const auto acts = cluster->process(next).WaitFor(kHolds, marks[next]);
-  EXPECT_LT(cluster->process(holder).When(stopped->first), cluster->process(next).When(acts->first));
-  // Without a quorum the other side does the duty without a lease, so that service goes on.
+  const auto acquired = cluster->process(next).WaitFor(kHolds, marks[next]);
+  EXPECT_LT(cluster->process(holder).When(lost_lease->first), cluster->process(next).When(acquired->first));
+  // Without a quorum, the minority side performs the role without a lease, so that it continues to serve.
   EXPECT_TRUE(cluster->process(holder).WaitFor("lease duty=discovery role=alone", marks[holder]));
   cluster->Heal();
   EXPECT_TRUE(cluster->process(holder).WaitFor("lease duty=discovery role=follower", marks[holder]));
-  EXPECT_TRUE(WaitForOneWatch(TokenIn(acts->second)));
+  EXPECT_TRUE(WaitForOneWatch(TokenIn(acquired->second)));
   ExpectOneHolderAtATime();
 }
 
-TEST_F(Leased, MaintenanceIsTakenByItsHolderAndReachesAll) {
+TEST_F(FleetLeases, OnlyTheHolderAcceptsMaintenanceCommandsAndOthersApplyThem) {
   const auto cluster = Start();
   std::size_t holder = 5;
   for (std::size_t i = 0; i < 5; ++i)
@@ -277,13 +283,13 @@
   ASSERT_TRUE(cluster->process(other).WaitFor("lease duty=maintenance role=follower"));
   EXPECT_TRUE(Call((*cluster)[other].operators, "DETACH s-1").starts_with("NAK LEASE-6 "));
   EXPECT_EQ(Call((*cluster)[holder].operators, "DETACH s-1"), "ACK detached");
-  EXPECT_TRUE(WaitUntilOut(*cluster, other));
+  EXPECT_TRUE(WaitUntilInMaintenance(*cluster, other));
 }
 
-TEST_F(Leased, WithoutAQuorumMaintenanceIsRefusedWithACodeAndNothingIsChanged) {
+TEST_F(FleetLeases, MaintenanceCommandsFailWithACodeUntilThereIsAQuorum) {
   const auto cluster = Start();
   cluster->Cut({0, 1});
-  // Whether a call to one of these is answered so in the end.
+  // Calls the members until one of them gives this answer. Returns false if none does in time.
   const auto answered = [&](const std::vector<std::size_t>& members, const std::string& answer) {
     const auto until = std::chrono::steady_clock::now() + kBound;
     for (; std::chrono::steady_clock::now() < until; std::this_thread::sleep_for(milliseconds(20)))
@@ -294,10 +300,10 @@
   ASSERT_TRUE(answered({0}, "NAK LEASE-7"));
   cluster->Heal();
   ASSERT_TRUE(answered({0, 1, 2, 3, 4}, "ACK detached"));
-  for (std::size_t i = 0; i < 5; ++i) EXPECT_TRUE(WaitUntilOut(*cluster, i)) << i;
+  for (std::size_t i = 0; i < 5; ++i) EXPECT_TRUE(WaitUntilInMaintenance(*cluster, i)) << i;
 }
 
-TEST_F(Leased, HandOffsUnder30PercentLossAreBounded) {
+TEST_F(FleetLeases, HandoversUnder30PercentLossAreBounded) {
   const auto cluster = Start();
   ASSERT_LT(WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4}), 5u);
   const std::size_t before = cluster->Count("role=holder");
@@ -308,122 +314,127 @@
     for (const std::string& line : cluster->process(i).Lines())
       granted +=
           line.find("duty=discovery role=holder") != std::string::npos && line.ends_with("why=granted");
-  std::printf("hand-offs in ten terms of 30%% loss: %zu\n", granted - 1);
-  EXPECT_GT(cluster->Count("role=holder"), before) << "it is renewed, or handed on";
-  EXPECT_LE(granted, 1 + 10u) << "no more than one a term";
+  std::printf("handovers in ten terms of 30%% loss: %zu\n", granted - 1);
+  EXPECT_GT(cluster->Count("role=holder"), before) << "the lease was neither renewed nor acquired";
+  EXPECT_LE(granted, 1 + 10u) << "there was more than one handover per term";
   ExpectOneHolderAtATime();
 }
 
-// Three members whose messages wait here until they are delivered, on clocks that the test sets.
-struct Table {
-  struct Post {
+// Simulates three members in virtual time. Messages wait in a queue until Run delivers them.
+struct Simulation {
+  struct PendingMessage {
     Udp::endpoint from, to;
     fl::LeaseMessage message;
   };
-  struct Seat : fl::Leases::Callbacks {
+  struct Member : fl::Leases::Callbacks {
     void Send(const Udp::endpoint& to, const fl::LeaseMessage& message) override {
-      table->posts.push_back({address, to, message});
+      simulation->pending_messages.push_back({address, to, message});
     }
     void OnLeaseStatus(const std::string&, fl::LeaseStatus status, fl::FencingToken token,
                        load_balancer::Span, std::string_view) override {
       if (status == fl::LeaseStatus::kHolder) tokens.push_back(token);
     }
     void OnFailure(const load_balancer::Failure& failure) override { ADD_FAILURE() << failure.Text(); }
-    Table* table = nullptr;
+    Simulation* simulation = nullptr;
     Udp::endpoint address;
     std::unique_ptr<fl::Leases> leases;
     std::vector<fl::FencingToken> tokens;
   };
-  Table() {
-    for (unsigned short i = 0; i < 3; ++i) Sit(i);
+  Simulation() {
+    for (unsigned short i = 0; i < 3; ++i) StartMember(i);
   }
-  void Sit(unsigned short i) {
-    seats[i].table = this;
-    seats[i].address = Udp::endpoint(kAnyPort.address(), static_cast<unsigned short>(i + 1));
+  void StartMember(unsigned short i) {
+    members[i].simulation = this;
+    members[i].address = Udp::endpoint(kAnyPort.address(), static_cast<unsigned short>(i + 1));
     fl::LeaseOptions options;
     options.holder = Cluster::Name(i) + "/" + std::to_string(now.time_since_epoch().count());
-    options.address = seats[i].address;
+    options.address = members[i].address;
     for (unsigned short v = 1; v <= 3; ++v) options.voters.emplace_back(kAnyPort.address(), v);
     options.leased_roles = {{"d", fl::LeasedRoleKind::kAvailable}};
     options.seed = i;
-    seats[i].leases = std::make_unique<fl::Leases>(options, now, seats[i]);
+    members[i].leases = std::make_unique<fl::Leases>(options, now, members[i]);
   }
+  // Advances time by `span` and delivers messages, except to and from the members in `silent`. Checks that
+  // there is at most one holder at a time.
   void Run(milliseconds span, const std::set<std::size_t>& silent = {}) {
     for (const auto until = now + span; now < until; now += milliseconds(10)) {
       for (std::size_t i = 0; i < 3; ++i)
-        if (!silent.contains(i)) seats[i].leases->Tick(now, 1000);
-      while (!posts.empty()) {
-        const Post post = posts.front();
-        posts.pop_front();
-        const std::size_t to = post.to.port() - 1u, from = post.from.port() - 1u;
+        if (!silent.contains(i)) members[i].leases->Tick(now, 1000);
+      while (!pending_messages.empty()) {
+        const PendingMessage pending = pending_messages.front();
+        pending_messages.pop_front();
+        const std::size_t to = pending.to.port() - 1u, from = pending.from.port() - 1u;
         if (!silent.contains(to) && !silent.contains(from))
-          seats[to].leases->Receive(now, post.from, post.message);
+          members[to].leases->Receive(now, pending.from, pending.message);
       }
       std::size_t holders = 0;
-      for (const Seat& seat : seats) holders += seat.leases->status(now, "d") == fl::LeaseStatus::kHolder;
+      for (const Member& member : members)
+        holders += member.leases->status(now, "d") == fl::LeaseStatus::kHolder;
       EXPECT_LE(holders, 1u);
     }
   }
   std::size_t Holder() const {
     for (std::size_t i = 0; i < 3; ++i)
-      if (seats[i].leases->status(now, "d") == fl::LeaseStatus::kHolder) return i;
+      if (members[i].leases->status(now, "d") == fl::LeaseStatus::kHolder) return i;
     return 3;
   }
 
   load_balancer::Time now{std::chrono::hours(1)};
-  std::deque<Post> posts;
-  std::array<Seat, 3> seats;
+  std::deque<PendingMessage> pending_messages;
+  std::array<Member, 3> members;
 };
 
-TEST(Protocol, ALeaseNeedsAMajorityAndTokensGrowEvenIfTheWallClockStandsStill) {
-  Table table;
-  table.Run(milliseconds(3000));
-  EXPECT_EQ(table.Holder(), 3u) << "a voter that has just started may have granted before";
-  table.Run(milliseconds(3000));
-  const std::size_t first = table.Holder();
+TEST(LeaseProtocol, ALeaseNeedsAMajorityAndTokensIncreaseWithAConstantWallClock) {
+  Simulation simulation;
+  simulation.Run(milliseconds(3000));
+  EXPECT_EQ(simulation.Holder(), 3u) << "a voter grants during its grace period";
+  simulation.Run(milliseconds(3000));
+  const std::size_t first = simulation.Holder();
   ASSERT_LT(first, 3u);
-  const fl::FencingToken token = table.seats[first].tokens.back();
-  table.Run(milliseconds(12000));
-  EXPECT_EQ(table.Holder(), first) << "renewed";
-  EXPECT_EQ(table.seats[first].leases->token("d"), token);
-  table.Run(milliseconds(10000), {first});
-  EXPECT_EQ(table.seats[first].leases->status(table.now, "d"), fl::LeaseStatus::kWaiting)
-      << "by the clock alone";
-  const std::size_t second = table.Holder();
+  const fl::FencingToken token = simulation.members[first].tokens.back();
+  simulation.Run(milliseconds(12000));
+  EXPECT_EQ(simulation.Holder(), first) << "the lease was not renewed";
+  EXPECT_EQ(simulation.members[first].leases->token("d"), token);
+  simulation.Run(milliseconds(10000), {first});
+  EXPECT_EQ(simulation.members[first].leases->status(simulation.now, "d"), fl::LeaseStatus::kWaiting)
+      << "the status does not follow the clock without a tick";
+  const std::size_t second = simulation.Holder();
   ASSERT_LT(second, 3u);
-  EXPECT_GT(table.seats[second].leases->token("d"), token);
-  table.Run(milliseconds(10000), {first, second});
-  EXPECT_EQ(table.Holder(), 3u) << "one of three is no majority";
+  EXPECT_GT(simulation.members[second].leases->token("d"), token);
+  simulation.Run(milliseconds(10000), {first, second});
+  EXPECT_EQ(simulation.Holder(), 3u) << "one of three voters counts as a majority";
 }
 
-TEST(Protocol, ALeaseIsFollowedThoughLargerTokensWereAskedForInVain) {
-  Table table;
-  table.Run(milliseconds(6000));
-  const std::size_t first = table.Holder();
+TEST(LeaseProtocol, AMemberFollowsALeaseEvenIfItRequestedLargerTokensInVain) {
+  Simulation simulation;
+  simulation.Run(milliseconds(6000));
+  const std::size_t first = simulation.Holder();
   ASSERT_LT(first, 3u);
-  fl::Leases& leases = *table.seats[(first + 1) % 3].leases;
-  // Two are cut off, and this one asks in vain, each time for a larger token.
-  table.Run(milliseconds(9000), {first, (first + 2) % 3});
+  fl::Leases& leases = *simulation.members[(first + 1) % 3].leases;
+  // The other two members are cut off, so the requests of this member fail. Each uses a larger token.
+  simulation.Run(milliseconds(9000), {first, (first + 2) % 3});
   leases.RaiseLargestToken("d", 1u << 30);
-  leases.ObserveHolder(table.now, "d", "n9/1", table.seats[first].leases->token("d") + 1, milliseconds(1000));
-  EXPECT_EQ(leases.status(table.now, "d"), fl::LeaseStatus::kFollower);
+  leases.ObserveHolder(simulation.now, "d", "n9/1", simulation.members[first].leases->token("d") + 1,
+                       milliseconds(1000));
+  EXPECT_EQ(leases.status(simulation.now, "d"), fl::LeaseStatus::kFollower);
 }
 
-TEST(Protocol, AHolderThatGivesUpIsFollowedAtOnceAndARestartedVoterKeepsStill) {
-  Table table;
-  table.Run(milliseconds(6000));
-  const std::size_t first = table.Holder();
+TEST(LeaseProtocol, AReleasedLeaseIsAcquiredSoonAndRestartedVotersObserveAGracePeriod) {
+  Simulation simulation;
+  simulation.Run(milliseconds(6000));
+  const std::size_t first = simulation.Holder();
   ASSERT_LT(first, 3u);
-  table.seats[first].leases->Release(table.now);
-  table.Run(milliseconds(3000));
-  const std::size_t second = table.Holder();
+  simulation.members[first].leases->Release(simulation.now);
+  simulation.Run(milliseconds(3000));
+  const std::size_t second = simulation.Holder();
   ASSERT_LT(second, 3u);
   EXPECT_NE(second, first);
-  // Both others forget all; what they granted must hold for its term all the same.
+  // Both other members restart without their votes. They must not grant the lease to another member within
+  // the term of the votes that they lost.
   for (unsigned short i = 0; i < 3; ++i)
-    if (i != second) table.Sit(i);
-  table.Run(milliseconds(2500));
-  EXPECT_TRUE(table.Holder() == second || table.Holder() == 3);
+    if (i != second) simulation.StartMember(i);
+  simulation.Run(milliseconds(2500));
+  EXPECT_TRUE(simulation.Holder() == second || simulation.Holder() == 3);
 }
 
 }  // namespace
