--- a/model/lease/cluster.cpp
+++ b/model/lease/cluster.cpp
@@ -61,7 +61,7 @@
                                          fleet::FencingToken token, Span, std::string_view) {
   if (status != fleet::LeaseStatus::kHolder) return;
   if (token == cluster->newest_token_ && cluster->newest_holder_ != index)
-    cluster->violation_ = "two have had one token";
+    cluster->violation_ = "two members held leases with the same token";
   cluster->newest_token_ = token;
   cluster->newest_holder_ = index;
 }
@@ -166,9 +166,11 @@
   const fleet::LeaseProof proof = *std::exchange(member.proof, std::nullopt);
   if (!resource_.Admit(proof, ClockOf(index))) return;
   for (std::size_t i = 0; i < kClusterMembers; ++i)
-    if (i != index && IsActing(i)) violation_ = NameOf(index) + " was let act while " + NameOf(i) + " holds";
-  if (proof.token() < last_token_) violation_ = "a token at the resource fell";
-  if (proof.token() == last_token_ && last_writer_ != index) violation_ = "two have written with one token";
+    if (i != index && IsActing(i))
+      violation_ = NameOf(index) + "'s action was admitted while " + NameOf(i) + " may act";
+  if (proof.token() < last_token_) violation_ = "the resource admitted a smaller token than before";
+  if (proof.token() == last_token_ && last_writer_ != index)
+    violation_ = "two members acted under the same token";
   last_token_ = proof.token();
   last_writer_ = index;
 }
@@ -177,7 +179,7 @@
   if (violation_) return violation_;
   for (std::size_t i = 0; i < kClusterMembers; ++i)
     for (std::size_t j = 0; j < i; ++j)
-      if (IsActing(i) && IsActing(j)) return NameOf(j) + " and " + NameOf(i) + " act at once";
+      if (IsActing(i) && IsActing(j)) return NameOf(j) + " and " + NameOf(i) + " may act at the same time";
   return std::nullopt;
 }
 
@@ -221,19 +223,19 @@
     case Kind::kAdvanceTime:
       return std::to_string(3 * step.operand) + " s pass";
     case Kind::kTick:
-      return name + "'s timers";
+      return name + " processes its timers";
     case Kind::kTakeProof:
       return name + " takes a proof";
     case Kind::kAct:
-      return name + "'s act reaches the resource";
+      return name + "'s action reaches the resource";
     case Kind::kRelease:
-      return name + " gives back";
+      return name + " releases its lease";
     case Kind::kResume:
-      return name + " resumes";
+      return name + " requests leases again";
     case Kind::kRestart:
       return name + " restarts";
     case Kind::kRestartWithoutDisk:
-      return name + " restarts without its disk";
+      return name + " restarts, and its disk is lost";
     case Kind::kDeliver:
     case Kind::kDeliverCopy:
     case Kind::kDrop:
@@ -241,12 +243,13 @@
   }
   const PendingMessage& pending = pending_messages_.at(step.operand);
   const LeaseMessage& message = pending.message;
-  constexpr std::array<const char*, fleet::kLeaseMessageTypes> kVerbs{"ask", "grant", "denial", "release"};
+  constexpr std::array<const char*, fleet::kLeaseMessageTypes> kMessageNames{"request", "grant", "denial",
+                                                                             "release"};
   return NameOf(pending.to) +
-         (step.kind == Kind::kDeliverCopy ? " gets a copy of "
-          : step.kind == Kind::kDrop      ? " misses "
-                                          : " gets ") +
-         NameOf(pending.from) + "'s " + kVerbs[static_cast<std::size_t>(message.type)] +
+         (step.kind == Kind::kDeliverCopy ? " receives a copy of "
+          : step.kind == Kind::kDrop      ? " does not receive "
+                                          : " receives ") +
+         NameOf(pending.from) + "'s " + kMessageNames[static_cast<std::size_t>(message.type)] +
          " token=" + std::to_string(message.token) + " holder=" + message.holder + " request=..." +
          std::to_string(message.request_number % 1000);
 }
--- a/model/lease/member.cpp
+++ b/model/lease/member.cpp
@@ -90,10 +90,10 @@
   ++run_.admitted;
   for (const LeaseMember* other : run_.running_members)
     if (other && other != this && other->IsActing())
-      run_.violation = host_.Name() + " was let act while " + other->host_.Name() + " holds";
-  if (proof.token() < run_.last_token) run_.violation = "a token at the resource fell";
+      run_.violation = host_.Name() + "'s action was admitted while " + other->host_.Name() + " may act";
+  if (proof.token() < run_.last_token) run_.violation = "the resource admitted a smaller token than before";
   if (proof.token() == run_.last_token && run_.last_writer != holder_)
-    run_.violation = "two have written with one token";
+    run_.violation = "two members acted under the same token";
   run_.last_token = proof.token();
   run_.last_writer = holder_;
   // Some actions have lasting effects.
@@ -114,14 +114,17 @@
   if (status != fleet::LeaseStatus::kHolder) return;
   for (const LeaseMember* other : run_.running_members)
     if (other && other != this && other->IsActing())
-      run_.violation = other->host_.Name() + " and " + host_.Name() + " act at once";
+      run_.violation = other->host_.Name() + " and " + host_.Name() + " may act at the same time";
   std::erase_if(run_.effects, [](const LeaseRun::Effect& each) { return each.host->Now() >= each.until; });
   for (const LeaseRun::Effect& effect : run_.effects)
     if (effect.token != token)
-      run_.violation = host_.Name() + " holds while what " + effect.host->Name() + " did has its effects";
+      run_.violation =
+          host_.Name() + " holds the lease while an action of " + effect.host->Name() + " has effects";
   if (run_.newest_holder != holder_ || token != run_.newest_token) ++run_.handovers;
-  if (token < run_.newest_token && run_.disks_survive) run_.violation = "a token is smaller than one before";
-  if (token == run_.newest_token && run_.newest_holder != holder_) run_.violation = "two have had one token";
+  if (token < run_.newest_token && run_.disks_survive)
+    run_.violation = "a new lease has a smaller token than an earlier one";
+  if (token == run_.newest_token && run_.newest_holder != holder_)
+    run_.violation = "two members held leases with the same token";
   run_.newest_token = token;
   run_.newest_holder = holder_;
   if (!run_.are_leases_announced) return;
--- a/model/lease/schedule.cpp
+++ b/model/lease/schedule.cpp
@@ -85,7 +85,7 @@
     // Voters that were changed two at a time may be unable to vote until the end.
     const bool must_have_holder = options_.change != VoterChange::kTwoAtOnce;
     if (!result.violation && must_have_holder && result.time_to_holder > kMaxTermsToHolder * run_.term)
-      result.violation = "nobody holds, three terms after the last fault";
+      result.violation = "no member holds the lease three terms after the last fault";
     return result;
   }
 
--- a/model/lease/search.cpp
+++ b/model/lease/search.cpp
@@ -122,12 +122,12 @@
   constant_wall_clocks.are_wall_clocks_running = false;
   no_disks.has_initial_disks = false;
   longer_term.first_term *= 2;
-  return {{"A holds after a give-back", constant_wall_clocks, second_request},
+  return {{"A holds the lease after a release", constant_wall_clocks, second_request},
           {"A's renewal is granted late", one_fault, late_grant},
-          {"A's term is longer", longer_term, a_holds_longer},
-          {"all start without disks", no_disks, {wait}},
-          {"A holds", {}, a_holds},
-          {"all start", {}, {wait}}};
+          {"A has a longer lease term", longer_term, a_holds_longer},
+          {"all members start without disks", no_disks, {wait}},
+          {"A holds the lease", {}, a_holds},
+          {"all members start", {}, {wait}}};
 }
 
 SearchResult Search(const InitialState& initial_state, int depth, std::uint64_t max_states) {
--- a/src/fleet/lease/denial_reporter.cpp
+++ b/src/fleet/lease/denial_reporter.cpp
@@ -16,7 +16,7 @@
 };
 
 std::string CompareValues(std::uint64_t voters_value, std::uint64_t own_value) {
-  return std::to_string(voters_value) + " there, " + std::to_string(own_value) + " here";
+  return "voter: " + std::to_string(voters_value) + ", this member: " + std::to_string(own_value);
 }
 
 std::uint64_t MillisecondCount(std::chrono::milliseconds span) {
@@ -32,11 +32,11 @@
       return DenialFailure{kDriftMismatch, CompareValues(denial.drift_ms, MillisecondCount(terms.drift))};
     case DenialReason::kVoterSetMismatch:
       return DenialFailure{kVoterSetMismatch,
-                           "hash " + CompareValues(denial.voter_set_hash, terms.voter_set_hash)};
+                           "hash at " + CompareValues(denial.voter_set_hash, terms.voter_set_hash)};
     case DenialReason::kNotPersisted:
       return DenialFailure{kVoteNotPersisted, "disk"};
     case DenialReason::kTooManyLeases:
-      return DenialFailure{kVoteNotPersisted, "too many duties"};
+      return DenialFailure{kVoteNotPersisted, "it already stores votes for the maximum number of duties"};
     case DenialReason::kNone:
     case DenialReason::kLeaseHeld:
     case DenialReason::kGracePeriod:
--- a/src/fleet/lease/fencing.cpp
+++ b/src/fleet/lease/fencing.cpp
@@ -21,8 +21,8 @@
 Result<void> Fence::Admit(const std::string& lease_name, FencingToken token) {
   FencingToken& largest = largest_tokens_[lease_name];
   if (token < largest)
-    return tl::unexpected(
-        Failure(kStaleToken, lease_name, std::to_string(token) + " after " + std::to_string(largest)));
+    return tl::unexpected(Failure(kStaleToken, lease_name,
+                                  "token " + std::to_string(token) + " after " + std::to_string(largest)));
   largest = token;
   return {};
 }
--- a/src/fleet/lease/persisted_votes.cpp
+++ b/src/fleet/lease/persisted_votes.cpp
@@ -40,7 +40,8 @@
   std::set_symmetric_difference(persisted.voters.begin(), persisted.voters.end(), voters.begin(),
                                 voters.end(), std::back_inserter(differing));
   if (differing.size() > 1)
-    return tl::unexpected(Failure(kVoterSetChangeTooLarge, "before: " + JoinWithSpaces(persisted.voters)));
+    return tl::unexpected(
+        Failure(kVoterSetChangeTooLarge, "previous voters: " + JoinWithSpaces(persisted.voters)));
   return std::move(persisted.votes);
 }
 
--- a/tests/fleet/lease_actor.cpp
+++ b/tests/fleet/lease_actor.cpp
@@ -99,7 +99,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("acts for a duty");
+  CLI::App app("writes to a resource while it holds the lease of maintenance");
   std::string name, bind, advertise, votes;
   std::vector<std::string> seeds;
   unsigned short resource = 0;
--- a/tests/fleet/lease_chaos_test.cpp
+++ b/tests/fleet/lease_chaos_test.cpp
@@ -59,14 +59,14 @@
   std::string Admit(AdmittedWrite write, long long deadline) {
     const std::lock_guard lock(mutex_);
     write.admitted_at = Steady::now().time_since_epoch().count();
-    if (write.admitted_at >= deadline) return "past\n";
+    if (write.admitted_at >= deadline) return "expired\n";
     if (write.token < largest_) {
       ++stale_writes_;
-      return "older\n";
+      return "stale\n";
     }
     largest_ = write.token;
     writes_.push_back(std::move(write));
-    return "taken\n";
+    return "admitted\n";
   }
 
   std::mutex mutex_;
@@ -112,7 +112,7 @@
     std::size_t rejected = 0;
     for (auto& process : processes_)
       for (const std::string& line : process->Lines())
-        rejected += line.starts_with("act ") && !line.ends_with("taken");
+        rejected += line.starts_with("act ") && !line.ends_with("admitted");
     return rejected;
   }
   const std::map<std::string, int>& fault_counts() const { return fault_counts_; }
@@ -194,7 +194,7 @@
       case 4:
         return DisturbRoute("delay", name, " delay=700");
       default:
-        return DisturbRoute("doubled", name, " duplicate=0.3 reorder=0.3");
+        return DisturbRoute("duplicate", name, " duplicate=0.3 reorder=0.3");
     }
   }
   // Disturbs a route for a random time. The end of one fault also clears the other faults of the route.
--- a/tools/lease_check.cpp
+++ b/tools/lease_check.cpp
@@ -92,10 +92,9 @@
                                                    {"two-at-once", VoterChange::kTwoAtOnce},
                                                    {"no-wait", VoterChange::kWithoutWait},
                                                    {"term-alone", VoterChange::kAfterOneTerm}};
-  schedules->add_option("--voters", options.change, "how they are changed in service")
+  schedules->add_option("--voters", options.change, "how the voters are changed during the run")
       ->transform(CLI::CheckedTransformer(changes));
-  schedules->add_flag("--files", options.has_vote_files,
-                      "voters begin with files of votes, and lose no disk");
+  schedules->add_flag("--files", options.has_vote_files, "voters start with files of votes and lose no disk");
   schedules->add_option("--from", from);
   schedules->add_option("--count", count);
   const auto* both = app.add_subcommand("both");
