--- a/src/fleet/lease/acquisition.h
+++ b/src/fleet/lease/acquisition.h
@@ -39,6 +39,7 @@
 
   /// Begins a request that is first sent at `now`. Clears the denials of the previous request.
   void BeginRequest(Time now, std::uint64_t number, const RequestTiming& timing);
+  /// Ends the newest request, for example because a majority has granted it.
   void EndRequest() { is_request_open_ = false; }
   /// Returns whether the newest request still waits for a majority.
   bool is_request_open() const { return is_request_open_; }
@@ -46,8 +47,11 @@
   std::uint64_t request_number() const { return sent_.rbegin()->first; }
   /// Returns when the newest request was first sent. Requires that a request was sent.
   Time request_sent_at() const { return sent_.rbegin()->second; }
+  /// Returns when the newest request times out.
   Time request_deadline() const { return request_deadline_; }
+  /// Returns when the newest request is transmitted again.
   Time next_retransmit() const { return next_retransmit_; }
+  /// Sets the time of the next retransmission.
   void ScheduleRetransmit(Time at) { next_retransmit_ = at; }
   /// Returns whether the voter has granted or denied the newest request.
   bool HasAnswered(const Endpoint& voter) const;
--- a/src/fleet/lease/fencing.h
+++ b/src/fleet/lease/fencing.h
@@ -57,8 +57,8 @@
 /// Checks the actions that reach a protected resource. Remembers the largest token of each lease.
 class Fence {
  public:
-  /// Checks an action of this process. Fails with kLeaseExpired if the proof is not valid at `now`, and for
-  /// the same reason as the overload below.
+  /// Checks an action of this process. Fails with kLeaseExpired if the proof is not valid at `now`, and
+  /// with kStaleToken if a larger token was admitted before.
   Result<void> Admit(const LeaseProof& proof, Time now);
   /// Checks an action of another process. Fails with kStaleToken if a larger token was admitted before.
   Result<void> Admit(const std::string& lease_name, FencingToken token);
--- a/src/fleet/lease/persisted_votes.h
+++ b/src/fleet/lease/persisted_votes.h
@@ -16,8 +16,8 @@
 
 /// Votes together with the configuration under which they were written.
 struct PersistedVotes {
-  std::vector<std::string>
-      voters;  ///< Configured voters of the incarnation that wrote the votes, as sorted host:port.
+  /// Configured voters of the incarnation that wrote the votes, as sorted host:port.
+  std::vector<std::string> voters;
   StoredVotes votes;
 };
 
--- a/src/fleet/lease/voter.h
+++ b/src/fleet/lease/voter.h
@@ -51,7 +51,7 @@
 /// Grants each lease to at most one holder at a time, and never grants a token smaller than an earlier one.
 class Voter {
  public:
-  /// `stored` holds the votes of the previous incarnation. If it is empty, the votes are unknown and the
+  /// `stored` holds the votes of the previous incarnation. If it has no value, the votes are unknown and the
   /// voter grants nothing during a grace period of term plus drift. If `store` is null, votes are kept in
   /// memory only; otherwise it must outlive the voter.
   Voter(const LeaseTerms& terms, Time now, const std::optional<StoredVotes>& stored, VoteStore* store);
