--- a/bench/model_sync.cpp
+++ b/bench/model_sync.cpp
@@ -37,7 +37,7 @@
  public:
   void OnChanged(const model::PoolMember&, const fleet::Member& member,
                  std::optional<fleet::MemberState>) override {
-    count += member.last.state == fleet::MemberState::kDead;
+    count += member.update.state == fleet::MemberState::kDead;
   }
   void OnSent(const model::PoolMember& by, const model::Endpoint&, const fleet::Message& message) override {
     if (message.kind != fleet::Message::Kind::kSync) return;
@@ -64,7 +64,7 @@
 
 // How many others the machine holds as present.
 std::size_t Known(model::Federation& federation, std::size_t machine) {
-  return federation.member(machine, model::kSitePool)->membership().present() - 1;
+  return federation.member(machine, model::kSitePool)->membership().CountPresent() - 1;
 }
 
 template <typename Done>
--- a/model/fleet/federation.cpp
+++ b/model/fleet/federation.cpp
@@ -101,14 +101,14 @@
       if (other == machine) continue;
       const std::string& name = federation.world().host(other).Name();
       const auto found = others.find(name);
-      const bool alive = found != others.end() && found->second.last.state == fleet::MemberState::kAlive;
+      const bool alive = found != others.end() && found->second.update.state == fleet::MemberState::kAlive;
       const bool present =
-          alive || (found != others.end() && found->second.last.state == fleet::MemberState::kSuspect);
+          alive || (found != others.end() && found->second.update.state == fleet::MemberState::kSuspect);
       const bool up = federation.member(other, pool) != nullptr;
       if (up ? alive : !present) continue;
       std::string line = federation.world().host(machine).Name();
       line.append(" holds ").append(name).append(up ? ", which runs, as " : ", which is down, as ");
-      wrong.push_back(line.append(found == others.end() ? "unknown" : Name(found->second.last.state)));
+      wrong.push_back(line.append(found == others.end() ? "unknown" : Name(found->second.update.state)));
     }
   }
   return wrong;
--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -102,7 +102,7 @@
 void PoolMember::Send(const Endpoint& to, std::string channel, nlohmann::json payload) {
   Message message;
   message.kind = Message::Kind::kPayload;
-  message.sender = membership_.self().last;
+  message.sender = membership_.self().update;
   message.channel = std::move(channel);
   message.payload = std::move(payload);
   Send(to, message);
@@ -189,7 +189,7 @@
 void PoolMember::Send(const Endpoint& to, const fleet::LeaseMessage& lease) {
   Message message;
   message.kind = Message::Kind::kLease;
-  message.sender = membership_.self().last;
+  message.sender = membership_.self().update;
   message.lease = lease;
   Send(to, message);
 }
--- a/model/system/spill_side.cpp
+++ b/model/system/spill_side.cpp
@@ -144,7 +144,7 @@
     for (const auto& [name, at] : gateways) {
       const auto found = others.find(name);
       if (found == others.end()) continue;  // not heard of yet
-      const fleet::MemberState state = found->second.last.state;
+      const fleet::MemberState state = found->second.update.state;
       const bool present = state == fleet::MemberState::kAlive || state == fleet::MemberState::kSuspect;
       const auto [before, fresh] = present_.try_emplace(name, present);
       if (!fresh && before->second == present) continue;
@@ -167,7 +167,7 @@
   const std::string holder = site_.HolderOf(duty_);
   const auto member = site_.membership().others().find(holder);
   if (holder == host_.Name() || member == site_.membership().others().end()) return;
-  site_.Send(member->second.last.address, kChannel,
+  site_.Send(member->second.update.address, kChannel,
              {{"mean", spare.mean}, {"low", spare.low}, {"wait_ms", spare.wait.count()}});
 }
 
--- a/src/fleet/node/describe.cpp
+++ b/src/fleet/node/describe.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 std::string DescribeMember(const Member& member, Time now) {
-  const std::chrono::duration<double> age = now - member.since;
-  return fmt::format("{} {} {} {:.1f}s", member.last.name, Name(member.last.state), member.last.incarnation,
-                     age.count());
+  const std::chrono::duration<double> age = now - member.changed_at;
+  return fmt::format("{} {} {} {:.1f}s", member.update.name, Name(member.update.state),
+                     member.update.incarnation, age.count());
 }
 
 }  // namespace
--- a/src/fleet/node/lease_participant.cpp
+++ b/src/fleet/node/lease_participant.cpp
@@ -43,7 +43,7 @@
     options->stored_votes = std::move(*loaded);
     return;
   }
-  options->may_vote = &loaded.error().kind() != &kVoterSetLeap;
+  options->may_vote = &loaded.error().kind() != &kVoterSetChangeTooLarge;
   log::Error(options_.component, loaded.error());
 }
 
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -32,7 +32,7 @@
   settle_timer_.async_wait([this, began](const boost::system::error_code& cancelled) {
     if (cancelled || !membership_) return;
     const auto dissemination_time =
-        section_.probe_interval * MaxTransmissions(membership_->options(), membership_->present());
+        section_.probe_interval * MaxTransmissions(membership_->options(), membership_->CountPresent());
     if (Steady::now() - began < dissemination_time) return Settle();
     is_settled_ = true;
     Update();
@@ -50,8 +50,8 @@
 std::size_t LimitShare::CountHolders() const {
   std::size_t dead = 0;
   for (const auto& [name, member] : membership_->others())
-    if (member.last.state == MemberState::kDead) ++dead;
-  const std::size_t present = std::max<std::size_t>(1, membership_->present());
+    if (member.update.state == MemberState::kDead) ++dead;
+  const std::size_t present = std::max<std::size_t>(1, membership_->CountPresent());
   const std::size_t holders = 2 * present > present + dead ? present : present + dead;
   return present == 1 ? std::max(holders, section_.seeds.size()) : holders;
 }
@@ -66,7 +66,7 @@
   const int share = ComputeShare();
   if (share == std::exchange(share_, share)) return;
   log::Info(component_, fmt::format("limit={} share={} present={}", section_.server_limit, share,
-                                    membership_->present()));
+                                    membership_->CountPresent()));
   listener_.OnLimitShare(share);
 }
 
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -62,7 +62,7 @@
   state_.Join(&*membership_);
   limit_share_.Join(&*membership_);
   if (has_left_) membership_->Leave(Steady::now());
-  leases_.Start(membership_->self().last.incarnation);
+  leases_.Start(membership_->self().update.incarnation);
   if (has_left_) leases_.Release();
   Restore(saved_);
   limit_share_.Settle();
@@ -84,7 +84,7 @@
 
 Node::SavedState Node::Save() const {
   SavedState saved = saved_;
-  if (membership_) saved.incarnation = membership_->self().last.incarnation;
+  if (membership_) saved.incarnation = membership_->self().update.incarnation;
   for (const auto& [duty, token] : leases_.HighestTokens()) saved.tokens[duty] = token;
   return saved;
 }
@@ -139,7 +139,7 @@
 Message Node::MakeMessage(Message::Kind kind) const {
   Message message;
   message.kind = kind;
-  message.sender = membership_->self().last;
+  message.sender = membership_->self().update;
   return message;
 }
 
@@ -172,7 +172,7 @@
 }
 
 void Node::OnMemberChanged(const Member& member, std::optional<MemberState> before, std::string_view why) {
-  const Update& last = member.last;
+  const Update& last = member.update;
   log::Info(options_.component, fmt::format("member={} state={} was={} incarnation={} address={} by={}",
                                             last.name, Name(last.state), before ? Name(*before) : "unknown",
                                             last.incarnation, FormatEndpoint(last.address), why));
--- a/src/fleet/state/gossip.cpp
+++ b/src/fleet/state/gossip.cpp
@@ -103,7 +103,7 @@
 Message StateGossip::MakeMessage(Message::Kind kind) const {
   Message message;
   message.kind = kind;
-  message.sender = membership_->self().last;
+  message.sender = membership_->self().update;
   return message;
 }
 
@@ -142,8 +142,8 @@
   if (!message->state.is_null() || !membership_) return;
   std::size_t bytes_left = RemainingBytes(fleet_, *message);
   for (const Update& update : message->updates) bytes_left -= std::min(bytes_left, EncodedSize(update));
-  auto entries =
-      state_.PackPiggyback(now, bytes_left, MaxTransmissions(membership_->options(), membership_->present()));
+  auto entries = state_.PackPiggyback(now, bytes_left,
+                                      MaxTransmissions(membership_->options(), membership_->CountPresent()));
   if (!entries.empty()) message->state = std::move(entries);
 }
 
--- a/src/proxy/federation/pool.cpp
+++ b/src/proxy/federation/pool.cpp
@@ -61,8 +61,8 @@
   if (!HasAddress()) return present;
   present[self_] = true;
   for (const auto& [name, member] : node_.membership()->others())
-    present[name] =
-        member.last.state == fleet::MemberState::kAlive || member.last.state == fleet::MemberState::kSuspect;
+    present[name] = member.update.state == fleet::MemberState::kAlive ||
+                    member.update.state == fleet::MemberState::kSuspect;
   return present;
 }
 
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -231,7 +231,7 @@
   if (!site_.membership() || name.empty() || name == self_) return;
   const auto member = site_.membership()->others().find(name);
   if (member == site_.membership()->others().end()) return;
-  if (!site_.Send(member->second.last.address, kChannel,
+  if (!site_.Send(member->second.update.address, kChannel,
                   {{"mean", spare.mean}, {"low", spare.low}, {"wait_ms", spare.wait.count()}}))
     log::Error("spill", Failure(kNotSent, "member=" + name, "the site's spare"));
 }
--- a/tests/model/bandwidth_test.cpp
+++ b/tests/model/bandwidth_test.cpp
@@ -23,7 +23,7 @@
 struct Absences : Observer {
   std::size_t count = 0;
   void OnChanged(const PoolMember&, const fleet::Member& member, std::optional<fleet::MemberState>) override {
-    count += member.last.state != fleet::MemberState::kAlive;
+    count += member.update.state != fleet::MemberState::kAlive;
   }
 };
 
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -105,8 +105,8 @@
   std::string victim;
   void OnChanged(const PoolMember& by, const fleet::Member& member,
                  std::optional<fleet::MemberState>) override {
-    if (member.last.state != fleet::MemberState::kDead) return;
-    if (member.last.name == victim)
+    if (member.update.state != fleet::MemberState::kDead) return;
+    if (member.update.name == victim)
       seen.emplace(by.host().Name(), by.host().True());
     else
       ++false_deaths;
