--- a/src/fleet/lease/denial_reporter.cpp
+++ b/src/fleet/lease/denial_reporter.cpp
@@ -16,14 +16,14 @@
 };
 
 std::string CompareValues(std::uint64_t voters_value, std::uint64_t own_value) {
-  return std::to_string(voters_value) + " there, " + std::to_string(own_value) + " here";
+  return "voter: " + std::to_string(voters_value) + ", this member: " + std::to_string(own_value);
 }
 
 std::uint64_t MillisecondCount(std::chrono::milliseconds span) {
   return static_cast<std::uint64_t>(span.count());
 }
 
-// Nothing for a denial that is part of normal operation.
+// Returns nothing for a denial that is part of normal operation.
 std::optional<DenialFailure> FailureOf(const LeaseMessage& denial, const LeaseTerms& terms) {
   switch (denial.denial_reason) {
     case DenialReason::kTermMismatch:
@@ -32,11 +32,11 @@
       return DenialFailure{kDriftMismatch, CompareValues(denial.drift_ms, MillisecondCount(terms.drift))};
     case DenialReason::kVoterSetMismatch:
       return DenialFailure{kVoterSetMismatch,
-                           "hash " + CompareValues(denial.voter_set_hash, terms.voter_set_hash)};
+                           "hash at " + CompareValues(denial.voter_set_hash, terms.voter_set_hash)};
     case DenialReason::kNotPersisted:
       return DenialFailure{kVoteNotPersisted, "disk"};
     case DenialReason::kTooManyLeases:
-      return DenialFailure{kVoteNotPersisted, "too many duties"};
+      return DenialFailure{kVoteNotPersisted, "it already stores votes for the maximum number of duties"};
     case DenialReason::kNone:
     case DenialReason::kLeaseHeld:
     case DenialReason::kGracePeriod:
