--- a/src/fleet/failures.h
+++ b/src/fleet/failures.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Kinds of failure between the members of a fleet, except those of leases (lease/failures.h).
+/// The kinds of failure between members of a fleet. Those of leases are in lease/failures.h.
 #ifndef LOAD_BALANCER_FLEET_FAILURES_H_
 #define LOAD_BALANCER_FLEET_FAILURES_H_
 
--- a/src/fleet/federation/section.cpp
+++ b/src/fleet/federation/section.cpp
@@ -23,12 +23,12 @@
 constexpr std::int64_t kMinLeaseTermMs = 100;
 constexpr char kNotAName[] = "is no name of 1 to 64 bytes without blanks and / , ;";
 
-// "gateways.SITE.GATEWAY".
+// Returns the key path "gateways.SITE.GATEWAY".
 std::string GatewayPath(const std::string& site, const std::string& gateway) {
   return "gateways." + site + "." + gateway;
 }
 
-// Names are part of messages, headers and answers to operators, which use these characters as separators.
+// Names occur in messages, headers and answers to operators, which use the excluded characters as separators.
 bool IsNameCharacter(unsigned char c) { return c > ' ' && c < 0x7f && c != '/' && c != ',' && c != ';'; }
 
 bool IsValidName(const std::string& name) {
@@ -84,7 +84,7 @@
   }
 }
 
-// No two gateways share a name or an address.
+// Checks that no two gateways share a name or an address.
 void CheckDistinct(const SitesSection& sites, Section* section) {
   std::set<std::string> names;
   std::set<Udp::endpoint> pool_addresses;
@@ -93,7 +93,7 @@
     for (const auto& [name, addresses] : gateways) {
       const std::string path = GatewayPath(site, name);
       if (!names.insert(name).second) section->Fault(path, "is a gateway of another site, too");
-      // Port 0 stands for an address that is missing, which is a fault of its own.
+      // Port 0 means that the address is missing, which ReadGateway has reported already.
       if (addresses.pool.port() != 0 && !pool_addresses.insert(addresses.pool).second)
         section->Fault(path + ".pool", "is another gateway's, too");
       if (addresses.clients.port() != 0 && !client_addresses.insert(addresses.clients).second)
@@ -168,7 +168,7 @@
   if (!sites.on) return;
   const std::string path = "sites." + GatewayPath(sites.site, name);
   const auto site = sites.gateways.find(sites.site);
-  if (site == sites.gateways.end()) return;  // a fault of its own
+  if (site == sites.gateways.end()) return;  // reported by CheckOwnSite
   const auto self = site->second.find(name);
   if (self == site->second.end()) return faults->push_back(path + " is missing, which is this gateway");
   if (self->second.pool != sites.advertise)
--- a/src/fleet/node/describe.h
+++ b/src/fleet/node/describe.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The answers to the operators' calls MEMBERS and STATE, each in one line.
+/// Formats the one-line answers to the operators' calls MEMBERS and STATE.
 #ifndef LOAD_BALANCER_FLEET_NODE_DESCRIBE_H_
 #define LOAD_BALANCER_FLEET_NODE_DESCRIBE_H_
 
@@ -13,11 +13,13 @@
 
 namespace load_balancer::fleet {
 
-/// Every member as "name state incarnation age", this one first, and the traffic counters.
+/// Returns every member as "name state incarnation age", starting with this one, and then the traffic
+/// counters. The age is the time since the member's state or
+/// incarnation last changed.
 std::string DescribeMembers(const Membership& membership, const TrafficCounters& counters, Time now);
 
-/// The count and the newest and oldest age of each kind of entry, the fleet's limit and this member's share
-/// of it, and how many entries were rejected for which reason.
+/// Returns the count and the newest and oldest age of each kind of entry, the fleet's limit of requests in
+/// flight at one server, this member's share of that limit, and the number of rejected entries by reason.
 std::string DescribeState(const SharedState::Summary& summary, int limit, int share);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/fleet_listener.h
+++ b/src/fleet/node/fleet_listener.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The interface by which a fleet informs the process that is a member of it.
+/// The interface through which a Node notifies its process of changes in the fleet.
 #ifndef LOAD_BALANCER_FLEET_NODE_FLEET_LISTENER_H_
 #define LOAD_BALANCER_FLEET_NODE_FLEET_LISTENER_H_
 
@@ -12,22 +12,25 @@
 
 namespace load_balancer::fleet {
 
+/// Receives the notifications of a Node.
 class FleetListener {
  public:
   virtual ~FleetListener() = default;
-  /// Whether discovery lists the server now.
+  /// Returns whether discovery currently lists the server.
   virtual bool IsListed(const std::string& server) const = 0;
-  /// Another member has ejected a server.
+  /// Called when another member has ejected a server.
   virtual void OnEjection(const Ejection& ejection) = 0;
-  /// Another member sent a request with the key to the server at `written`.
+  /// Called when another member reports that it sent a request with this key to this server. `written` is the
+  /// time at which that member recorded it.
   virtual void OnKeyAffinity(const KeyAffinity& affinity, UnixMs written) = 0;
-  /// This process may have so many requests in flight at one server.
+  /// Called when this process's share of the fleet's limit changes. The process may have up to
+  /// `max_in_flight` requests in flight at any one server.
   virtual void OnLimitShare(int max_in_flight) = 0;
-  /// The whole table and state of a peer have been received for the first time.
+  /// Called once, when the complete member table and shared state of a peer have been received.
   virtual void OnJoined() = 0;
-  /// The role of this process in a duty has changed or was renewed.
+  /// Called when the role of this process in a duty has changed or its lease was renewed.
   virtual void OnLeaseStatus(const std::string& duty, LeaseStatus status) = 0;
-  /// The lease holder of a duty has published a value.
+  /// Called when the lease holder of a duty has published a value.
   virtual void OnFencedValue(const FencedValue& fenced) = 0;
 };
 
--- a/src/fleet/node/lease_announcement.h
+++ b/src/fleet/node/lease_announcement.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The fenced value by which the holder of a lease makes itself known to members that are not voters.
+/// The fenced value that announces the holder of a lease to members that are not voters.
 #ifndef LOAD_BALANCER_FLEET_NODE_LEASE_ANNOUNCEMENT_H_
 #define LOAD_BALANCER_FLEET_NODE_LEASE_ANNOUNCEMENT_H_
 
@@ -14,18 +14,20 @@
 
 namespace load_balancer::fleet {
 
+/// Names the holder of a lease and the time for which the lease remains valid.
 struct LeaseAnnouncement {
   std::string holder;
-  std::chrono::milliseconds left{0};  ///< of the lease
+  std::chrono::milliseconds left{0};  ///< remaining time of the lease
 };
 
-/// The key of the value that announces the holder of the duty.
+/// Returns the key of the fenced value that announces the holder of the duty.
 std::string AnnouncementKey(const std::string& duty);
 
+/// Returns the announcement as the content of a fenced value.
 nlohmann::json ToJson(const LeaseAnnouncement& announcement);
 
-/// The announcement in a value, with `left` between 0 and `max_left`; nothing if it is another value or
-/// malformed.
+/// Reads an announcement from a fenced value and limits `left` to the range from 0 to `max_left`. Returns
+/// nothing if the value is not an announcement or is malformed.
 std::optional<LeaseAnnouncement> ReadLeaseAnnouncement(const FencedValue& fenced,
                                                        std::chrono::milliseconds max_left);
 
--- a/src/fleet/node/lease_participant.cpp
+++ b/src/fleet/node/lease_participant.cpp
@@ -24,7 +24,7 @@
 
 void LeaseParticipant::Start(std::uint64_t incarnation) {
   if (!has_leases()) return;
-  // The steady clock's reading tells incarnations apart even if the wall clock went back.
+  // The reading of the steady clock distinguishes incarnations even if the wall clock has gone back.
   holder_ = fmt::format("{}/{}.{}", name_, incarnation, Steady::now().time_since_epoch().count());
   LeaseOptions options = LeaseOptionsOf(section_, options_.duties, seed_);
   options.holder = holder_;
@@ -111,7 +111,7 @@
 }
 
 bool LeaseParticipant::IsResponsibleFor(const std::string& duty) const {
-  // Before Start, too, an exclusive duty needs a lease.
+  // An exclusive duty requires a lease, and before Start this process cannot have one.
   if (!leases_) return !has_leases() || !IsExclusive(duty);
   const LeaseStatus status = leases_->status(Steady::now(), duty);
   return status == LeaseStatus::kHolder || status == LeaseStatus::kStandalone;
--- a/src/fleet/node/lease_participant.h
+++ b/src/fleet/node/lease_participant.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A node's part in the leases of its fleet's duties: its votes, its roles, and the announcement of the
-/// leases that it holds.
+/// The leases of a node: its votes as a voter, its role in each duty, and the announcements of the leases
+/// that it holds.
 #ifndef LOAD_BALANCER_FLEET_NODE_LEASE_PARTICIPANT_H_
 #define LOAD_BALANCER_FLEET_NODE_LEASE_PARTICIPANT_H_
 
@@ -22,45 +22,48 @@
 
 namespace load_balancer::fleet {
 
+/// Votes on leases, acquires them, and announces those that this process holds.
 class LeaseParticipant : private Leases::Callbacks {
  public:
-  /// Called from within the calls below.
+  /// Sends messages and publishes values. Its functions are called only from within calls of
+  /// LeaseParticipant.
   class Host {
    public:
     virtual ~Host() = default;
     virtual void SendLease(const Udp::endpoint& to, const LeaseMessage& message) = 0;
-    /// Publishes a value under a lease for `lifetime`. Fails with kLeaseExpired.
+    /// Publishes a value under a lease for `lifetime`. Fails with kLeaseExpired if the proof is no longer
+    /// valid.
     virtual Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                                  Span lifetime) = 0;
   };
 
-  /// All arguments outlive this.
+  /// All arguments must outlive the participant.
   LeaseParticipant(const FleetSection& section, const std::string& name, std::uint64_t seed,
                    const NodeOptions& options, FleetListener& listener, Host& host)
       : section_(section), name_(name), seed_(seed), options_(options), listener_(listener), host_(host) {}
 
-  /// Whether the fleet's duties have leases; without leases each process performs each duty.
+  /// Returns whether the fleet's duties have leases. Without leases every process performs every duty.
   bool has_leases() const { return section_.lease_term.count() > 0; }
-  /// Takes part from now on, if there are leases. To be called once the process has its address, since a
-  /// former process with the same votes does not vote any more then.
+  /// Starts voting and acquiring leases, if the duties have leases. Call this only after the process has
+  /// bound its address: the previous process, which uses the same vote file, has stopped voting by then.
   void Start(std::uint64_t incarnation);
-  /// Gives leases back and asks for none until Resume.
+  /// Releases all leases and requests none until Resume is called.
   void Release();
   void Resume();
   void Receive(const Udp::endpoint& from, const LeaseMessage& message);
   void Tick();
-  /// When Tick is due.
+  /// Returns the time at which Tick is due next.
   Time Next() const;
 
-  /// Takes the announcement of another holder. False if the value is something else.
+  /// Processes the announcement of another holder. Returns false if the value is not an announcement.
   bool ReceiveAnnouncement(const FencedValue& fenced);
 
-  /// The highest token known of each duty; empty before Start.
+  /// Returns the highest known token of each duty. Empty before Start.
   std::map<std::string, FencingToken> HighestTokens() const;
-  /// Makes the next tokens higher than these.
+  /// Ensures that future tokens are higher than these.
   void RaiseTokens(const std::map<std::string, FencingToken>& tokens);
 
-  /// See the functions of the same names in Node.
+  /// These functions are described at the functions of the same name in Node.
   bool IsResponsibleFor(const std::string& duty) const;
   std::optional<LeaseProof> ProveLease(const std::string& duty) const;
   bool IsFollowerOf(const std::string& duty) const;
@@ -84,9 +87,9 @@
   const NodeOptions& options_;
   FleetListener& listener_;
   Host& host_;
-  std::string holder_;  // this process's name as a holder, different in each of its incarnations
+  std::string holder_;  // the holder name of this process, unique to this incarnation
   std::unique_ptr<VoteFile> vote_file_;
-  std::optional<Leases> leases_;  // once started
+  std::optional<Leases> leases_;  // set by Start
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -14,7 +14,7 @@
 
 using Steady = std::chrono::steady_clock;
 
-// Until this member has received a table, its wait is that of a fleet of this size.
+// The fleet size that the first wait of Settle assumes, as this member may not have received a member table.
 constexpr std::size_t kAssumedMembers = 9;
 
 }  // namespace
@@ -45,8 +45,10 @@
   Update();
 }
 
-// The members that hold a share: those that are present and, unless these are a majority of all known ones,
-// the dead ones, since they may be the other side of a partition that goes on serving.
+// Returns the number of members that hold a share. These are the members that are present. Dead members are
+// included unless the present ones are a majority of all known members, because dead members may be on the
+// other side of a partition and continue to serve. A member that sees no other member counts at least the
+// seeds.
 std::size_t LimitShare::CountHolders() const {
   std::size_t dead = 0;
   for (const auto& [name, member] : membership_->others())
--- a/src/fleet/node/limit_share.h
+++ b/src/fleet/node/limit_share.h
@@ -15,24 +15,29 @@
 
 namespace load_balancer::fleet {
 
+/// Computes this member's share of the limit from the number of members and notifies the listener of changes.
 class LimitShare {
  public:
-  /// `component` is the name in log lines. `listener`, which outlives this, is informed of each new share.
+  /// `component` is the component name in log lines. `listener` is notified of each new share and must
+  /// outlive this object.
   LimitShare(boost::asio::io_context& io, const FleetSection& section, std::string component,
              FleetListener& listener);
 
-  /// `membership` outlives this or the call of Stop.
+  /// Sets the membership to count. `membership` must remain valid until Stop is called or this object is
+  /// destroyed.
   void Join(const Membership* membership) { membership_ = membership; }
-  /// The other members may not know of this one: the share is 1 until they must have heard of it.
+  /// Sets the share to 1 until the other members must have learned of this one. Call this whenever they may
+  /// not count this member yet.
   void Settle();
-  /// The share is 1 until Settle is called.
+  /// Sets the share to 1 until Settle is called.
   void Unsettle();
-  /// The set of members has changed.
+  /// Recomputes the share after a change in the set of members.
   void Update();
+  /// Stops the timer and releases the membership.
   void Stop();
 
   int limit() const { return section_.server_limit; }
-  /// As the listener was last informed; below 0: never.
+  /// Returns the share of which the listener was last notified; negative if it has not been notified yet.
   int share() const { return share_; }
 
  private:
--- a/src/fleet/node/node.cpp
+++ b/src/fleet/node/node.cpp
@@ -166,7 +166,7 @@
   transport_.Send(to, complete);
 }
 
-// A message that can wait carries state already, so there is nothing to attach.
+// Messages sent through TrySend already carry state, so no state is attached.
 bool Node::TrySend(const Udp::endpoint& to, const Message& message) {
   return !transport_.is_open() || transport_.TrySend(to, message);
 }
@@ -182,7 +182,7 @@
 void Node::OnStalled(Span late) {
   const long late_ms = std::lround(Seconds(late).count() * 1000);
   log::Warn(options_.component, Failure(kStalled, fmt::format("stalled for {} ms", late_ms)));
-  limit_share_.Settle();  // the other members may have taken this one's share meanwhile
+  limit_share_.Settle();  // the other members may have divided this member's share among themselves
 }
 
 void Node::OnDisplaced(const Udp::endpoint& by) {
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// This process as a member of a fleet: membership, replicated state, leases and payloads on one socket and
-/// one timer, with a log line for each change. A process may be a member of several fleets, with a Node for
-/// each. Where requests go is decided elsewhere.
+/// A member of a fleet. A Node runs membership, replicated state, leases and payloads on one socket and one
+/// timer, and logs each change. A process that is a member of several fleets has one Node for each. The Node
+/// does not route requests.
 #ifndef LOAD_BALANCER_FLEET_NODE_NODE_H_
 #define LOAD_BALANCER_FLEET_NODE_NODE_H_
 
@@ -28,68 +28,76 @@
 
 namespace load_balancer::fleet {
 
+/// Makes this process a member of a fleet.
 class Node : private Transport::Host,
              private Membership::Callbacks,
              private StateExchange::Host,
              private LeaseParticipant::Host {
  public:
-  /// Joins at once or, while another process has the address (one that this process replaces), as soon as
-  /// that one leaves it. `name` is the member's, `seed` that of random numbers. `listener` outlives this and
-  /// is called from the event loop only, never from within the constructor.
+  /// Joins the fleet. If the process that this one replaces still has the address, the node joins as soon as
+  /// the address is free. `name` is the member's name, and `seed` seeds its random numbers. `listener` must
+  /// outlive the node; it is called from the event loop only, never from within the constructor.
   Node(boost::asio::io_context& io, const FleetSection& section, const std::string& name, std::uint64_t seed,
        FleetListener& listener, NodeOptions options = {});
 
+  /// Releases all leases and leaves the fleet.
   void Leave();
+  /// Joins the fleet again after Leave.
   void Rejoin();
-  /// Leaves, and releases the address for another process.
+  /// Leaves the fleet and frees the address for another process.
   void Stop();
 
-  /// What a process hands on to its next incarnation, so that its claims and tokens are newer.
+  /// The state that a process passes to its next incarnation, so that the incarnation number and the tokens
+  /// of the next one are higher.
   struct SavedState {
     std::uint64_t incarnation = 0;
     std::map<std::string, FencingToken> tokens;  ///< by duty
   };
   SavedState Save() const;
-  /// To be called before the event loop runs.
+  /// Adopts the state of the previous incarnation. Call this before the event loop runs.
   void Restore(const SavedState& saved);
 
-  /// Informs the peers of what this process has observed.
+  /// Disseminates an observation of this process to the other members.
   void Announce(Ejection ejection) { state_.Announce(std::move(ejection)); }
   void Announce(KeyAffinity affinity) { state_.Announce(std::move(affinity)); }
 
-  /// Whether this process is to perform the duty: it holds the lease, or there are no leases, or no quorum
-  /// for the lease of an available duty.
+  /// Returns whether this process must perform the duty: it holds the lease, duties have no leases, or the
+  /// duty is an available one and there is no quorum of voters.
   bool IsResponsibleFor(const std::string& duty) const { return leases_.IsResponsibleFor(duty); }
-  /// The right to act for the duty; nothing unless this process holds its lease.
+  /// Returns the proof that this process holds the duty's lease, or nothing if it does not.
   std::optional<LeaseProof> ProveLease(const std::string& duty) const { return leases_.ProveLease(duty); }
-  /// Whether duties have leases; without leases each process performs each duty.
+  /// Returns whether duties have leases. Without leases every process performs every duty.
   bool has_leases() const { return leases_.has_leases(); }
-  /// Whether another member is known to hold the duty's lease.
+  /// Returns whether another member is known to hold the duty's lease.
   bool IsFollowerOf(const std::string& duty) const { return leases_.IsFollowerOf(duty); }
-  /// The token of the duty's lease if this process holds it; 0 otherwise.
+  /// Returns the token of the duty's lease if this process holds it, and 0 otherwise.
   FencingToken HeldToken(const std::string& duty) const { return leases_.HeldToken(duty); }
+  /// Returns the known holder of the duty's lease, or an empty string.
   std::string HolderOf(const std::string& duty) const { return leases_.HolderOf(duty); }
-  /// Publishes a value of the proof's duty for `lifetime`, under its token. Fails with kLeaseExpired.
+  /// Publishes a value under the token of the proof's lease, for `lifetime`. Fails with kLeaseExpired if the
+  /// proof is no longer valid.
   Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                        Span lifetime) override;
-  /// The same for several values, which go out in as few messages as they fit.
+  /// Publishes several values in as few messages as possible.
   Result<void> Publish(const LeaseProof& proof, std::vector<NamedValue> values, Span lifetime);
 
-  /// Sends a payload to the subscriber of the channel at a member; one without subscriber drops it, and it
-  /// may be lost as any datagram. False, and nothing is sent, if the channel's name is empty or exceeds
-  /// kMaxChannelBytes, or the payload exceeds kMaxPayloadBytes.
+  /// Sends a payload to the channel's subscriber at another member. A member without a subscriber drops it,
+  /// and it may be lost like any datagram. Returns false and sends nothing if the channel's name is empty or
+  /// exceeds kMaxChannelBytes, or if the payload exceeds kMaxPayloadBytes.
   bool Send(const Udp::endpoint& to, std::string channel, nlohmann::json payload);
+  /// Sets the handler of the payloads that arrive on a channel.
   void Subscribe(std::string channel, PayloadHandler handler) {
     subscriptions_.Subscribe(std::move(channel), std::move(handler));
   }
-  /// Null until the process has its address.
+  /// Returns the membership, or null until the process has bound its address.
   const Membership* membership() const { return membership_ ? &*membership_ : nullptr; }
 
-  /// One line: every duty as "duty role holder token left".
+  /// Returns one line with every duty as "duty role holder=H token=N left=SECONDSs kind=K", separated by
+  /// commas. Empty before this process participates in leases.
   std::string DescribeLeases() const { return leases_.Describe(); }
-  /// One line; see describe.h.
+  /// Returns one line about the shared state; the format is described in describe.h.
   std::string DescribeState();
-  /// One line; see describe.h.
+  /// Returns one line about the members; the format is described in describe.h.
   std::string DescribeMembers() const;
   const TrafficCounters& counters() const { return transport_.counters(); }
 
@@ -123,8 +131,8 @@
   LimitShare limit_share_;
   LeaseParticipant leases_;
   PayloadSubscriptions subscriptions_;
-  std::optional<Membership> membership_;  // once the process has its address
-  SavedState saved_;                      // of a former incarnation
+  std::optional<Membership> membership_;  // set once the process has bound its address
+  SavedState saved_;                      // state of the previous incarnation
   Time scheduled_tick_{};
   bool is_stopped_ = false;
   bool has_left_ = false;
--- a/src/fleet/node/node_options.h
+++ b/src/fleet/node/node_options.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Options of a node that are not in the configuration's section.
+/// Options of a node that the configuration section `fleet` does not contain.
 #ifndef LOAD_BALANCER_FLEET_NODE_NODE_OPTIONS_H_
 #define LOAD_BALANCER_FLEET_NODE_NODE_OPTIONS_H_
 
@@ -12,19 +12,21 @@
 
 namespace load_balancer::fleet {
 
-/// The duties of a site's fleet: watching discovery and changing the maintenance set.
+/// The duties of a site's fleet: polling discovery for the list of servers, and changing the maintenance set.
 inline constexpr char kDiscoveryDuty[] = "discovery";
 inline constexpr char kMaintenanceDuty[] = "maintenance";
 
-/// Without a quorum every member watches discovery, and none changes the maintenance set.
+/// Returns the duties of a site's fleet. Without a quorum of voters every member polls discovery, and no
+/// member changes the maintenance set.
 inline std::vector<LeasedRole> SiteLeasedRoles() {
   return {{kDiscoveryDuty, LeasedRoleKind::kAvailable}, {kMaintenanceDuty, LeasedRoleKind::kExclusive}};
 }
 
+/// Options of a node.
 struct NodeOptions {
-  std::string component = "fleet";                     ///< the name in log lines
-  std::vector<LeasedRole> duties = SiteLeasedRoles();  ///< leased where the section has a lease term
-  std::string votes;  ///< the file that keeps this voter's votes; empty: they are in memory only
+  std::string component = "fleet";                     ///< component name in log lines
+  std::vector<LeasedRole> duties = SiteLeasedRoles();  ///< leased if the section sets a lease term
+  std::string votes;  ///< path of the file that stores this voter's votes; if empty, they are kept in memory
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/payload_subscriptions.h
+++ b/src/fleet/node/payload_subscriptions.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Handlers of the payloads that layers above the fleet exchange, by channel.
+/// The handlers, by channel, of payloads that components above the fleet layer exchange.
 #ifndef LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
 #define LOAD_BALANCER_FLEET_NODE_PAYLOAD_SUBSCRIPTIONS_H_
 
@@ -14,17 +14,19 @@
 
 namespace load_balancer::fleet {
 
-/// Takes a payload as it was received: it has not been validated. `sender` is the member as it sees itself.
+/// Handles a received payload, which has not been validated. `sender` is the entry that the sending member
+/// has for itself.
 using PayloadHandler = std::function<void(const Update& sender, const nlohmann::json& payload)>;
 
+/// Maps channels to payload handlers.
 class PayloadSubscriptions {
  public:
-  /// Replaces the channel's former handler.
+  /// Sets the handler of a channel and replaces the previous one.
   void Subscribe(std::string channel, PayloadHandler handler) {
     handlers_[std::move(channel)] = std::move(handler);
   }
 
-  /// False if the message's channel has no handler.
+  /// Passes the payload to the handler of its channel. Returns false if the channel has no handler.
   bool Deliver(const Message& message) const {
     const auto found = handlers_.find(message.channel);
     if (found == handlers_.end()) return false;
--- a/src/fleet/node/section_options.h
+++ b/src/fleet/node/section_options.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The options of a member's parts that follow from the configuration's section.
+/// Conversion of the configuration section `fleet` to the options of membership and leases.
 #ifndef LOAD_BALANCER_FLEET_NODE_SECTION_OPTIONS_H_
 #define LOAD_BALANCER_FLEET_NODE_SECTION_OPTIONS_H_
 
@@ -15,11 +15,13 @@
 
 namespace load_balancer::fleet {
 
-/// `name` is the member's, `seed` that of its random numbers.
+/// Returns the membership options for a section. `name` is the member's name, and `seed` seeds its random
+/// numbers.
 MembershipOptions MembershipOptionsOf(const FleetSection& section, const std::string& name,
                                       std::uint64_t incarnation, std::uint64_t seed);
 
-/// The seeds are the voters. The holder's name and the stored votes are left to the caller.
+/// Returns the lease options for a section. The section's seeds become the voters. The caller sets the holder
+/// name and the stored votes.
 LeaseOptions LeaseOptionsOf(const FleetSection& section, const std::vector<LeasedRole>& duties,
                             std::uint64_t seed);
 
--- a/src/fleet/node/send_budget.h
+++ b/src/fleet/node/send_budget.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// A token bucket for the bytes that a member sends.
+/// A token bucket that limits the bytes that a member sends.
 #ifndef LOAD_BALANCER_FLEET_NODE_SEND_BUDGET_H_
 #define LOAD_BALANCER_FLEET_NODE_SEND_BUDGET_H_
 
@@ -14,18 +14,18 @@
 
 namespace load_balancer::fleet {
 
-/// Refills at `max_bytes_per_second` and holds one second's worth.
+/// Limits the bytes sent to `max_bytes_per_second`, with bursts of up to one second's worth.
 class SendBudget {
  public:
-  /// The part of a second's worth that bulk traffic leaves to probes, leases and what else cannot wait.
+  /// The share of the capacity that bulk traffic must leave for probes, leases and other urgent messages.
   static constexpr double kReservedShare = 0.5;
 
   SendBudget(double max_bytes_per_second, Time now)
       : max_bytes_per_second_(max_bytes_per_second), available_(max_bytes_per_second), refilled_at_(now) {}
 
-  /// Spends `bytes` if so many are available.
+  /// Spends `bytes` if that many are available; otherwise returns false.
   bool TrySpend(Time now, std::size_t bytes) { return TrySpendAbove(now, bytes, 0); }
-  /// The same, but leaves the reserve.
+  /// Spends `bytes` for bulk traffic if that many are available above the reserved share.
   bool TrySpendBulk(Time now, std::size_t bytes) {
     return TrySpendAbove(now, bytes, kReservedShare * max_bytes_per_second_);
   }
--- a/src/fleet/node/state_exchange.cpp
+++ b/src/fleet/node/state_exchange.cpp
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr std::chrono::seconds kRejectionLogInterval{10};
-constexpr int kMaxRejectionLines = 20;  // in an interval
+constexpr int kMaxRejectionLines = 20;  // per kRejectionLogInterval
 
 std::string OrDash(const std::string& text) { return text.empty() ? "-" : text; }
 
@@ -54,7 +54,7 @@
                         ejection.until - now, age));
 }
 
-// A faulty member must not fill the log.
+// Limits the number of rejection lines, so that a faulty member cannot fill the log.
 bool StateExchange::MayLogRejection() {
   const Time now = std::chrono::steady_clock::now();
   if (now - rejections_counted_from_ >= kRejectionLogInterval) {
--- a/src/fleet/node/state_exchange.h
+++ b/src/fleet/node/state_exchange.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The replicated state of this process: gossip on the wall clock, with a log line for each accepted ejection
-/// and each rejected entry.
+/// The replicated state of this process. Runs gossip with the time of the wall clock and logs accepted
+/// ejections and rejected entries.
 #ifndef LOAD_BALANCER_FLEET_NODE_STATE_EXCHANGE_H_
 #define LOAD_BALANCER_FLEET_NODE_STATE_EXCHANGE_H_
 
@@ -18,32 +18,35 @@
 
 namespace load_balancer::fleet {
 
+/// Exchanges replicated entries with the other members.
 class StateExchange : private SharedState::Host {
  public:
-  /// Called from within the calls below.
+  /// Sends messages and receives accepted values. Its functions are called only from within calls of
+  /// StateExchange.
   class Host : public StateGossip::MessageSender {
    public:
-    /// Another member's value of a duty has been accepted.
+    /// Called when a fenced value of another member has been accepted.
     virtual void OnFencedValue(const FencedValue& fenced) = 0;
   };
 
-  /// `component` is the name in log lines. `listener` and `host` outlive this.
+  /// `component` is the component name in log lines. `listener` and `host` must outlive this object.
   StateExchange(const FleetSection& section, const std::string& name, std::string component,
                 FleetListener& listener, Host& host);
 
-  /// Entries are exchanged from now on. `membership` outlives this or the call of Stop.
+  /// Starts to exchange entries. `membership` must remain valid until Stop is called or this object is
+  /// destroyed.
   void Join(Membership* membership) { gossip_.Join(membership); }
   void Stop() { gossip_.Stop(); }
 
   void Receive(const Message& message);
-  /// Adds entries as far as there is room, or, to a sync, the digests of all entries.
+  /// Adds as many entries to the message as fit. To a sync message it adds the digests of all entries.
   void AttachState(Message* message) { gossip_.AttachState(UnixMilliseconds(), message); }
 
-  /// Disseminates an entry of this process. An affinity waits for a message that has room.
+  /// Disseminates an entry of this process. An affinity is sent with a later message that has space for it.
   void Announce(Ejection ejection) { gossip_.Announce(UnixMilliseconds(), std::move(ejection)); }
   void Announce(KeyAffinity affinity) { gossip_.Announce(UnixMilliseconds(), std::move(affinity)); }
   void Announce(std::vector<FencedValue> values) { gossip_.Announce(UnixMilliseconds(), std::move(values)); }
-  /// Sends what the bandwidth limit has held back. To be called now and then.
+  /// Sends entries that the bandwidth limit has delayed. Call this periodically.
   void ContinuePush() { gossip_.ContinuePush(UnixMilliseconds()); }
 
   SharedState::Summary Summarize();
--- a/src/fleet/node/transport.cpp
+++ b/src/fleet/node/transport.cpp
@@ -82,7 +82,7 @@
   LogDrops();
 }
 
-// Logs the first drop and then at most one line in an interval, so that a flood does not fill the log.
+// Logs the first drop and then at most one line per kDropLogInterval, so that a flood cannot fill the log.
 void Transport::LogDrops() {
   const Time now = Steady::now();
   if (now < next_drop_log_) return;
@@ -97,7 +97,8 @@
   log::Warn(options_.component, Failure(kBandwidthLimitReached, FormatThrottleCounters(counters_)));
 }
 
-// Piggybacked state can wait, as a push can: where only reserved bytes are left, the message goes without it.
+// Piggybacked state can be delayed like a push. If only reserved bandwidth is left, the message is sent
+// without it.
 void Transport::Send(const Udp::endpoint& to, const Message& message) {
   if (!message.state.is_null()) {
     if (TrySend(to, message)) return;
@@ -121,7 +122,7 @@
 
 void Transport::Deliver(const Udp::endpoint& to, const Message& message,
                         std::span<const std::uint8_t> datagram) {
-  Error ignored;  // a datagram may be lost anyway
+  Error ignored;  // datagrams may be lost in any case, so a failure needs no handling
   socket_.send_to(asio::buffer(datagram.data(), datagram.size()), to, 0, ignored);
   ++counters_.sent;
   counters_.bytes_sent += datagram.size();
--- a/src/fleet/node/transport.h
+++ b/src/fleet/node/transport.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The UDP socket of a member: sends and receives messages within a bandwidth limit and counts what it drops.
+/// The UDP socket of a member. Sends messages within a bandwidth limit, receives messages, and counts dropped
+/// datagrams.
 #ifndef LOAD_BALANCER_FLEET_NODE_TRANSPORT_H_
 #define LOAD_BALANCER_FLEET_NODE_TRANSPORT_H_
 
@@ -22,37 +23,41 @@
 
 namespace load_balancer::fleet {
 
+/// Options of a Transport.
 struct TransportOptions {
-  std::string component;  ///< the name in log lines
-  std::string fleet;      ///< messages of other fleets are dropped
+  std::string component;  ///< component name in log lines
+  std::string fleet;      ///< name of the fleet; messages of other fleets are dropped
   Udp::endpoint bind;
-  std::chrono::milliseconds retry_interval{1000};  ///< while another process has the address
-  double max_bytes_per_second = 65536;             ///< sent, in bursts of up to one second's worth
+  std::chrono::milliseconds retry_interval{1000};  ///< between attempts to bind the address
+  double max_bytes_per_second = 65536;  ///< limit of bytes sent, with bursts of up to one second's worth
 };
 
+/// Sends and receives the messages of one member.
 class Transport {
  public:
-  /// Called from the event loop, OnOpen also from within Open.
+  /// Handles received messages. Its functions are called from the event loop; OnOpen may also be called from
+  /// within Open.
   class Host {
    public:
     virtual ~Host() = default;
-    /// The socket is bound; messages are received from now on.
+    /// Called when the socket is bound. Messages are received after this call.
     virtual void OnOpen() = 0;
     virtual void OnMessage(const Message& message) = 0;
   };
 
-  /// `host` outlives this.
+  /// `host` must outlive the transport.
   Transport(boost::asio::io_context& io, TransportOptions options, Host& host);
 
-  /// Binds the address, as soon as no other process has it.
+  /// Binds the address. Retries while another process has it.
   void Open();
   void Close();
   bool is_open() const { return socket_.is_open(); }
 
-  /// Sends the message, which may be lost as any datagram, unless the bandwidth limit is reached.
+  /// Sends the message unless the bandwidth limit is reached. The message may be lost like any datagram. Its
+  /// state is removed if only the bandwidth that is reserved for urgent messages is left.
   void Send(const Udp::endpoint& to, const Message& message);
-  /// The same for a message that can wait: it leaves a part of the bandwidth to the others. False, and
-  /// nothing is sent or counted, if no more is left.
+  /// Sends a message that can be delayed, and leaves the reserved share of the bandwidth to urgent messages.
+  /// Returns false, sends nothing and counts nothing if not enough bandwidth is left.
   [[nodiscard]] bool TrySend(const Udp::endpoint& to, const Message& message);
   /// Counts a received message that was dropped.
   void CountDrop(DropReason reason);
--- a/src/fleet/section.cpp
+++ b/src/fleet/section.cpp
@@ -7,9 +7,10 @@
 namespace load_balancer::fleet {
 namespace {
 
-// Lifeguard's longest suspicion is this many times the shortest one,
+// The ratio of the longest suspicion to the shortest one, as in Lifeguard.
 constexpr int kLongestToShortestSuspicion = 6;
-// which grows with the decimal logarithm of the members.
+// The shortest suspicion grows with the decimal logarithm of the number of members. 4 stands for 10,000
+// members.
 constexpr int kLogarithmOfMembers = 4;
 
 void ReadMembership(Section* section, FleetSection* fleet) {
--- a/src/fleet/section_limits.h
+++ b/src/fleet/section_limits.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Limits of the keys that the configuration's sections `fleet` and `sites` have in common.
+/// Limits of the keys that the configuration sections `fleet` and `sites` share.
 #ifndef LOAD_BALANCER_FLEET_SECTION_LIMITS_H_
 #define LOAD_BALANCER_FLEET_SECTION_LIMITS_H_
 
@@ -16,7 +16,7 @@
 inline constexpr std::int64_t kMaxLeaseTermMs = 600000;
 inline constexpr IntegerRange kMaxBytesPerSecond{4096, 1 << 30};
 
-/// The least ratio of a lease's term to the drift of clocks that it allows for.
+/// The minimum ratio of the lease term to the clock drift.
 inline constexpr int kLeaseTermsPerDrift = 6;
 
 }  // namespace load_balancer::fleet
