--- a/tests/model/chatter.h
+++ b/tests/model/numbered_sender.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Programs that send numbered packets round and note what they get, for tests of the model itself.
-#ifndef LOAD_BALANCER_TESTS_MODEL_CHATTER_H_
-#define LOAD_BALANCER_TESTS_MODEL_CHATTER_H_
+#ifndef LOAD_BALANCER_TESTS_MODEL_NUMBERED_SENDER_H_
+#define LOAD_BALANCER_TESTS_MODEL_NUMBERED_SENDER_H_
 
 #include <string>
 #include <vector>
@@ -68,4 +68,4 @@
 
 }  // namespace load_balancer::model
 
-#endif  // LOAD_BALANCER_TESTS_MODEL_CHATTER_H_
+#endif  // LOAD_BALANCER_TESTS_MODEL_NUMBERED_SENDER_H_
--- a/tests/model/world_test.cpp
+++ b/tests/model/world_test.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <set>
 
-#include "chatter.h"
+#include "numbered_sender.h"
 #include "model/fault.h"
 
 namespace load_balancer::model {
