--- a/model/fault.h
+++ b/model/fault.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Faults of a run: drawn from a seed, written down, played again.
+// Faults that are injected into a run. They are drawn from a seed and can be written to a trace.
 #ifndef LOAD_BALANCER_MODEL_FAULT_H_
 #define LOAD_BALANCER_MODEL_FAULT_H_
 
@@ -13,43 +13,47 @@
 
 namespace load_balancer::model {
 
+// The kinds of faults. Names in backquotes are fields of Fault.
 enum class FaultKind {
-  kCrash,        // of each of `who`; restarts after `lasts`
-  kCrashNoDisk,  // the same, and the disk is lost
-  kStall,        // of each of `who`
-  kCutOneWay,    // from the first of `who` to the others of it
-  kPartition,    // `who` from all others
-  kLoss,         // probability `figure`, on what goes from or to `who` (empty: everywhere)
-  kDelay,        // of up to `figure` ms more, likewise
-  kDuplicate,    // probability `figure`, likewise
-  kReorder,      // probability `figure`, likewise; held for up to kReorderHold
-  kWallJump      // of each of `who` by `figure` ms, at once and for good
+  kCrash,        // `machines` crash and restart after `duration`
+  kCrashNoDisk,  // like kCrash, and the machines lose their disks
+  kStall,        // `machines` stand still
+  kCutOneWay,    // no packets from the first of `machines` to the others
+  kPartition,    // no packets between `machines` and all other machines
+  kLoss,       // packets from or to `machines` (if empty: all packets) are lost with probability `magnitude`
+  kDelay,      // these packets are delayed by up to `magnitude` ms
+  kDuplicate,  // these packets are duplicated with probability `magnitude`
+  kReorder,    // with probability `magnitude` these packets are delayed by up to kMaxReorderDelay
+  kWallJump    // the wall clocks of `machines` jump by `magnitude` ms and keep that offset
 };
 inline constexpr int kFaultKinds = 10;
-inline constexpr Moment kReorderHold = std::chrono::milliseconds(500);
+inline constexpr Moment kMaxReorderDelay = std::chrono::milliseconds(500);
+// Returns the name of the kind as it appears in traces.
 std::string_view Name(FaultKind kind);
 
+// Describes one fault.
 struct Fault {
-  Moment at{0}, lasts{0};
+  Moment at{0}, duration{0};
   FaultKind kind = FaultKind::kCrash;
-  std::vector<std::size_t> who;
-  double figure = 0;
+  std::vector<std::size_t> machines;
+  double magnitude = 0;  // the unit depends on the kind
   bool operator==(const Fault&) const = default;
 };
 
+// Limits the faults that DrawFaults draws.
 struct FaultOptions {
-  std::size_t machines = 0;                                                    // 0 to machines - 1 may be hit
-  std::size_t count = 10;                                                      // faults
-  Moment from{0}, to{std::chrono::seconds(60)};                                // all begin and end within
-  Moment least{std::chrono::milliseconds(50)}, most{std::chrono::seconds(5)};  // that one lasts
-  std::vector<FaultKind> kinds;                                                // to draw from; empty: all
-  double most_loss = 0.5, most_delay_ms = 1500, most_jump_ms = 60000;
+  std::size_t machines = 0;                      // faults affect machines 0 to machines - 1
+  std::size_t count = 10;                        // number of faults
+  Moment from{0}, to{std::chrono::seconds(60)};  // all faults begin and end in this interval
+  Moment min_duration{std::chrono::milliseconds(50)}, max_duration{std::chrono::seconds(5)};
+  std::vector<FaultKind> kinds;  // kinds to draw from; if empty, all
+  double max_loss = 0.5, max_delay_ms = 1500, max_jump_ms = 60000;
 };
 
-// A function of the seed and the options, in the order of their beginnings.
+// Draws faults from the seed and returns them ordered by the time at which they begin.
 std::vector<Fault> DrawFaults(std::uint64_t seed, const FaultOptions& options);
 
-// To happen at its moment. Machines that the world does not have are passed over.
+// Schedules a fault in a world. Ignores machines that the world does not have.
 void Inject(World& world, const Fault& fault);
 
 }  // namespace load_balancer::model
--- a/model/fleet/federation.cpp
+++ b/model/fleet/federation.cpp
@@ -12,7 +12,8 @@
 constexpr unsigned short kPort = 7900;
 constexpr std::uint32_t kFirstAddress = 0x0a000001;  // 10.0.0.1
 
-std::string NameOf(std::size_t site, std::size_t member) {
+// Returns "sS.gG" for member G of site S, both counted from 1.
+std::string MemberName(std::size_t site, std::size_t member) {
   std::string name = std::to_string(site + 1);
   name.insert(name.begin(), 's');
   return name.append(".g").append(std::to_string(member + 1));
@@ -20,7 +21,7 @@
 
 }  // namespace
 
-std::unique_ptr<FleetProgram> Federation::PlainProgram(Host& host, const FleetSetup& setup) {
+std::unique_ptr<FleetProgram> Federation::MakeProgram(Host& host, const FleetSetup& setup) {
   return std::make_unique<FleetProgram>(host, setup);
 }
 
@@ -28,21 +29,21 @@
   return {boost::asio::ip::address_v4(kFirstAddress + static_cast<std::uint32_t>(machine)), kPort};
 }
 
-Federation::Federation(std::uint64_t seed, FederationOptions options, Maker maker)
+Federation::Federation(std::uint64_t seed, FederationOptions options, ProgramFactory factory)
     : seed_(seed),
       options_(std::move(options)),
-      maker_(std::move(maker)),
-      wide_(options_.wide),
+      factory_(std::move(factory)),
+      federation_section_(options_.federation_pool),
       world_(seed) {
   world_.network().SetDefault(options_.link);
-  world_.network().SetWide(options_.wide_link);
+  world_.network().SetInterSite(options_.inter_site_link);
   for (std::size_t site = 0; site < options_.sites; ++site) {
     sections_.push_back(options_.fleet);
     for (std::size_t i = 0; i < std::min(options_.seeds, options_.members); ++i)
-      sections_.back().seeds.push_back(AddressOf(Machine(site, i)));
+      sections_.back().seeds.push_back(AddressOf(MachineIndex(site, i)));
   }
-  for (std::size_t i = 0; i < std::min(options_.wide_seeds, size()); ++i)
-    wide_.seeds.push_back(AddressOf(Machine(i % options_.sites, i / options_.sites)));
+  for (std::size_t i = 0; i < std::min(options_.federation_seeds, size()); ++i)
+    federation_section_.seeds.push_back(AddressOf(MachineIndex(i % options_.sites, i / options_.sites)));
   for (std::size_t machine = 0; machine < size(); ++machine) Start(machine);
 }
 
@@ -53,24 +54,25 @@
   setup.member = machine % options_.members;
   setup.site_pool = {sections_[setup.site], kSitePool, setup.site, options_.duties, 0, options_.observer};
   if (options_.federated)
-    setup.wide_pool = {wide_, kWidePool, setup.site, options_.wide_duties, 0, options_.observer};
+    setup.federation_pool = {federation_section_, kFederationPool, setup.site, options_.federation_duties, 0,
+                             options_.observer};
   return setup;
 }
 
 void Federation::Start(std::size_t machine) {
   MachineClock clock;
-  std::uniform_real_distribution<double> error(-options_.most_rate_error, options_.most_rate_error);
-  clock.rate += options_.most_rate_error > 0 ? error(world_.random()) : 0;
+  std::uniform_real_distribution<double> error(-options_.max_rate_error, options_.max_rate_error);
+  clock.rate += options_.max_rate_error > 0 ? error(world_.random()) : 0;
   clock.offset = std::chrono::seconds(1 + world_.random()() % 100000);
   FleetSetup setup = SetupOf(machine);
   world_.network().Place(machine, setup.site);
-  const auto make = [this, setup, life = std::uint64_t{0}](Host& host) mutable {
-    const std::array<std::uint64_t, 2> of{setup.machine, ++life};
-    setup.site_pool.seed = XXH64(of.data(), sizeof of, seed_);
-    if (setup.wide_pool) setup.wide_pool->seed = setup.site_pool.seed + 1;
-    return maker_(host, setup);
+  const auto make = [this, setup, incarnation = std::uint64_t{0}](Host& host) mutable {
+    const std::array<std::uint64_t, 2> seed_input{setup.machine, ++incarnation};
+    setup.site_pool.seed = XXH64(seed_input.data(), sizeof seed_input, seed_);
+    if (setup.federation_pool) setup.federation_pool->seed = setup.site_pool.seed + 1;
+    return factory_(host, setup);
   };
-  world_.Add(NameOf(setup.site, setup.member), AddressOf(machine), make, clock);
+  world_.Add(MemberName(setup.site, setup.member), AddressOf(machine), make, clock);
 }
 
 FleetProgram* Federation::program(std::size_t machine) {
@@ -80,7 +82,7 @@
 PoolMember* Federation::member(std::size_t machine, std::size_t pool) {
   FleetProgram* running = program(machine);
   if (!running) return nullptr;
-  return pool == kSitePool ? &running->site() : running->wide();
+  return pool == kSitePool ? &running->site() : running->federation_member();
 }
 
 std::vector<std::size_t> Federation::PoolOf(std::size_t machine, std::size_t pool) const {
@@ -91,7 +93,7 @@
   return machines;
 }
 
-std::vector<std::string> WrongViews(Federation& federation, std::size_t pool) {
+std::vector<std::string> FindWrongViews(Federation& federation, std::size_t pool) {
   std::vector<std::string> wrong;
   for (std::size_t machine = 0; machine < federation.size(); ++machine) {
     PoolMember* viewer = federation.member(machine, pool);
@@ -114,7 +116,7 @@
   return wrong;
 }
 
-std::vector<std::string> WrongStates(Federation& federation, std::size_t pool) {
+std::vector<std::string> FindDifferingStates(Federation& federation, std::size_t pool) {
   std::vector<std::string> wrong;
   for (std::size_t machine = 0; machine < federation.size(); ++machine) {
     PoolMember* one = federation.member(machine, pool);
@@ -130,12 +132,12 @@
   return wrong;
 }
 
-std::vector<std::size_t> Holders(Federation& federation, std::size_t machine, std::size_t pool,
-                                 const std::string& duty) {
+std::vector<std::size_t> FindHolders(Federation& federation, std::size_t machine, std::size_t pool,
+                                     const std::string& duty) {
   std::vector<std::size_t> holders;
   for (const std::size_t other : federation.PoolOf(machine, pool)) {
     const PoolMember* member = federation.member(other, pool);
-    if (member && member->Holds(duty)) holders.push_back(other);
+    if (member && member->HoldsLease(duty)) holders.push_back(other);
   }
   return holders;
 }
--- a/model/fleet/federation.h
+++ b/model/fleet/federation.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Sites of gateways in one world, each site a fleet, all together a federation, and checks on them.
+// A federation in one world: several sites of gateways, each site a fleet, with checks on the members' views.
 #ifndef LOAD_BALANCER_MODEL_FLEET_FEDERATION_H_
 #define LOAD_BALANCER_MODEL_FLEET_FEDERATION_H_
 
@@ -14,40 +14,46 @@
 
 namespace load_balancer::model {
 
+// Options of a Federation.
 struct FederationOptions {
-  std::size_t sites = 1, members = 5;     // members of each site
-  fleet::FleetSection fleet;              // of each site's pool; its seeds are set here
-  std::size_t seeds = 3;                  // the first members of each site; they vote
-  std::vector<fleet::LeasedRole> duties;  // of each site
-  bool federated = false;                 // whether there is a pool of all
-  fleet::FleetSection wide;               // of that pool; its seeds are set here
-  std::size_t wide_seeds = 3;             // the first members of the first sites, going round the sites
-  std::vector<fleet::LeasedRole> wide_duties;
-  Link link;  // within a site
-  Link wide_link{0, 0, 0, std::chrono::milliseconds(5), std::chrono::milliseconds(8)};
-  double most_rate_error = 0;  // each clock runs at a rate of 1 plus or minus up to this
+  std::size_t sites = 1, members = 5;  // number of sites and of members of each site
+  fleet::FleetSection fleet;           // configuration of each site's pool; Federation sets the seeds
+  std::size_t seeds = 3;  // number of seeds of each site: its first members, which are the voters
+  std::vector<fleet::LeasedRole> duties;  // leased duties of each site
+  bool federated = false;                 // whether there is also a pool of all gateways
+  fleet::FleetSection federation_pool;    // configuration of that pool; Federation sets the seeds
+  std::size_t federation_seeds = 3;       // number of seeds of that pool, taken from the sites in turn
+  std::vector<fleet::LeasedRole> federation_duties;
+  Link link;  // between members of a site
+  // The link between members of different sites.
+  Link inter_site_link{0, 0, 0, std::chrono::milliseconds(5), std::chrono::milliseconds(8)};
+  double max_rate_error = 0;  // each clock's rate is within this of 1
   Observer* observer = nullptr;
 };
 
+// Creates the machines of all sites and starts their programs.
 class Federation {
  public:
-  // A machine's program, made anew at each start.
-  using Maker = std::function<std::unique_ptr<FleetProgram>(Host&, const FleetSetup&)>;
-  static std::unique_ptr<FleetProgram> PlainProgram(Host& host, const FleetSetup& setup);
+  // Creates a machine's program. Called at each start of the machine.
+  using ProgramFactory = std::function<std::unique_ptr<FleetProgram>(Host&, const FleetSetup&)>;
+  static std::unique_ptr<FleetProgram> MakeProgram(Host& host, const FleetSetup& setup);
 
-  // All start at once.
-  Federation(std::uint64_t seed, FederationOptions options, Maker maker = PlainProgram);
+  // Starts all machines.
+  Federation(std::uint64_t seed, FederationOptions options, ProgramFactory factory = MakeProgram);
 
   World& world() { return world_; }
   const FederationOptions& options() const { return options_; }
   std::size_t size() const { return options_.sites * options_.members; }
-  std::size_t Machine(std::size_t site, std::size_t member) const { return site * options_.members + member; }
+  // Returns the machine of a member of a site.
+  std::size_t MachineIndex(std::size_t site, std::size_t member) const {
+    return site * options_.members + member;
+  }
   static Endpoint AddressOf(std::size_t machine);
-  // Null while it is down.
+  // Returns the machine's program, or null while it is down.
   FleetProgram* program(std::size_t machine);
-  // Null while it is down, or without such a pool.
+  // Returns the machine's member of a pool, or null while the machine is down or if there is no such pool.
   PoolMember* member(std::size_t machine, std::size_t pool);
-  // Those of the machine's pool, itself among them.
+  // Returns all machines of the machine's pool, including itself.
   std::vector<std::size_t> PoolOf(std::size_t machine, std::size_t pool) const;
 
  private:
@@ -56,20 +62,21 @@
 
   const std::uint64_t seed_;
   const FederationOptions options_;
-  const Maker maker_;
-  std::vector<fleet::FleetSection> sections_;  // of each site's pool
-  fleet::FleetSection wide_;
+  const ProgramFactory factory_;
+  std::vector<fleet::FleetSection> sections_;  // by site
+  fleet::FleetSection federation_section_;
   World world_;
 };
 
-// One line for each wrong view: a running member that another running one does not hold as alive, or one that
-// is down held as present. Nothing if all views are right.
-std::vector<std::string> WrongViews(Federation& federation, std::size_t pool);
-// One line for each running member whose shared state differs from that of the first of its pool.
-std::vector<std::string> WrongStates(Federation& federation, std::size_t pool);
-// Running members of the machine's pool that hold the duty now, by their own clocks.
-std::vector<std::size_t> Holders(Federation& federation, std::size_t machine, std::size_t pool,
-                                 const std::string& duty);
+// Returns one line for each wrong view. A view is wrong if a running member does not see another running
+// member as alive, or if it sees a member that is down as present (alive or suspect).
+std::vector<std::string> FindWrongViews(Federation& federation, std::size_t pool);
+// Returns one line for each running member whose shared state differs from that of the first running member
+// of its pool.
+std::vector<std::string> FindDifferingStates(Federation& federation, std::size_t pool);
+// Returns the running members of the machine's pool that hold the duty's lease according to their own clocks.
+std::vector<std::size_t> FindHolders(Federation& federation, std::size_t machine, std::size_t pool,
+                                     const std::string& duty);
 
 }  // namespace load_balancer::model
 
--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -14,9 +14,10 @@
 using fleet::Message;
 
 fleet::MembershipOptions OptionsOf(const PoolOptions& options, const Host& host) {
-  auto of = fleet::MembershipOptionsOf(options.section, host.Name(), host.Wall(), options.seed);
-  of.address = host.Address();
-  return of;
+  auto membership_options =
+      fleet::MembershipOptionsOf(options.section, host.Name(), host.Wall(), options.seed);
+  membership_options.address = host.Address();
+  return membership_options;
 }
 
 std::chrono::milliseconds Milliseconds(Span span) {
@@ -38,16 +39,16 @@
 }
 
 void PoolMember::StartLeases() {
-  fleet::LeaseOptions of = fleet::LeaseOptionsOf(options_.section, options_.duties, options_.seed);
-  of.holder = Holder();
-  of.address = host_.Address();
-  of.stored_votes = votes_.Load().value();
-  of.vote_store = &votes_;
-  leases_.emplace(std::move(of), host_.Now(), static_cast<fleet::Leases::Callbacks&>(*this));
+  fleet::LeaseOptions options = fleet::LeaseOptionsOf(options_.section, options_.duties, options_.seed);
+  options.holder = HolderName();
+  options.address = host_.Address();
+  options.stored_votes = votes_.Load().value();
+  options.vote_store = &votes_;
+  leases_.emplace(std::move(options), host_.Now(), static_cast<fleet::Leases::Callbacks&>(*this));
 }
 
-// The name and a mark of this life.
-std::string PoolMember::Holder() const {
+// Returns the member's name with the seed, which identifies this incarnation.
+std::string PoolMember::HolderName() const {
   std::string holder = host_.Name();
   return holder.append("/").append(std::to_string(options_.seed));
 }
@@ -73,25 +74,27 @@
   gossip_.Announce(host_.Wall(), std::move(affinity));
 }
 
-void PoolMember::Publish(const std::string& duty, const std::string& key, nlohmann::json value, Span lasts) {
-  if (const auto proof = ProveLease(duty)) Publish(*proof, key, std::move(value), lasts);
+void PoolMember::Publish(const std::string& duty, const std::string& key, nlohmann::json value,
+                         Span lifetime) {
+  if (const auto proof = ProveLease(duty)) Publish(*proof, key, std::move(value), lifetime);
 }
 
-void PoolMember::Publish(const std::string& duty, std::vector<fleet::NamedValue> values, Span lasts) {
-  if (const auto proof = ProveLease(duty)) Publish(*proof, std::move(values), lasts);
+void PoolMember::Publish(const std::string& duty, std::vector<fleet::NamedValue> values, Span lifetime) {
+  if (const auto proof = ProveLease(duty)) Publish(*proof, std::move(values), lifetime);
 }
 
 bool PoolMember::Publish(const fleet::LeaseProof& proof, const std::string& key, nlohmann::json value,
-                         Span lasts) {
+                         Span lifetime) {
   std::vector<fleet::NamedValue> values;
   values.push_back({key, std::move(value)});
-  return Publish(proof, std::move(values), lasts);
+  return Publish(proof, std::move(values), lifetime);
 }
 
-bool PoolMember::Publish(const fleet::LeaseProof& proof, std::vector<fleet::NamedValue> values, Span lasts) {
+bool PoolMember::Publish(const fleet::LeaseProof& proof, std::vector<fleet::NamedValue> values,
+                         Span lifetime) {
   if (!proof.IsValid(host_.Now())) return false;
   const fleet::UnixMs now = host_.Wall();
-  const fleet::UnixMs until = now + static_cast<fleet::UnixMs>(Milliseconds(lasts).count());
+  const fleet::UnixMs until = now + static_cast<fleet::UnixMs>(Milliseconds(lifetime).count());
   std::vector<fleet::FencedValue> fenced;
   for (fleet::NamedValue& each : values)
     fenced.push_back({proof.lease_name(), std::move(each.key), proof.token(), until, std::move(each.value)});
@@ -118,7 +121,7 @@
   if (leases_) leases_->Resume(host_.Now());
 }
 
-bool PoolMember::Holds(const std::string& duty) const {
+bool PoolMember::HoldsLease(const std::string& duty) const {
   return leases_ && leases_->status(host_.Now(), duty) == fleet::LeaseStatus::kHolder;
 }
 
@@ -126,22 +129,22 @@
   return leases_ ? leases_->ProveLease(host_.Now(), duty) : std::nullopt;
 }
 
-// Holders are named as "name/life".
+// Holder names have the form "name/incarnation".
 std::string PoolMember::HolderOf(const std::string& duty) const {
   const std::string holder = leases_ ? leases_->holder(duty) : "";
   return holder.substr(0, holder.find('/'));
 }
 
 void PoolMember::Send(const Endpoint& to, const Message& message) {
-  Message whole = message;
-  gossip_.AttachState(host_.Wall(), &whole);
-  // As fleet::Transport: piggybacked state can wait.
-  if (!whole.state.is_null()) {
-    if (TrySend(to, whole)) return;
-    whole.state = nullptr;
+  Message complete = message;
+  gossip_.AttachState(host_.Wall(), &complete);
+  // Piggybacked state can be delayed, as in fleet::Transport.
+  if (!complete.state.is_null()) {
+    if (TrySend(to, complete)) return;
+    complete.state = nullptr;
   }
-  const std::size_t bytes = EncodedSize(whole);
-  if (budget_.TrySpend(host_.Now(), bytes)) return Deliver(to, std::move(whole), bytes);
+  const std::size_t bytes = EncodedSize(complete);
+  if (budget_.TrySpend(host_.Now(), bytes)) return Deliver(to, std::move(complete), bytes);
   ++throttled_;
 }
 
@@ -153,11 +156,11 @@
 }
 
 void PoolMember::Deliver(const Endpoint& to, Message message, std::size_t bytes) {
-  if (options_.observer) options_.observer->OnSent(*this, to, message);
+  if (options_.observer) options_.observer->OnMessageSent(*this, to, message);
   host_.Send(to, Datagram{options_.pool, std::move(message)}, bytes);
 }
 
-// At most: what the codec would make of it may be some bytes smaller.
+// Returns an upper bound of the encoded size; the codec may produce some bytes fewer.
 std::size_t PoolMember::EncodedSize(const Message& message) const {
   std::size_t size = fleet::kMaxDatagramBytes - fleet::RemainingBytes(options_.section.name, message);
   for (const fleet::Update& update : message.updates) size += fleet::EncodedSize(update);
@@ -167,7 +170,7 @@
 
 void PoolMember::OnMemberChanged(const fleet::Member& member, std::optional<fleet::MemberState> before,
                                  std::string_view) {
-  if (options_.observer) options_.observer->OnChanged(*this, member, before);
+  if (options_.observer) options_.observer->OnMemberChanged(*this, member, before);
 }
 
 void PoolMember::OnDisplaced(const Endpoint&) {
@@ -175,11 +178,11 @@
 }
 
 void PoolMember::OnAccepted(const fleet::Entry& entry) {
-  if (const auto* fenced = std::get_if<fleet::FencedValue>(&entry.content)) HearOfLease(*fenced);
-  if (options_.observer) options_.observer->OnTaken(*this, entry);
+  if (const auto* fenced = std::get_if<fleet::FencedValue>(&entry.content)) ObserveLeaseAnnouncement(*fenced);
+  if (options_.observer) options_.observer->OnEntryAccepted(*this, entry);
 }
 
-void PoolMember::HearOfLease(const fleet::FencedValue& fenced) {
+void PoolMember::ObserveLeaseAnnouncement(const fleet::FencedValue& fenced) {
   if (!leases_) return;
   const auto announcement = fleet::ReadLeaseAnnouncement(fenced, options_.section.lease_term);
   if (!announcement) return;
@@ -198,7 +201,7 @@
                                Span left, std::string_view) {
   if (options_.observer) options_.observer->OnLeaseStatus(*this, duty, status, token, left);
   if (status != fleet::LeaseStatus::kHolder) return;
-  const fleet::LeaseAnnouncement announcement{Holder(), Milliseconds(left)};
+  const fleet::LeaseAnnouncement announcement{HolderName(), Milliseconds(left)};
   Publish(duty, fleet::AnnouncementKey(duty), ToJson(announcement), left);
 }
 
--- a/model/fleet/member.h
+++ b/model/fleet/member.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A member of one pool: membership, shared state and leases put together as src/fleet/node/node.cpp does it,
-// with a machine of the model in place of socket, timer and clocks.
+// A member of one pool. It combines membership, shared state and leases as src/fleet/node/node.cpp does, with
+// a machine of the model in place of the socket, the timer and the clocks.
 #ifndef LOAD_BALANCER_MODEL_FLEET_MEMBER_H_
 #define LOAD_BALANCER_MODEL_FLEET_MEMBER_H_
 
@@ -24,73 +24,80 @@
 
 class PoolMember;
 
-// A message between members of one pool. A machine may be a member of several: they share its address.
+// A message between members of one pool. A machine that is a member of several pools has one address for all
+// of them.
 struct Datagram {
   std::size_t pool = 0;
   fleet::Message message;
 };
 
-// What checks see of all members. Called from within their calls; `True()` of the host tells when.
+// Receives events of all members for checks. Its functions are called from within the members' calls;
+// TrueTime() of the member's host is the time of the event.
 class Observer {
  public:
   virtual ~Observer() = default;
-  virtual void OnChanged(const PoolMember&, const fleet::Member&, std::optional<fleet::MemberState>) {}
-  // Another member's entry of shared state is taken.
-  virtual void OnTaken(const PoolMember&, const fleet::Entry&) {}
+  virtual void OnMemberChanged(const PoolMember&, const fleet::Member&, std::optional<fleet::MemberState>) {}
+  // Called when a member accepts another member's entry of shared state.
+  virtual void OnEntryAccepted(const PoolMember&, const fleet::Entry&) {}
   virtual void OnLeaseStatus(const PoolMember&, const std::string& /*duty*/, fleet::LeaseStatus,
                              fleet::FencingToken, Span) {}
-  virtual void OnSent(const PoolMember&, const Endpoint& /*to*/, const fleet::Message&) {}
+  virtual void OnMessageSent(const PoolMember&, const Endpoint& /*to*/, const fleet::Message&) {}
 };
 
+// Options of a PoolMember.
 struct PoolOptions {
-  fleet::FleetSection section;  // as the configuration has it; `bind` and `advertise` are not read
+  fleet::FleetSection section;  // the configuration; `bind` and `advertise` are ignored
   std::size_t pool = 0;
   std::size_t site = 0;
-  std::vector<fleet::LeasedRole> duties;  // with leases: section.lease_term over zero
-  std::uint64_t seed = 0;                 // of this life
-  Observer* observer = nullptr;           // null: none; outlives the member
+  std::vector<fleet::LeasedRole> duties;  // leased if section.lease_term is not zero
+  std::uint64_t seed = 0;                 // of this incarnation
+  Observer* observer = nullptr;           // may be null; must outlive the member
 };
 
+// Makes a machine a member of one pool.
 class PoolMember : private fleet::Membership::Callbacks,
                    private fleet::SharedState::Host,
                    private fleet::StateGossip::MessageSender,
                    private fleet::Leases::Callbacks {
  public:
-  // Joins at once. The host is the machine's and outlives this.
+  // Joins the pool. `host` is the machine and must outlive the member.
   PoolMember(model::Host& host, PoolOptions options);
 
   void Receive(const Packet& packet, const fleet::Message& message);
   void Tick();
   Time Next() const;
 
-  // What this process has found, for its peers.
+  // Disseminate an observation of this process to the other members.
   void Announce(fleet::Ejection ejection);
   void Announce(fleet::KeyAffinity affinity);
-  // A fact of a duty for so long; nothing unless this member holds the lease.
-  void Publish(const std::string& duty, const std::string& key, nlohmann::json value, Span lasts);
-  // The same for several facts at once.
-  void Publish(const std::string& duty, std::vector<fleet::NamedValue> values, Span lasts);
-  // The same under a lease of any pool; false, and nothing, if it does not hold now.
-  bool Publish(const fleet::LeaseProof& proof, const std::string& key, nlohmann::json value, Span lasts);
-  bool Publish(const fleet::LeaseProof& proof, std::vector<fleet::NamedValue> values, Span lasts);
-  // To whoever has that address in the pool, for a layer above. What comes is in Datagram's message.
+  // Publishes a value of a duty for `lifetime`. Does nothing unless this member holds the duty's lease.
+  void Publish(const std::string& duty, const std::string& key, nlohmann::json value, Span lifetime);
+  // Publishes several values of a duty at once.
+  void Publish(const std::string& duty, std::vector<fleet::NamedValue> values, Span lifetime);
+  // Publish values under a lease of any pool. Return false and publish nothing if the proof is no longer
+  // valid.
+  bool Publish(const fleet::LeaseProof& proof, const std::string& key, nlohmann::json value, Span lifetime);
+  bool Publish(const fleet::LeaseProof& proof, std::vector<fleet::NamedValue> values, Span lifetime);
+  // Sends a payload to the member at an address. Received payloads are in the message of a Datagram.
   void Send(const Endpoint& to, std::string channel, nlohmann::json payload);
-  // Out of the pool, its leases given back, and in again.
+  // Releases all leases and leaves the pool.
   void Leave();
+  // Joins the pool again after Leave.
   void Rejoin();
 
   const model::Host& host() const { return host_; }
   const PoolOptions& options() const { return options_; }
   const fleet::Membership& membership() const { return membership_; }
-  // Null: none are wanted.
+  // Returns the leases, or null if there is no lease term.
   const fleet::Leases* leases() const { return leases_ ? &*leases_ : nullptr; }
-  bool Holds(const std::string& duty) const;
+  bool HoldsLease(const std::string& duty) const;
   std::optional<fleet::LeaseProof> ProveLease(const std::string& duty) const;
-  // The name of the member that is known to hold the duty; empty: none.
+  // Returns the name of the member that is known to hold the duty's lease, or an empty string.
   std::string HolderOf(const std::string& duty) const;
-  // Times that a voter refused for a reason that an operator has to mend.
+  // Returns the number of lease failures that require an operator.
   std::uint64_t failures() const { return failures_; }
   fleet::SharedState& state() { return gossip_.state(); }
+  // Returns the number of messages not sent because of the bandwidth limit.
   std::uint64_t throttled() const { return throttled_; }
 
  private:
@@ -112,8 +119,8 @@
   void OnFailure(const Failure&) override { ++failures_; }
 
   void StartLeases();
-  std::string Holder() const;
-  void HearOfLease(const fleet::FencedValue& fact);
+  std::string HolderName() const;
+  void ObserveLeaseAnnouncement(const fleet::FencedValue& fenced);
   std::size_t EncodedSize(const fleet::Message& message) const;
 
   model::Host& host_;
--- a/model/fleet/votes.h
+++ b/model/fleet/votes.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A voter's votes on its machine's disk: kept as long as the disk is, written at once.
+// Stores a voter's votes on the disk of its machine. Each vote is on disk when Save returns.
 #ifndef LOAD_BALANCER_MODEL_FLEET_VOTES_H_
 #define LOAD_BALANCER_MODEL_FLEET_VOTES_H_
 
@@ -17,9 +17,10 @@
 
 namespace load_balancer::model {
 
+// The vote store of one voter in one pool.
 class DiskVotes : public fleet::VoteStore {
  public:
-  // `disk` outlives this; `pool` tells the votes of two pools apart.
+  // `disk` must outlive this object. `pool` separates the votes of different pools on one disk.
   DiskVotes(std::map<std::string, std::string>& disk, std::size_t pool, const std::vector<Endpoint>& voters)
       : disk_(disk), key_(std::string("votes/").append(std::to_string(pool))) {
     for (const Endpoint& voter : voters)
@@ -27,15 +28,16 @@
     std::sort(voters_.begin(), voters_.end());
   }
 
-  // Nothing if the disk is new: then it is not known what a life before has granted. As VoteFile::Load.
+  // Returns the stored votes as VoteFile::Load does. Returns nothing if the disk is new; the votes of earlier
+  // incarnations are then unknown.
   Result<std::optional<fleet::StoredVotes>> Load() {
     const auto found = disk_.find(key_);
     if (found == disk_.end()) return std::nullopt;
     auto persisted = fleet::PersistedVotesFromJson(nlohmann::json::parse(found->second));
-    const bool others = persisted.voters != voters_;
+    const bool voters_changed = persisted.voters != voters_;
     auto votes = fleet::AdoptVotes(std::move(persisted), voters_);
     if (!votes) return tl::unexpected(std::move(votes.error()));
-    if (others) Save(*votes);
+    if (voters_changed) Save(*votes);
     return std::move(*votes);
   }
   bool Save(const fleet::StoredVotes& votes) override {
--- a/model/machine.cpp
+++ b/model/machine.cpp
@@ -6,23 +6,23 @@
 
 namespace load_balancer::model {
 
-Machine::Machine(std::size_t number, std::string name, Endpoint address, Maker maker, MachineClock clock,
-                 Surroundings& around)
+Machine::Machine(std::size_t number, std::string name, Endpoint address, ProgramFactory factory,
+                 MachineClock clock, Environment& environment)
     : number_(number),
       name_(std::move(name)),
       address_(std::move(address)),
-      maker_(std::move(maker)),
+      factory_(std::move(factory)),
       clock_(clock),
-      around_(around) {}
+      environment_(environment) {}
 
 void Machine::Send(const Endpoint& to, std::any content, std::size_t bytes) {
-  around_.Send(number_, to, std::move(content), bytes);
+  environment_.Send(number_, to, std::move(content), bytes);
 }
 
 void Machine::Start(bool with_disk) {
   Crash();
   if (!with_disk) disk_.clear();
-  program_ = maker_(*this);
+  program_ = factory_(*this);
 }
 
 void Machine::Crash() {
@@ -38,7 +38,7 @@
 bool Machine::Receive(const Packet& packet) {
   if (!program_) return false;
   if (stalled()) {
-    if (queue_.size() >= kMostQueued) return false;
+    if (queue_.size() >= kMaxQueuedPackets) return false;
     queue_.push_back(packet);
     return true;
   }
@@ -61,11 +61,11 @@
   if (program_ && !stalled() && program_->Next() <= Now()) program_->Tick();
 }
 
-Moment Machine::Due() const {
+Moment Machine::NextTick() const {
   if (!program_) return Moment::max();
   const Time next = program_->Next();
   if (next == Time::max()) return Moment::max();
-  return std::max({clock_.When(next), stalled_until_, around_.now()});
+  return std::max({clock_.MomentOf(next), stalled_until_, environment_.now()});
 }
 
 }  // namespace load_balancer::model
--- a/model/network.cpp
+++ b/model/network.cpp
@@ -6,12 +6,14 @@
 namespace load_balancer::model {
 namespace {
 
+// Returns the value of a machine, or a default value if there is none.
 template <typename T>
-T Of(const std::vector<T>& values, std::size_t machine) {
+T ValueOrDefault(const std::vector<T>& values, std::size_t machine) {
   return machine < values.size() ? values[machine] : T{};
 }
 
-std::vector<std::uint8_t> Marked(const Network::Machines& machines) {
+// Returns a flag for each machine: 1 for those listed.
+std::vector<std::uint8_t> MachineFlags(const Network::Machines& machines) {
   std::vector<std::uint8_t> marks;
   for (const std::size_t machine : machines) {
     if (machine >= marks.size()) marks.resize(machine + 1);
@@ -20,7 +22,7 @@
   return marks;
 }
 
-std::uint64_t PairOf(std::size_t from, std::size_t to) {
+std::uint64_t PairKey(std::size_t from, std::size_t to) {
   return (static_cast<std::uint64_t>(from) << 32) | static_cast<std::uint64_t>(to);
 }
 
@@ -29,26 +31,27 @@
   return std::generate_canonical<double, 53>(random) < probability;
 }
 
-Moment Between(Moment least, Moment most, std::mt19937_64& random) {
-  if (most <= least) return least;
-  return Moment(std::uniform_int_distribution<Moment::rep>(least.count(), most.count())(random));
+Moment DrawBetween(Moment min, Moment max, std::mt19937_64& random) {
+  if (max <= min) return min;
+  return Moment(std::uniform_int_distribution<Moment::rep>(min.count(), max.count())(random));
 }
 
-Moment Delay(const Link& link, std::mt19937_64& random) {
-  const Moment delay = Between(link.least, link.most, random);
-  return Happens(link.reorder, random) ? delay + Between(Moment(0), link.hold, random) : delay;
+Moment DrawDelay(const Link& link, std::mt19937_64& random) {
+  const Moment delay = DrawBetween(link.min_delay, link.max_delay, random);
+  return Happens(link.reorder, random) ? delay + DrawBetween(Moment(0), link.max_reorder_delay, random)
+                                       : delay;
 }
 
 }  // namespace
 
-void Network::SetDefault(const Link& link) { local_ = link; }
+void Network::SetDefault(const Link& link) { same_site_ = link; }
 
-void Network::SetWide(const Link& link) {
-  wide_ = link;
-  wide_set_ = true;
+void Network::SetInterSite(const Link& link) {
+  inter_site_ = link;
+  has_inter_site_ = true;
 }
 
-void Network::Set(std::size_t from, std::size_t to, const Link& link) { pairs_[PairOf(from, to)] = link; }
+void Network::Set(std::size_t from, std::size_t to, const Link& link) { pairs_[PairKey(from, to)] = link; }
 
 void Network::Place(std::size_t machine, std::size_t site) {
   if (machine >= sites_.size()) sites_.resize(machine + 1);
@@ -56,8 +59,8 @@
 }
 
 Network::Id Network::Cut(const Machines& from, const Machines& to) {
-  faults_[++last_] = {Fault::Kind::kCut, Marked(from), Marked(to), {}, {}};
-  return last_;
+  faults_[++last_id_] = {Fault::Kind::kCut, MachineFlags(from), MachineFlags(to), {}, {}};
+  return last_id_;
 }
 
 Network::Id Network::Partition(const std::vector<Machines>& groups) {
@@ -70,56 +73,61 @@
       fault.group[machine] = number;
     }
   }
-  faults_[++last_] = std::move(fault);
-  return last_;
+  faults_[++last_id_] = std::move(fault);
+  return last_id_;
 }
 
-Network::Id Network::Disturb(const Machines& who, const Link& more) {
-  faults_[++last_] = {Fault::Kind::kDisturbance, Marked(who), {}, {}, more};
-  return last_;
+Network::Id Network::Degrade(const Machines& machines, const Link& change) {
+  faults_[++last_id_] = {Fault::Kind::kDegradation, MachineFlags(machines), {}, {}, change};
+  return last_id_;
 }
 
 void Network::End(Id id) { faults_.erase(id); }
 
 bool Network::Connected(std::size_t from, std::size_t to) const {
   for (const auto& [id, fault] : faults_) {
-    if (fault.kind == Fault::Kind::kCut && Of(fault.from, from) && Of(fault.to, to)) return false;
-    if (fault.kind == Fault::Kind::kPartition && Of(fault.group, from) != Of(fault.group, to)) return false;
+    if (fault.kind == Fault::Kind::kCut && ValueOrDefault(fault.from, from) && ValueOrDefault(fault.to, to))
+      return false;
+    if (fault.kind == Fault::Kind::kPartition &&
+        ValueOrDefault(fault.group, from) != ValueOrDefault(fault.group, to))
+      return false;
   }
   return true;
 }
 
-const Link& Network::Undisturbed(std::size_t from, std::size_t to) const {
+const Link& Network::LinkWithoutFaults(std::size_t from, std::size_t to) const {
   if (!pairs_.empty()) {
-    const auto found = pairs_.find(PairOf(from, to));
+    const auto found = pairs_.find(PairKey(from, to));
     if (found != pairs_.end()) return found->second;
   }
-  return wide_set_ && Of(sites_, from) != Of(sites_, to) ? wide_ : local_;
+  return has_inter_site_ && ValueOrDefault(sites_, from) != ValueOrDefault(sites_, to) ? inter_site_
+                                                                                       : same_site_;
 }
 
-Link Network::At(std::size_t from, std::size_t to) const {
-  Link link = Undisturbed(from, to);
+Link Network::LinkBetween(std::size_t from, std::size_t to) const {
+  Link link = LinkWithoutFaults(from, to);
   for (const auto& [id, fault] : faults_) {
-    if (fault.kind != Fault::Kind::kDisturbance) continue;
-    if (!fault.from.empty() && !Of(fault.from, from) && !Of(fault.from, to)) continue;
-    link.loss = 1 - (1 - link.loss) * (1 - fault.more.loss);
-    link.duplicate = 1 - (1 - link.duplicate) * (1 - fault.more.duplicate);
-    link.reorder = 1 - (1 - link.reorder) * (1 - fault.more.reorder);
-    link.least += fault.more.least;
-    link.most += fault.more.most;
-    if (fault.more.reorder > 0) link.hold = std::max(link.hold, fault.more.hold);
+    if (fault.kind != Fault::Kind::kDegradation) continue;
+    if (!fault.from.empty() && !ValueOrDefault(fault.from, from) && !ValueOrDefault(fault.from, to)) continue;
+    link.loss = 1 - (1 - link.loss) * (1 - fault.change.loss);
+    link.duplicate = 1 - (1 - link.duplicate) * (1 - fault.change.duplicate);
+    link.reorder = 1 - (1 - link.reorder) * (1 - fault.change.reorder);
+    link.min_delay += fault.change.min_delay;
+    link.max_delay += fault.change.max_delay;
+    if (fault.change.reorder > 0)
+      link.max_reorder_delay = std::max(link.max_reorder_delay, fault.change.max_reorder_delay);
   }
   return link;
 }
 
-void Network::Fates(std::size_t from, std::size_t to, std::mt19937_64& random,
-                    std::vector<Moment>* delays) const {
+void Network::DrawDelays(std::size_t from, std::size_t to, std::mt19937_64& random,
+                         std::vector<Moment>* delays) const {
   delays->clear();
   if (!Connected(from, to)) return;
-  const Link link = At(from, to);
+  const Link link = LinkBetween(from, to);
   if (Happens(link.loss, random)) return;
-  delays->push_back(Delay(link, random));
-  if (Happens(link.duplicate, random)) delays->push_back(Delay(link, random));
+  delays->push_back(DrawDelay(link, random));
+  if (Happens(link.duplicate, random)) delays->push_back(DrawDelay(link, random));
 }
 
 }  // namespace load_balancer::model
--- a/model/network.h
+++ b/model/network.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What becomes of a datagram between two machines. Machines are numbers, as the world gives them; each is at
-// a site, and a site's own links may differ from those between sites.
+// The network between the machines of the model. It decides whether a datagram is lost, delayed or
+// duplicated. Machines are identified by the numbers that World assigns. Each machine is at a site, and links
+// within a site may differ from links between sites.
 #ifndef LOAD_BALANCER_MODEL_NETWORK_H_
 #define LOAD_BALANCER_MODEL_NETWORK_H_
 
@@ -16,57 +17,65 @@
 
 namespace load_balancer::model {
 
-// Probabilities are from 0 to 1, each drawn for itself. Delays are uniform between least and most, so that
-// packets overtake each other within that; a reordered one is held for up to `hold` more.
+// The properties of a link. Loss, duplication and reordering have independent probabilities from 0 to 1. The
+// delay is uniform between min_delay and max_delay, so packets may overtake each other within that range. A
+// reordered packet is delayed by up to max_reorder_delay in addition.
 struct Link {
   double loss = 0, duplicate = 0, reorder = 0;
-  Moment least{std::chrono::microseconds(100)}, most{std::chrono::microseconds(300)};
-  Moment hold{std::chrono::milliseconds(20)};
+  Moment min_delay{std::chrono::microseconds(100)}, max_delay{std::chrono::microseconds(300)};
+  Moment max_reorder_delay{std::chrono::milliseconds(20)};
 };
 
+// Decides the delay of each packet and whether it arrives.
 class Network {
  public:
-  using Id = std::uint64_t;
+  using Id = std::uint64_t;  // of a fault
   using Machines = std::vector<std::size_t>;
 
-  // Of machines of one site, and, until SetWide, of all.
+  // Sets the link between machines of one site. Until SetInterSite is called, it also applies between sites.
   void SetDefault(const Link& link);
-  // Of machines of two sites.
-  void SetWide(const Link& link);
-  // Of one ordered pair, before all others.
+  // Sets the link between machines of different sites.
+  void SetInterSite(const Link& link);
+  // Sets the link from one machine to another. It takes precedence over all other links.
   void Set(std::size_t from, std::size_t to, const Link& link);
-  // Machines are at site 0 unless placed.
+  // Assigns a machine to a site. Machines that are not assigned are at site 0.
   void Place(std::size_t machine, std::size_t site);
 
-  // Each lasts until End of what it returned, and they add up. What is under way arrives nevertheless.
-  // Nothing goes from the ones to the others.
+  // Each of the following three faults lasts until End is called with the returned id. Faults accumulate.
+  // Packets that were sent before a fault still arrive.
+
+  // Blocks packets from the first machines to the second ones.
   Id Cut(const Machines& from, const Machines& to);
-  // Nothing goes between two groups. Machines of no group are a group together.
+  // Blocks packets between different groups. The machines that are in no group form one group.
   Id Partition(const std::vector<Machines>& groups);
-  // Whatever goes from or to these (empty: between any two) has these probabilities and delays on top.
-  Id Disturb(const Machines& who, const Link& more);
+  // Adds the probabilities and delays of `change` to those of all packets from or to these machines. An empty
+  // list affects all packets.
+  Id Degrade(const Machines& machines, const Link& change);
   void End(Id id);
 
-  // Delays of the copies of a packet that arrive: none, one or two.
-  void Fates(std::size_t from, std::size_t to, std::mt19937_64& random, std::vector<Moment>* delays) const;
+  // Sets `delays` to the delay of each copy of a packet that arrives; there are none, one or two.
+  void DrawDelays(std::size_t from, std::size_t to, std::mt19937_64& random,
+                  std::vector<Moment>* delays) const;
+  // Returns whether no cut or partition blocks packets between the machines.
   bool Connected(std::size_t from, std::size_t to) const;
-  Link At(std::size_t from, std::size_t to) const;
+  // Returns the link between two machines including the current faults.
+  Link LinkBetween(std::size_t from, std::size_t to) const;
 
  private:
   struct Fault {
-    enum class Kind { kCut, kPartition, kDisturbance } kind;
-    std::vector<std::uint8_t> from, to;  // by machine: whether it is of them
-    std::vector<std::size_t> group;      // by machine; 0: of none
-    Link more;
+    enum class Kind { kCut, kPartition, kDegradation } kind;
+    std::vector<std::uint8_t> from, to;  // by machine: 1 if the fault affects it
+    std::vector<std::size_t> group;      // by machine; 0 means that it is in no group
+    Link change;
   };
-  const Link& Undisturbed(std::size_t from, std::size_t to) const;
+  const Link& LinkWithoutFaults(std::size_t from, std::size_t to) const;
 
-  Link local_, wide_;
-  bool wide_set_ = false;
+  Link same_site_, inter_site_;
+  bool has_inter_site_ = false;
   std::vector<std::size_t> sites_;
-  std::unordered_map<std::uint64_t, Link> pairs_;  // looked up only, never walked
+  std::unordered_map<std::uint64_t, Link> pairs_;  // must not be iterated: its order is unspecified
   std::map<Id, Fault> faults_;
-  Id last_ = 0;
+  Id last_id_ = 0;
 };
 
 }  // namespace load_balancer::model
--- a/model/program.h
+++ b/model/program.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What runs on a machine of the model, and what it sees of it. A program is one life of a process; only the
-// machine's disk outlives it.
+// The interfaces between a machine of the model and the program that runs on it. A program is one incarnation
+// of a process; only the machine's disk outlives it.
 #ifndef LOAD_BALANCER_MODEL_PROGRAM_H_
 #define LOAD_BALANCER_MODEL_PROGRAM_H_
 
@@ -22,41 +22,47 @@
 using Moment = std::chrono::nanoseconds;  // true time since the run's start
 using Endpoint = boost::asio::ip::udp::endpoint;
 
-// A datagram. Its content is typed and shared by all copies of it; `bytes` is what it would take on the wire.
+// A datagram. Its content is a C++ object that all copies of the packet share. `bytes` is the size that the
+// datagram would have on the wire.
 struct Packet {
   Endpoint from;
   std::shared_ptr<const std::any> content;
   std::size_t bytes = 0;
 };
 
+// Gives a program access to the machine that it runs on.
 class Host {
  public:
   virtual ~Host() = default;
-  // The machine's monotonic clock, of its own rate and offset.
+  // Returns the reading of the machine's monotonic clock, which has a rate and an offset of its own.
   virtual Time Now() const = 0;
-  // Its wall clock, Unix milliseconds; may jump.
+  // Returns the reading of the machine's wall clock in Unix milliseconds. It may jump.
   virtual std::uint64_t Wall() const = 0;
+  // Sends a datagram of `bytes` bytes.
   virtual void Send(const Endpoint& to, std::any content, std::size_t bytes) = 0;
-  // Outlives crashes, unless the restart is without it.
+  // Returns the files on the machine's disk by name. The disk survives a crash unless the restart discards
+  // it.
   virtual std::map<std::string, std::string>& Disk() = 0;
-  // For checks only, never for decisions.
-  virtual Moment True() const = 0;
+  // Returns the true time. It is for checks only; programs must not base decisions on it.
+  virtual Moment TrueTime() const = 0;
   virtual const Endpoint& Address() const = 0;
   virtual const std::string& Name() const = 0;
 };
 
+// A process that runs on a machine.
 class Program {
  public:
   virtual ~Program() = default;
   virtual void Receive(const Packet& packet) = 0;
-  // Called at Next() of the machine's clock or soon after; late after a stall.
+  // Called when the machine's monotonic clock has reached Next(). The call is late after a stall.
   virtual void Tick() = 0;
-  // Time::max(): nothing is due. Asked after each call of the program.
+  // Returns the time of the next tick, or Time::max() if there is none. Called after each call of the
+  // program.
   virtual Time Next() const = 0;
 };
 
-// Called at each start. The host outlives the program.
-using Maker = std::function<std::unique_ptr<Program>(Host&)>;
+// Creates a machine's program. Called at each start of the machine; the host outlives the program.
+using ProgramFactory = std::function<std::unique_ptr<Program>(Host&)>;
 
 }  // namespace load_balancer::model
 
--- a/model/shrink.cpp
+++ b/model/shrink.cpp
@@ -9,7 +9,7 @@
 
 using Faults = std::vector<Fault>;
 
-// The i-th of `parts` parts, or all but it.
+// Returns the i-th of `parts` parts of the faults or, with `complement`, all other parts.
 Faults Part(const Faults& faults, std::size_t parts, std::size_t i, bool complement) {
   const std::size_t begin = faults.size() * i / parts, end = faults.size() * (i + 1) / parts;
   Faults part;
--- a/model/shrink.h
+++ b/model/shrink.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Removes faults that a failure does not need: delta debugging (Zeller, Hildebrandt: "Simplifying and
+// Minimises the faults that cause a failure, by delta debugging (Zeller, Hildebrandt: "Simplifying and
 // Isolating Failure-Inducing Input", 2002).
 #ifndef LOAD_BALANCER_MODEL_SHRINK_H_
 #define LOAD_BALANCER_MODEL_SHRINK_H_
@@ -12,8 +12,9 @@
 
 namespace load_balancer::model {
 
-// Some of the faults, in their order, with which it still fails and without any one of which it does not.
-// All of them if `fails` is false for all. Calls `fails` at most about n^2 times.
+// Returns a minimal subset of the faults, in their order, for which `fails` returns true: without any single
+// one of them it returns false. Returns all faults if `fails` returns false for all of them. Calls `fails` at
+// most about n^2 times for n faults.
 std::vector<Fault> Shrink(std::vector<Fault> faults,
                           const std::function<bool(const std::vector<Fault>&)>& fails);
 
--- a/model/trace.h
+++ b/model/trace.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A run as text that can be read back and played again: the seed and the faults, one a line.
+// A run as text that can be read and replayed. It has a header line, a line with the seed and one line per
+// fault.
 #ifndef LOAD_BALANCER_MODEL_TRACE_H_
 #define LOAD_BALANCER_MODEL_TRACE_H_
 
@@ -14,14 +15,16 @@
 
 namespace load_balancer::model {
 
+// The seed and the faults of a run.
 struct Trace {
   std::uint64_t seed = 0;
   std::vector<Fault> faults;
   bool operator==(const Trace&) const = default;
 };
 
-std::string Write(const Trace& trace);
-// What Write made, exactly; else which line is wrong, and why.
+// Formats a trace as text.
+std::string WriteTrace(const Trace& trace);
+// Parses text that WriteTrace has produced. The error names the first invalid line.
 tl::expected<Trace, std::string> ReadTrace(std::string_view text);
 
 }  // namespace load_balancer::model
--- a/src/fleet/node/describe.h
+++ b/src/fleet/node/describe.h
@@ -14,8 +14,7 @@
 namespace load_balancer::fleet {
 
 /// Returns every member as "name state incarnation age", starting with this one, and then the traffic
-/// counters. The age is the time since the member's state or
-/// incarnation last changed.
+/// counters. The age is the time since the member's state or incarnation last changed.
 std::string DescribeMembers(const Membership& membership, const TrafficCounters& counters, Time now);
 
 /// Returns the count and the newest and oldest age of each kind of entry, the fleet's limit of requests in
--- a/tests/fleet/cluster.h
+++ b/tests/fleet/cluster.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Proxies that are members of one fleet, with the fault relay on every path between them: each member is
-// reached at its route, and a route tells its senders apart, so that a fault can be one pair's.
+// A fleet of proxies with the fault relay between all members. Each member advertises the address of its own
+// relay route. A route distinguishes the senders, so that a fault can be limited to one pair of members.
 #ifndef LOAD_BALANCER_TESTS_FLEET_CLUSTER_H_
 #define LOAD_BALANCER_TESTS_FLEET_CLUSTER_H_
 
@@ -17,12 +17,15 @@
 
 using Udp = boost::asio::ip::udp;
 
-inline std::string Host(unsigned short port) { return "127.0.0.1:" + std::to_string(port); }
+// Returns the loopback address with this port as text.
+inline std::string LoopbackAddress(unsigned short port) { return "127.0.0.1:" + std::to_string(port); }
 
+// Starts the proxies and the relay, and controls and observes them.
 class Cluster {
  public:
-  // `section` holds keys of the fleet section in place of the defaults; the first `seeds` members are the
-  // seeds. `config` is the rest of each one's configuration, which `edit` may change for each.
+  // Starts `count` proxies. `section` contains the keys of the configuration section `fleet` that differ from
+  // the defaults, and the first `seeds` members become its seeds. `config` is the rest of the configuration.
+  // `edit` may change the configuration of each member.
   Cluster(std::size_t count, nlohmann::json section,
           nlohmann::json config = ConfigJson(Tcp::endpoint(kAnyPort.address(), 9), {}),
           const std::function<void(std::size_t, nlohmann::json&)>& edit = NoEdit, std::size_t seeds = 2)
@@ -30,14 +33,14 @@
         relay_(load_balancer::testing::kRelayPath, Routes(binds_)),
         fleet_(load_balancer::testing::kProxyPath) {
     for (std::size_t i = 0; i < std::min(seeds, count); ++i)
-      section["seeds"].push_back(Host(relay_.Port(Name(i))));
+      section["seeds"].push_back(LoopbackAddress(relay_.Port(Name(i))));
     for (std::size_t i = 0; i < count; ++i) {
-      section["bind"] = Host(bind(i));
-      section["advertise"] = Host(relay_.Port(Name(i)));
+      section["bind"] = LoopbackAddress(bind(i));
+      section["advertise"] = LoopbackAddress(relay_.Port(Name(i)));
       config["fleet"] = section;
-      nlohmann::json own = config;
-      edit(i, own);
-      fleet_.Start(std::move(own));
+      nlohmann::json member_config = config;
+      edit(i, member_config);
+      fleet_.Start(std::move(member_config));
     }
   }
 
@@ -51,40 +54,47 @@
   Process& process(std::size_t index) { return *fleet_[index].process; }
   std::size_t size() const { return fleet_.size(); }
   void Restart(std::size_t index) { fleet_.Restart(index); }
-  std::string Relay(const std::string& line) const { return relay_.Say(line); }
+  std::string SendRelayCommand(const std::string& line) const { return relay_.SendCommand(line); }
   unsigned short bind(std::size_t index) const { return binds_.at(index).port(); }
 
-  // No datagram passes between a member of `some` and one that is not, either way.
-  void Cut(const std::vector<std::size_t>& some) {
-    const auto within = [&](std::size_t i) { return std::find(some.begin(), some.end(), i) != some.end(); };
+  // Blocks datagrams in both directions between the given members and all others.
+  void Cut(const std::vector<std::size_t>& members) {
+    const auto is_listed = [&](std::size_t i) {
+      return std::find(members.begin(), members.end(), i) != members.end();
+    };
     for (std::size_t to = 0; to < size(); ++to)
       for (std::size_t from = 0; from < size(); ++from)
-        if (within(to) != within(from)) Relay("FAULT " + Name(to) + " from=" + Host(bind(from)) + " cut=1");
+        if (is_listed(to) != is_listed(from))
+          SendRelayCommand("FAULT " + Name(to) + " from=" + LoopbackAddress(bind(from)) + " cut=1");
   }
-  void Heal() const { Relay("CLEAR *"); }
+  // Ends all faults of the relay.
+  void Heal() const { SendRelayCommand("CLEAR *"); }
 
-  // Whether `observer` logs that `member` is in `state`, from line `from` on.
+  // Waits until `observer` logs that `member` is in `state`, at line `from` or later. Returns the index of
+  // that line, or nothing after `max_wait`.
   std::optional<std::size_t> WaitForState(std::size_t observer, std::size_t member, const std::string& state,
-                                          std::size_t from = 0, milliseconds within = kBound) {
+                                          std::size_t from = 0, milliseconds max_wait = kMaxWait) {
     const auto line =
-        process(observer).WaitFor("member=" + Name(member) + " state=" + state + " ", from, within);
+        process(observer).WaitFor("member=" + Name(member) + " state=" + state + " ", from, max_wait);
     if (!line) return std::nullopt;
     return line->first;
   }
-  // Every member holds every other as alive.
-  bool WaitUntilWhole() {
+  // Waits until every member has logged every other one as alive. Returns false if one does not within
+  // kMaxWait.
+  bool WaitUntilAllAlive() {
     for (std::size_t i = 0; i < size(); ++i)
       for (std::size_t j = 0; j < size(); ++j)
         if (i != j && !WaitForState(i, j, "alive")) return false;
     return true;
   }
-  std::vector<std::size_t> Marks() {
-    std::vector<std::size_t> marks;
-    for (std::size_t i = 0; i < size(); ++i) marks.push_back(process(i).Mark());
-    return marks;
+  // Returns the number of lines that each member has logged so far.
+  std::vector<std::size_t> LineCounts() {
+    std::vector<std::size_t> counts;
+    for (std::size_t i = 0; i < size(); ++i) counts.push_back(process(i).LineCount());
+    return counts;
   }
 
-  // What MEMBERS says of each member: "state incarnation".
+  // Returns "state incarnation" of each member, by name, as the observer answers MEMBERS.
   std::map<std::string, std::string> View(std::size_t observer) {
     std::map<std::string, std::string> view;
     const std::string answer = Call(fleet_[observer].operators, "MEMBERS");
@@ -97,28 +107,29 @@
     }
     return view;
   }
-  // A count at the end of MEMBERS.
-  std::uint64_t Counted(std::size_t observer, const std::string& key) {
+  // Returns a counter from the end of the observer's answer to MEMBERS.
+  std::uint64_t Counter(std::size_t observer, const std::string& key) {
     const std::string answer = Call(fleet_[observer].operators, "MEMBERS");
     const auto at = answer.find(" " + key + "=");
     if (at == std::string::npos) throw std::runtime_error("no " + key + " in: " + answer);
     return std::stoull(answer.substr(at + key.size() + 2));
   }
-  // All that are in `some` have the same view in the end.
-  bool WaitForOneView(const std::vector<std::size_t>& some, milliseconds within) {
-    const auto until = std::chrono::steady_clock::now() + within;
+  // Waits until all given members have the same view. Returns false after `max_wait`.
+  bool WaitUntilViewsAgree(const std::vector<std::size_t>& members, milliseconds max_wait) {
+    const auto until = std::chrono::steady_clock::now() + max_wait;
     do {
-      const auto first = View(some.front());
-      if (std::all_of(some.begin(), some.end(), [&](std::size_t i) { return View(i) == first; })) return true;
+      const auto first = View(members.front());
+      if (std::all_of(members.begin(), members.end(), [&](std::size_t i) { return View(i) == first; }))
+        return true;
       std::this_thread::sleep_for(milliseconds(20));
     } while (std::chrono::steady_clock::now() < until);
     return false;
   }
-  // Lines of all members that hold `part`.
-  std::size_t Count(const std::string& part) {
+  // Returns the number of log lines of all members that contain `text`.
+  std::size_t Count(const std::string& text) {
     std::size_t count = 0;
     for (std::size_t i = 0; i < size(); ++i)
-      for (const std::string& line : process(i).Lines()) count += line.find(part) != std::string::npos;
+      for (const std::string& line : process(i).Lines()) count += line.find(text) != std::string::npos;
     return count;
   }
 
@@ -126,7 +137,7 @@
   static std::vector<std::string> Routes(const std::vector<LeasedPort>& binds) {
     std::vector<std::string> routes;
     for (std::size_t i = 0; i < binds.size(); ++i)
-      routes.push_back(Name(i) + "=udp:127.0.0.1:0=" + Host(binds[i].port()));
+      routes.push_back(Name(i) + "=udp:127.0.0.1:0=" + LoopbackAddress(binds[i].port()));
     return routes;
   }
 
--- a/tests/fleet/harness.h
+++ b/tests/fleet/harness.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The process harness that every fleet test uses: real processes of the program, and of the fault relay, each
-// with its own ports and $TMPDIR; their log lines read as they come, waited on with a bound; signals by id;
-// and at the end every process killed and reaped and every folder removed, whatever the test did.
+// The process harness of the fleet tests. It runs real processes of the proxy and of the fault relay, each
+// with its own ports and $TMPDIR, reads their log lines and waits for lines with a time limit, and sends
+// signals by process id. At the end of a test it kills and reaps every process and removes every folder, also
+// if the test fails.
 #ifndef LOAD_BALANCER_TESTS_FLEET_HARNESS_H_
 #define LOAD_BALANCER_TESTS_FLEET_HARNESS_H_
 
@@ -41,37 +42,37 @@
 using Tcp = boost::asio::ip::tcp;
 using std::chrono::milliseconds;
 
-// The longest any wait of a fleet test lasts before the test is given up.
-inline constexpr milliseconds kBound{20000};
+// The default limit of each wait in a fleet test.
+inline constexpr milliseconds kMaxWait{20000};
 
-// One program, started with posix_spawn, with `env` before what this process's environment says; what it
-// writes to standard output and error, line by line.
+// A child process, started with posix_spawn, and the lines that it writes to standard output and standard
+// error. Its environment is that of this process; variables in `env` replace variables of the same name.
 class Process {
  public:
   Process(const std::string& path, const std::vector<std::string>& args,
           const std::map<std::string, std::string>& env) {
-    int ends[2];
-    if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+    int pipe_ends[2];
+    if (::pipe2(pipe_ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
-    posix_spawn_file_actions_adddup2(&actions, ends[1], STDOUT_FILENO);
-    posix_spawn_file_actions_adddup2(&actions, ends[1], STDERR_FILENO);
-    std::vector<std::string> words{path}, vars;
-    words.insert(words.end(), args.begin(), args.end());
-    for (const auto& [name, value] : env) vars.push_back(name + "=" + value);
-    for (char** var = environ; *var; ++var) {
-      const std::string here(*var);
-      if (!env.contains(here.substr(0, here.find('=')))) vars.push_back(here);
+    posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], STDOUT_FILENO);
+    posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], STDERR_FILENO);
+    std::vector<std::string> arguments{path}, variables;
+    arguments.insert(arguments.end(), args.begin(), args.end());
+    for (const auto& [name, value] : env) variables.push_back(name + "=" + value);
+    for (char** entry = environ; *entry; ++entry) {
+      const std::string variable(*entry);
+      if (!env.contains(variable.substr(0, variable.find('=')))) variables.push_back(variable);
     }
-    const auto argv = Pointers(words), envp = Pointers(vars);
+    const auto argv = Pointers(arguments), envp = Pointers(variables);
     const int failed = posix_spawn(&pid_, path.c_str(), &actions, nullptr, argv.data(), envp.data());
     posix_spawn_file_actions_destroy(&actions);
-    ::close(ends[1]);
+    ::close(pipe_ends[1]);
     if (failed != 0) {
-      ::close(ends[0]);
+      ::close(pipe_ends[0]);
       throw std::runtime_error("cannot start " + path);
     }
-    reader_ = std::thread([this, from = ends[0]] { Read(from); });
+    reader_ = std::thread([this, from = pipe_ends[0]] { Read(from); });
   }
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
@@ -86,13 +87,14 @@
   }
   bool running() const { return !status_; }
 
-  // SIGKILL, then reaped: afterwards no process of this id is left.
+  // Sends SIGKILL and reaps the process, so that its id is free afterwards.
   void Kill() {
     if (!running()) return;
     ::kill(pid_, SIGKILL);
     Reap();
   }
-  // The exit status, or 1000 and the signal that ended it; waits for the end.
+  // Waits for the process to end. Returns its exit status, or 1000 plus the number of the signal that ended
+  // it.
   int Reap() {
     if (!status_) {
       int status = 0;
@@ -102,52 +104,55 @@
     return *status_;
   }
 
-  // The first line from `from` on that holds `part`, waited for up to `within`; its index and text.
-  std::optional<std::pair<std::size_t, std::string>> WaitFor(const std::string& part, std::size_t from = 0,
-                                                             milliseconds within = kBound) {
+  // Waits until a line at index `from` or later contains `text`. Returns the index and text of the first such
+  // line, or nothing after `max_wait` or when the output has ended.
+  std::optional<std::pair<std::size_t, std::string>> WaitFor(const std::string& text, std::size_t from = 0,
+                                                             milliseconds max_wait = kMaxWait) {
     std::unique_lock lock(mutex_);
     std::optional<std::pair<std::size_t, std::string>> found;
-    changed_.wait_for(lock, within, [&] {
+    changed_.wait_for(lock, max_wait, [&] {
       for (; from < lines_.size(); ++from)
-        if (lines_[from].find(part) != std::string::npos) return found.emplace(from, lines_[from]), true;
+        if (lines_[from].find(text) != std::string::npos) return found.emplace(from, lines_[from]), true;
       return ended_;
     });
     return found;
   }
+  // Returns the lines read so far.
   std::vector<std::string> Lines() {
     const std::lock_guard lock(mutex_);
     return lines_;
   }
-  // All that it writes, once it has closed its output, or after kBound.
+  // Waits until the process has closed its output, or for kMaxWait, and returns all lines.
   std::vector<std::string> LinesAtEnd() {
     std::unique_lock lock(mutex_);
-    changed_.wait_for(lock, kBound, [&] { return ended_; });
+    changed_.wait_for(lock, kMaxWait, [&] { return ended_; });
     return lines_;
   }
-  // How many lines there are, to wait for later ones only.
-  std::size_t Mark() { return Lines().size(); }
-  // When line `index` was read.
-  std::chrono::steady_clock::time_point When(std::size_t index) {
+  // Returns the number of lines read so far; pass it as `from` to wait for later lines only.
+  std::size_t LineCount() { return Lines().size(); }
+  // Returns the time at which line `index` was read.
+  std::chrono::steady_clock::time_point LineReadAt(std::size_t index) {
     const std::lock_guard lock(mutex_);
     return read_at_.at(index);
   }
 
  private:
-  static std::vector<char*> Pointers(std::vector<std::string>& words) {
+  static std::vector<char*> Pointers(std::vector<std::string>& strings) {
     std::vector<char*> pointers;
-    for (std::string& word : words) pointers.push_back(word.data());
+    for (std::string& text : strings) pointers.push_back(text.data());
     pointers.push_back(nullptr);
     return pointers;
   }
 
   void Read(int from) {
-    std::string part;
-    char piece[4096];
-    for (ssize_t n; (n = ::read(from, piece, sizeof piece)) > 0;) {
-      part.append(piece, static_cast<std::size_t>(n));
+    std::string partial_line;
+    char buffer[4096];
+    for (ssize_t n; (n = ::read(from, buffer, sizeof buffer)) > 0;) {
+      partial_line.append(buffer, static_cast<std::size_t>(n));
       const std::lock_guard lock(mutex_);
-      for (std::size_t end; (end = part.find('\n')) != std::string::npos; part.erase(0, end + 1)) {
-        lines_.push_back(part.substr(0, end));
+      for (std::size_t end; (end = partial_line.find('\n')) != std::string::npos;
+           partial_line.erase(0, end + 1)) {
+        lines_.push_back(partial_line.substr(0, end));
         read_at_.push_back(std::chrono::steady_clock::now());
       }
       changed_.notify_all();
@@ -168,7 +173,7 @@
   bool ended_ = false;
 };
 
-// A folder of its own, removed with everything in it at the end.
+// Creates a temporary folder, and removes it with its contents on destruction.
 class Folder {
  public:
   Folder() {
@@ -185,11 +190,12 @@
   std::filesystem::path path;
 };
 
-// One line to a line protocol on loopback (the operators' listener, the relay's control), and its answer.
-inline std::string Call(const Tcp::endpoint& at, const std::string& line) {
+// Sends one line to a server of a line protocol (the operators' listener or the relay's control address) and
+// returns its answer.
+inline std::string Call(const Tcp::endpoint& address, const std::string& line) {
   boost::asio::io_context io;
   Tcp::socket socket(io);
-  socket.connect(at);
+  socket.connect(address);
   boost::asio::write(socket, boost::asio::buffer(line + "\n"));
   boost::asio::streambuf answer;
   boost::asio::read_until(socket, answer, '\n');
@@ -198,33 +204,36 @@
   return text;
 }
 
-// The HOST:PORT that follows `after` in `line`; an exception if there is none.
-inline Tcp::endpoint EndpointAfter(const std::string& line, const std::string& after) {
-  const auto begin = line.find(after);
-  if (begin == std::string::npos) throw std::runtime_error("no " + after + " in: " + line);
-  const std::string rest = line.substr(begin + after.size());
+// Returns the HOST:PORT that follows `prefix` in `line`. Throws std::runtime_error if there is none.
+inline Tcp::endpoint EndpointAfter(const std::string& line, const std::string& prefix) {
+  const auto begin = line.find(prefix);
+  if (begin == std::string::npos) throw std::runtime_error("no " + prefix + " in: " + line);
+  const std::string rest = line.substr(begin + prefix.size());
   const auto colon = rest.find(':');
   if (colon == std::string::npos) throw std::runtime_error("no port in: " + line);
   return {boost::asio::ip::make_address(rest.substr(0, colon)),
           static_cast<unsigned short>(std::stoi(rest.substr(colon + 1)))};
 }
 
-// One process of the proxy: its folder, its configuration file, and the addresses it took.
+// One process of the proxy with its folder, which contains the configuration file, and its addresses.
 struct Member {
   std::string name;
-  LeasedPort listen;  // a proxy opens it only once discovery has listed servers, and says it before that
+  LeasedPort listen;  // reserved: the proxy logs this port at its start but binds it only when discovery has
+                      // listed servers
   std::unique_ptr<Folder> folder;
   std::unique_ptr<Process> process;
   Tcp::endpoint clients, operators;
 };
 
-// Proxies of the program at a path, each started with `config` (the configuration as JSON; name, listen
-// and ops are set here) and free ports, named in the line that it writes at its start.
+// Starts proxies from the program at `path` and holds them. Each proxy has free ports, which it logs at its
+// start.
 class Fleet {
  public:
   explicit Fleet(std::string path) : path_(std::move(path)) {}
 
-  // Starts one more and waits for its line that it has started; its index, or an exception if it never does.
+  // Starts one more proxy and waits until it logs that it has started. `config` is the configuration as JSON;
+  // this function sets its keys name, listen and ops. Returns the proxy's index. Throws std::runtime_error if
+  // it does not start.
   std::size_t Start(nlohmann::json config) {
     Member member;
     member.name = std::to_string(members_.size() + 1);
@@ -239,7 +248,7 @@
     return members_.size() - 1;
   }
 
-  // SIGKILL, unless it has ended, and once more with the same configuration and folder.
+  // Kills the process if it is running, and starts it again with the same configuration and folder.
   void Restart(std::size_t index) {
     members_.at(index).process->Kill();
     if (!Launch(members_.at(index))) throw std::runtime_error(members_.at(index).name + " did not start");
@@ -248,10 +257,11 @@
   Member& operator[](std::size_t index) { return members_.at(index); }
   std::size_t size() const { return members_.size(); }
 
-  // SIGKILL to all, each reaped, each folder removed.
+  // Kills and reaps all processes and removes their folders.
   void Clear() { members_.clear(); }
 
-  // The line that a proxy writes once it has started: where it takes clients, and where operators call.
+  // The beginning of the line that a proxy logs when it has started. The line contains the addresses for
+  // clients and operators.
   static constexpr const char* kListening = "process: started: clients at ";
 
  private:
@@ -271,7 +281,7 @@
   std::vector<Member> members_;
 };
 
-// A relay with the routes given, NAME=udp|tcp:LISTEN=TARGET; its control, and each route's own address.
+// Runs a fault relay with the given routes of the form NAME=udp|tcp:LISTEN=TARGET.
 class Relay {
  public:
   Relay(const std::string& path, const std::vector<std::string>& routes) : process_(path, Args(routes), {}) {
@@ -279,7 +289,9 @@
     if (!line) throw std::runtime_error("the relay did not start");
     control_ = EndpointAfter(line->second, "relay control ");
   }
-  std::string Say(const std::string& line) const { return Call(control_, line); }
+  // Sends a command to the control address and returns the answer.
+  std::string SendCommand(const std::string& line) const { return Call(control_, line); }
+  // Returns the port at which a route listens.
   unsigned short Port(const std::string& route) {
     const auto line = process_.WaitFor("relay route " + route + " ");
     if (!line) throw std::runtime_error("no route " + route);
--- a/tests/fleet/harness_test.cpp
+++ b/tests/fleet/harness_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The process harness itself: what it starts it ends, whatever happens, and it signals by id.
+// Tests the process harness: it ends all processes that it starts, and it signals by process id.
 #include "harness.h"
 
 #include <gtest/gtest.h>
@@ -17,18 +17,18 @@
 
 nlohmann::json Config() { return ConfigJson(Tcp::endpoint(kAnyPort.address(), 9), {}); }
 
-// Nobody listens there: a listener may take it at once.
-bool Free(const Tcp::endpoint& at) {
+// Returns whether a listener can bind the address.
+bool IsFree(const Tcp::endpoint& address) {
   boost::asio::io_context io;
-  boost::system::error_code taken;
+  boost::system::error_code failure;
   Tcp::acceptor acceptor(io);
-  acceptor.open(at.protocol());
+  acceptor.open(address.protocol());
   acceptor.set_option(Tcp::acceptor::reuse_address(true));
-  acceptor.bind(at, taken);
-  return !taken;
+  acceptor.bind(address, failure);
+  return !failure;
 }
 
-TEST(Harness, TenProcessesStartedAndStoppedTwentyTimesLeaveNothingBehind) {
+TEST(Harness, LeavesNoProcessPortOrFolderBehind) {
   for (int round = 0; round < 20; ++round) {
     std::vector<pid_t> pids;
     std::vector<Tcp::endpoint> ports;
@@ -41,19 +41,19 @@
         ports.insert(ports.end(), {member.clients, member.operators});
         folders.push_back(member.folder->path);
       }
-      EXPECT_EQ(std::set<Tcp::endpoint>(ports.begin(), ports.end()).size(), 20u) << "ports of their own";
+      EXPECT_EQ(std::set<Tcp::endpoint>(ports.begin(), ports.end()).size(), 20u) << "all ports must differ";
     }
     for (const pid_t pid : pids) {
       errno = 0;
       EXPECT_EQ(::kill(pid, 0), -1) << "process " << pid << " in round " << round;
       EXPECT_EQ(errno, ESRCH);
     }
-    for (const auto& port : ports) EXPECT_TRUE(Free(port)) << port << " in round " << round;
+    for (const auto& port : ports) EXPECT_TRUE(IsFree(port)) << port << " in round " << round;
     for (const auto& folder : folders) EXPECT_FALSE(std::filesystem::exists(folder)) << folder;
   }
 }
 
-TEST(Harness, SignalsByIdAndTheOthersGoOn) {
+TEST(Harness, SignalsOnlyTheGivenProcess) {
   Fleet fleet(load_balancer::testing::kProxyPath);
   fleet.Start(Config());
   fleet.Start(Config());
@@ -68,22 +68,23 @@
   EXPECT_EQ(fleet[1].process->Reap(), 0);
 }
 
-TEST(Harness, WaitsForALogEventWithABound) {
+TEST(Harness, WaitsForALogLineUntilATimeLimit) {
   Fleet fleet(load_balancer::testing::kProxyPath);
   Member& member = fleet[fleet.Start(Config())];
-  EXPECT_TRUE(member.process->WaitFor("PROXY-1"));  // nobody listens at port 9
+  EXPECT_TRUE(
+      member.process->WaitFor("PROXY-1"));  // no process listens at port 9, so discovery is unreachable
   EXPECT_FALSE(member.process->WaitFor("no such event", 0, milliseconds(50)));
 }
 
-TEST(Harness, TheEnvironmentGivenTakesThePlaceOfTheTests) {
-  ::setenv("FLEET_HARNESS_TEST", "mine", 1);
+TEST(Harness, GivenVariablesReplaceThoseOfTheTestProcess) {
+  ::setenv("FLEET_HARNESS_TEST", "inherited", 1);
   Process process("/usr/bin/printenv", {"FLEET_HARNESS_TEST"}, {{"FLEET_HARNESS_TEST", "given"}});
   EXPECT_EQ(process.LinesAtEnd(), std::vector<std::string>{"given"});
   EXPECT_EQ(process.Reap(), 0);
 }
 
-// Of 20,000 numbers 400 drawn at random would hardly ever all differ.
-TEST(LeasedPort, NoNumberHasTwoHolders) {
+// 400 ports drawn at random from 20,000 without reservation would almost never all differ.
+TEST(LeasedPort, AllPortsInUseAreDistinct) {
   std::set<unsigned short> numbers;
   std::vector<LeasedPort> ports(400);
   for (const LeasedPort& port : ports) numbers.insert(port.port());
--- a/tests/model/bandwidth_test.cpp
+++ b/tests/model/bandwidth_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Replicated state within the limit of bytes that a member sends a second.
+// Tests that replicated state stays within the limit of bytes that a member sends per second.
 #include <gtest/gtest.h>
 
 #include <chrono>
@@ -19,10 +19,11 @@
 constexpr const char* kDuty = "discovery";
 constexpr seconds kLifetime{3600};
 
-// Members that some other one held as suspect, dead or left.
+// Counts the times that a member saw another one as suspect, dead or left.
 struct Absences : Observer {
   std::size_t count = 0;
-  void OnChanged(const PoolMember&, const fleet::Member& member, std::optional<fleet::MemberState>) override {
+  void OnMemberChanged(const PoolMember&, const fleet::Member& member,
+                       std::optional<fleet::MemberState>) override {
     count += member.last.state != fleet::MemberState::kAlive;
   }
 };
@@ -39,7 +40,7 @@
   return options;
 }
 
-// As discovery's lease holder publishes its list of servers.
+// Returns a list of servers in the form in which the holder of the discovery duty publishes it.
 std::vector<fleet::NamedValue> ListOf(std::size_t servers, int revision) {
   std::vector<fleet::NamedValue> values;
   for (std::size_t i = 0; i < servers; ++i) {
@@ -63,24 +64,24 @@
 
 class LongListTest : public testing::TestWithParam<Publication> {};
 
-// Guards against a long list taking the bytes of probes and leases: a list is published anew as the lease is
-// gained and again as discovery answers.
-TEST_P(LongListTest, ReachesAllAndHoldsBackNeitherProbesNorLeases) {
+// A long list must not use the bandwidth that probes and leases need. The holder publishes the list twice in
+// quick succession: when it gains the lease, and again when discovery responds.
+TEST_P(LongListTest, ReachesAllMembersWithoutDelayingProbesOrLeases) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Absences absences;
     Federation federation(seed, Options(&absences));
     World& world = federation.world();
     world.RunUntil(seconds(10));
-    const auto holders = Holders(federation, 0, kSitePool, kDuty);
+    const auto holders = FindHolders(federation, 0, kSitePool, kDuty);
     ASSERT_EQ(holders.size(), 1u) << "seed " << seed;
     PoolMember& holder = *federation.member(holders.front(), kSitePool);
     PublishList(holder, GetParam(), 1);
     world.RunUntil(milliseconds(10100));
     PublishList(holder, GetParam(), 2);
     world.RunUntil(seconds(16));
-    EXPECT_EQ(Holders(federation, 0, kSitePool, kDuty), holders) << "seed " << seed;
+    EXPECT_EQ(FindHolders(federation, 0, kSitePool, kDuty), holders) << "seed " << seed;
     EXPECT_EQ(absences.count, 0u) << "seed " << seed;
-    EXPECT_TRUE(WrongStates(federation, kSitePool).empty()) << "seed " << seed;
+    EXPECT_TRUE(FindDifferingStates(federation, kSitePool).empty()) << "seed " << seed;
     for (std::size_t i = 0; i < kMembers; ++i) {
       PoolMember& member = *federation.member(i, kSitePool);
       EXPECT_GT(member.state().Summarize(world.host(i).Wall()).fenced_values, kServers) << "seed " << seed;
--- a/tests/model/numbered_sender.h
+++ b/tests/model/numbered_sender.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Programs that send numbered packets round and note what they get, for tests of the model itself.
+// Programs that send numbered packets to each other and record what they receive, for tests of the model
+// itself.
 #ifndef LOAD_BALANCER_TESTS_MODEL_NUMBERED_SENDER_H_
 #define LOAD_BALANCER_TESTS_MODEL_NUMBERED_SENDER_H_
 
@@ -16,54 +17,64 @@
   return {ip, 4000};
 }
 
-// What all lives of all machines have seen; owned by the test.
-struct Seen {
-  struct One {
-    std::size_t by, from, number;
-    Moment sent, at;
+// Records the packets, ticks and starts of all programs. The test owns it.
+struct Recording {
+  struct Reception {
+    std::size_t receiver, sender, number;
+    Moment sent, received;
   };
-  std::vector<One> received;
+  std::vector<Reception> received;
   std::vector<std::pair<std::size_t, Moment>> ticks, starts;
 };
 
-class Chatter : public Program {
+// Sends a numbered packet to each other machine in turn, one per interval. The next number is kept on disk.
+class NumberedSender : public Program {
  public:
-  struct Word {
-    std::size_t from, number;
+  struct Content {
+    std::size_t sender, number;
     Moment sent;
   };
-  Chatter(Host& host, std::size_t me, std::size_t machines, Span every, Seen* seen)
-      : host_(host), me_(me), machines_(machines), every_(every), seen_(seen), next_(host.Now() + every) {
+  NumberedSender(Host& host, std::size_t machine, std::size_t machines, Span interval, Recording* recording)
+      : host_(host),
+        machine_(machine),
+        machines_(machines),
+        interval_(interval),
+        recording_(recording),
+        next_(host.Now() + interval) {
     number_ = std::stoul(host_.Disk().emplace("number", "0").first->second);
-    seen_->starts.emplace_back(me, host.True());
+    recording_->starts.emplace_back(machine, host.TrueTime());
   }
   void Receive(const Packet& packet) override {
-    const auto& word = std::any_cast<const Word&>(*packet.content);
-    seen_->received.push_back({me_, word.from, word.number, word.sent, host_.True()});
+    const auto& content = std::any_cast<const Content&>(*packet.content);
+    recording_->received.push_back(
+        {machine_, content.sender, content.number, content.sent, host_.TrueTime()});
   }
   void Tick() override {
-    seen_->ticks.emplace_back(me_, host_.True());
-    next_ = host_.Now() + every_;
-    const std::size_t to = (me_ + 1 + number_ % (machines_ - 1)) % machines_;
-    host_.Send(AddressOf(to), Word{me_, number_, host_.True()}, 100);
+    recording_->ticks.emplace_back(machine_, host_.TrueTime());
+    next_ = host_.Now() + interval_;
+    const std::size_t to = (machine_ + 1 + number_ % (machines_ - 1)) % machines_;
+    host_.Send(AddressOf(to), Content{machine_, number_, host_.TrueTime()}, 100);
     host_.Disk()["number"] = std::to_string(++number_);
   }
   Time Next() const override { return next_; }
 
  private:
   Host& host_;
-  const std::size_t me_, machines_;
-  const Span every_;
-  Seen* const seen_;
+  const std::size_t machine_, machines_;
+  const Span interval_;
+  Recording* const recording_;
   std::size_t number_ = 0;
   Time next_;
 };
 
-inline void AddChatters(World& world, std::size_t machines, Span every, Seen* seen, MachineClock clock = {}) {
+// Adds machines that run a NumberedSender each.
+inline void AddNumberedSenders(World& world, std::size_t machines, Span interval, Recording* recording,
+                               MachineClock clock = {}) {
   for (std::size_t i = 0; i < machines; ++i)
     world.Add(
         std::to_string(i), AddressOf(i),
-        [=](Host& host) { return std::make_unique<Chatter>(host, i, machines, every, seen); }, clock);
+        [=](Host& host) { return std::make_unique<NumberedSender>(host, i, machines, interval, recording); },
+        clock);
 }
 
 }  // namespace load_balancer::model
--- a/tests/model/site_test.cpp
+++ b/tests/model/site_test.cpp
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Sites with servers and clients on the model: each request has one end, and figures are those of queueing.
+// Tests the model of sites with servers and clients: each request ends exactly once, and the rates agree with
+// queueing theory.
 #include <gtest/gtest.h>
 
 #include "model/fault.h"
@@ -13,7 +14,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Two sites of two gateways and four servers of four cores: 16,000 ms of work a second each.
+// Two sites, each with two gateways and four servers of four cores. Each site has a capacity of 16,000 ms of
+// work per second. `load` is the offered load as a share of that.
 SceneOptions Options(double load) {
   SceneOptions options;
   options.federation.sites = 2;
@@ -46,16 +48,17 @@
   return ledger.Total([=](const Ledger::Call& call) { return from <= call.asked && call.asked < to; });
 }
 
-double Of(const Ledger::Sum& sum, Ending ending) {
+// Returns the share of requests that ended in this way.
+double ShareOf(const Ledger::Sum& sum, Ending ending) {
   double all = 0;
   for (const std::uint64_t ended : sum.ended) all += static_cast<double>(ended);
   return static_cast<double>(sum.ended[static_cast<std::size_t>(ending)]) / all;
 }
 
-TEST(SceneTest, SitesBelowCapacityServeAllAndSitesAboveItServeTheirCapacity) {
+TEST(SceneTest, SitesServeAllRequestsBelowCapacityAndTheirCapacityAboveIt) {
   Scene under(1, Options(0.5)), over(1, Options(2));
   for (Scene* scene : {&under, &over}) scene->world().RunUntil(seconds(30));
-  EXPECT_GT(Of(Between(under.ledger(), seconds(5), seconds(25)), Ending::kServed), 0.99);
+  EXPECT_GT(ShareOf(Between(under.ledger(), seconds(5), seconds(25)), Ending::kServed), 0.99);
   const double per_s = Between(over.ledger(), seconds(5), seconds(25)).work_ms / 20 / 2;
   EXPECT_GT(per_s, 0.6 * 16000);
   EXPECT_LE(per_s, 1.05 * 16000);
@@ -63,47 +66,48 @@
   EXPECT_EQ(Joined(over.ledger().Broken(seconds(25))), "");
 }
 
-TEST(SceneTest, ColdServersAreSlowAndLostOnesAreMissed) {
+TEST(SceneTest, ColdServersAndCrashedServersReduceTheWorkDone) {
   SceneOptions options = Options(0.8);
-  Scene whole(1, options);
+  Scene normal(1, options);
   options.server.slow_start_min_share = 0.25;
   options.server.slow_start_window = seconds(1000);
   Scene cold(1, options);
   Scene halved(1, Options(0.8));
   for (const std::size_t site : {0, 1})
     for (const std::size_t server : {0, 1}) halved.world().Crash(halved.server(site, server));
-  for (Scene* scene : {&whole, &cold, &halved}) scene->world().RunUntil(seconds(20));
+  for (Scene* scene : {&normal, &cold, &halved}) scene->world().RunUntil(seconds(20));
   const auto work = [](Scene& scene) { return Between(scene.ledger(), seconds(5), seconds(15)).work_ms; };
-  EXPECT_LT(work(cold), 0.6 * work(whole));
-  EXPECT_LT(work(halved), 0.8 * work(whole));
+  EXPECT_LT(work(cold), 0.6 * work(normal));
+  EXPECT_LT(work(halved), 0.8 * work(normal));
 }
 
 class FaultyScenesTest : public testing::TestWithParam<std::uint64_t> {};
 
-// Whatever fails: an end for each request, one answer to each try, no unsafe request run twice.
-TEST_P(FaultyScenesTest, KeepTheRules) {
+// Under any faults each request must end, each attempt of a client must get at most one response, and no
+// request that is not idempotent may run twice.
+TEST_P(FaultyScenesTest, SatisfyTheInvariantsOfTheLedger) {
   SceneOptions options = Options(1.2);
   options.clients.per_s /= 4;
   options.server.cores = 1;
   Scene scene(GetParam(), options);
   FaultOptions faults;
-  faults.machines = 4 + 8;  // gateways and servers; clients are the observers
+  faults.machines = 4 + 8;  // gateways and servers; the clients have no faults, as they observe the results
   faults.from = seconds(2);
   faults.to = seconds(15);
   const Trace trace{GetParam(), DrawFaults(GetParam(), faults)};
   for (const Fault& fault : trace.faults) Inject(scene.world(), fault);
   scene.world().RunUntil(seconds(20));
   EXPECT_GT(scene.ledger().calls().size(), 1000u);
-  EXPECT_EQ(Joined(scene.ledger().Broken(seconds(16))), "") << Write(trace);
+  EXPECT_EQ(Joined(scene.ledger().Broken(seconds(16))), "") << WriteTrace(trace);
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, FaultyScenesTest, testing::Range<std::uint64_t>(1, 7));
 
-// The hooks: every second refusal is taken over and ended otherwise, and arrivals are seen.
-class Taker : public GatewayProgram {
+// Counts arrivals and rejections, and fails every second rejected request itself.
+class RejectionHandler : public GatewayProgram {
  public:
   using GatewayProgram::GatewayProgram;
-  int arrivals = 0, refusals = 0;
+  int arrivals = 0, rejections = 0;
 
  protected:
   bool OnArrival(RequestId, Request& request) override {
@@ -112,22 +116,22 @@
     return true;
   }
   bool OnRefused(RequestId id, Request&, Span) override {
-    if (++refusals % 2 == 0) return false;
+    if (++rejections % 2 == 0) return false;
     Finish(id, Ending::kFailed);
     return true;
   }
 };
 
-TEST(SceneTest, RefusalsCanBeTakenOver) {
+TEST(SceneTest, AGatewayCanHandleRejectionsItself) {
   Scene scene(1, Options(2),
-              [](Host& host, const FleetSetup& setup, const GatewayOptions& of, Ledger& ledger) {
-                return std::make_unique<Taker>(host, setup, of, ledger);
+              [](Host& host, const FleetSetup& setup, const GatewayOptions& options, Ledger& ledger) {
+                return std::make_unique<RejectionHandler>(host, setup, options, ledger);
               });
   scene.world().RunUntil(seconds(10));
-  const auto& taker = static_cast<const Taker&>(*scene.gateway(0, 0));
-  EXPECT_GT(taker.arrivals, 1000);
-  EXPECT_GT(taker.refusals, 100);
-  EXPECT_GT(Of(Between(scene.ledger(), seconds(2), seconds(8)), Ending::kFailed), 0.01);
+  const auto& gateway = static_cast<const RejectionHandler&>(*scene.gateway(0, 0));
+  EXPECT_GT(gateway.arrivals, 1000);
+  EXPECT_GT(gateway.rejections, 100);
+  EXPECT_GT(ShareOf(Between(scene.ledger(), seconds(2), seconds(8)), Ending::kFailed), 0.01);
   EXPECT_EQ(Joined(scene.ledger().Broken(seconds(5))), "");
 }
 
--- a/tests/model/trace_test.cpp
+++ b/tests/model/trace_test.cpp
@@ -18,20 +18,20 @@
   return options;
 }
 
-TEST(TraceTest, ReadsBackWhatItWrote) {
+TEST(TraceTest, ReadsTheTraceThatWasWritten) {
   std::set<FaultKind> kinds;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     const Trace trace{seed * 0x9e3779b97f4a7c15u, DrawFaults(seed, Options())};
     for (const Fault& fault : trace.faults) kinds.insert(fault.kind);
-    const auto read = ReadTrace(Write(trace));
+    const auto read = ReadTrace(WriteTrace(trace));
     ASSERT_TRUE(read) << read.error();
     EXPECT_EQ(*read, trace);
   }
   EXPECT_EQ(kinds.size(), static_cast<std::size_t>(kFaultKinds));
 }
 
-TEST(TraceTest, NamesTheLineThatIsWrong) {
-  const std::string good = Write({1, {{Moment(5), Moment(6), FaultKind::kLoss, {1, 2}, 0.25}}});
+TEST(TraceTest, ReportsTheInvalidLine) {
+  const std::string good = WriteTrace({1, {{Moment(5), Moment(6), FaultKind::kLoss, {1, 2}, 0.25}}});
   const std::vector<std::pair<std::string, std::string>> changes{
       {"trace 1", "trace 2"},  {"seed 1", "seed x"},       {"kind=loss", "kind=los"}, {"who=1,2", "who=1,"},
       {"at_ns=5", "at_ns=5s"}, {"figure=0.25", "figure="}, {" figure=0.25", ""},      {"fault", "fold"}};
@@ -45,7 +45,7 @@
   EXPECT_FALSE(ReadTrace(""));
 }
 
-TEST(FaultsTest, AreDrawnWithinTheirBounds) {
+TEST(FaultsTest, DrawnFaultsAreWithinTheOptions) {
   const FaultOptions options = Options();
   for (std::uint64_t seed = 0; seed < 50; ++seed) {
     const auto faults = DrawFaults(seed, options);
@@ -53,15 +53,15 @@
     EXPECT_EQ(faults, DrawFaults(seed, options));
     for (const Fault& fault : faults) {
       EXPECT_GE(fault.at, options.from);
-      EXPECT_LE(fault.at + fault.lasts, options.to);
-      EXPECT_FALSE(fault.who.empty());
-      EXPECT_LT(*std::max_element(fault.who.begin(), fault.who.end()), options.machines);
+      EXPECT_LE(fault.at + fault.duration, options.to);
+      EXPECT_FALSE(fault.machines.empty());
+      EXPECT_LT(*std::max_element(fault.machines.begin(), fault.machines.end()), options.machines);
     }
   }
 }
 
-// A failure that needs a drawn subset of the faults is brought down to that very subset.
-TEST(ShrinkTest, KeepsWhatIsNeededAndNothingElse) {
+// A run fails exactly if it has all faults of a random subset. Shrink must return this subset.
+TEST(ShrinkTest, KeepsExactlyTheFaultsThatAreNeeded) {
   std::mt19937_64 random(7);
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     const auto all = DrawFaults(seed, Options());
@@ -79,7 +79,7 @@
   }
 }
 
-TEST(ShrinkTest, LeavesAloneWhatDoesNotFail) {
+TEST(ShrinkTest, KeepsAllFaultsIfTheRunDoesNotFail) {
   const auto all = DrawFaults(1, Options());
   EXPECT_EQ(Shrink(all, [](const auto&) { return false; }), all);
 }
