--- a/model/fleet/federation.cpp
+++ b/model/fleet/federation.cpp
@@ -109,7 +109,7 @@
       const bool up = federation.member(other, pool) != nullptr;
       if (up ? alive : !present) continue;
       std::string line = federation.world().host(machine).Name();
-      line.append(" holds ").append(name).append(up ? ", which runs, as " : ", which is down, as ");
+      line.append(" sees ").append(name).append(up ? ", which is running, as " : ", which is down, as ");
       wrong.push_back(line.append(found == others.end() ? "unknown" : Name(found->second.last.state)));
     }
   }
@@ -127,7 +127,7 @@
         one->state().ComputeDigest(one->host().Wall()) == first->state().ComputeDigest(first->host().Wall()))
       continue;
     std::string line = one->host().Name();
-    wrong.push_back(line.append(" holds another state than ").append(first->host().Name()));
+    wrong.push_back(line.append(" has a different state than ").append(first->host().Name()));
   }
   return wrong;
 }
--- a/model/trace.cpp
+++ b/model/trace.cpp
@@ -110,7 +110,8 @@
       trace.faults.push_back(*fault);
     }
   }
-  if (number < 2) return tl::unexpected(std::string("not a whole trace"));
+  if (number < 2)
+    return tl::unexpected(std::string("the trace is incomplete: the header or the seed line is missing"));
   return trace;
 }
 
--- a/model/world.cpp
+++ b/model/world.cpp
@@ -40,7 +40,7 @@
                        MachineClock clock) {
   const std::size_t number = machines_.size();
   if (!by_address_.emplace(address, number).second)
-    throw std::invalid_argument("two machines at one address: " + name);
+    throw std::invalid_argument("the address is used by another machine: " + name);
   machines_.push_back(std::make_unique<Machine>(number, std::move(name), address, std::move(factory), clock,
                                                 static_cast<Machine::Environment&>(*this)));
   next_ticks_.push_back(Moment::max());
--- a/src/fleet/failures.h
+++ b/src/fleet/failures.h
@@ -11,27 +11,27 @@
 
 namespace load_balancer::fleet {
 
-inline constexpr FailureKind kAddressInUse{
-    "FLEET-1", "the address among members is not to be had",
-    "end the process that has it, unless an upgrade is under way; it is tried again every probe interval"};
+inline constexpr FailureKind kAddressInUse{"FLEET-1", "the member address is not available",
+                                           "unless an upgrade is in progress, end the process that uses it; "
+                                           "this process retries every probe interval"};
 inline constexpr FailureKind kDatagramsDropped{
     "FLEET-2", "datagrams were dropped",
-    "bring all members to one version and name of the fleet and keep strangers off the port"};
+    "run the same version and fleet name on all members, and block other senders from the port"};
 inline constexpr FailureKind kStalled{
-    "FLEET-3", "this process stood still",
-    "see what else the machine runs; the member blames nobody for that time"};
-inline constexpr FailureKind kDisplaced{"FLEET-4", "another process has this name at a newer incarnation",
-                                        "give each process a name of its own and start this one again"};
-inline constexpr FailureKind kEntryRejected{"FLEET-5", "an entry of the shared state was refused",
-                                            "see in docs/fleet.md what the reason means, and look at the "
-                                            "version and the clock of the member that it is from"};
+    "FLEET-3", "this process was stalled",
+    "check the load of the machine; the member suspects no other member because of the stall"};
+inline constexpr FailureKind kDisplaced{"FLEET-4", "another process has this name and a newer incarnation",
+                                        "give each process a unique name and restart this one"};
+inline constexpr FailureKind kEntryRejected{"FLEET-5", "an entry of the shared state was rejected",
+                                            "look up the reason in docs/fleet.md, and check the version "
+                                            "and the clock of the member that sent the entry"};
 inline constexpr FailureKind kBadListEntry{
-    "FLEET-6", "an entry of the list of servers, made known by another member, is out of form",
-    "bring all members to one version; the list that this process has stays in force"};
+    "FLEET-6", "a server list entry that another member published is malformed",
+    "run the same version on all members; this process keeps its current list"};
 
 inline constexpr FailureKind kBandwidthLimitReached{
-    "FLEET-7", "datagrams were not sent, as this process reached its own limit of bytes a second",
-    "see in the line which kind took the bytes; raise most_bytes_per_second if it recurs"};
+    "FLEET-7", "datagrams were not sent because this process reached its limit of bytes per second",
+    "find in the line which kind of message used the bytes; raise most_bytes_per_second if it recurs"};
 
 inline constexpr std::array kFleetFailures{
     &kAddressInUse, &kDatagramsDropped,     &kStalled, &kDisplaced, &kEntryRejected,
--- a/src/fleet/section.cpp
+++ b/src/fleet/section.cpp
@@ -47,7 +47,8 @@
     section->RequireMultiple("lease_term_ms", fleet.lease_term, kLeaseTermsPerDrift, "lease_drift_ms",
                              fleet.lease_drift);
   }
-  if (has_leases && fleet.seeds.empty()) section->Fault("seeds", "is missing, as leases need voters");
+  if (has_leases && fleet.seeds.empty())
+    section->Fault("seeds", "is missing; leases need the seeds as voters");
   if (fleet.name.empty()) section->Fault("name", "is empty");
   const Milliseconds longest = LongestSuspicion(fleet);
   if (fleet.forget_after < longest)
--- a/tests/fleet/cluster.h
+++ b/tests/fleet/cluster.h
@@ -111,7 +111,8 @@
   std::uint64_t Counter(std::size_t observer, const std::string& key) {
     const std::string answer = Call(fleet_[observer].operators, "MEMBERS");
     const auto at = answer.find(" " + key + "=");
-    if (at == std::string::npos) throw std::runtime_error("no " + key + " in: " + answer);
+    if (at == std::string::npos)
+      throw std::runtime_error("the counter " + key + " is missing in the answer: " + answer);
     return std::stoull(answer.substr(at + key.size() + 2));
   }
   // Waits until all given members have the same view. Returns false after `max_wait`.
--- a/tests/fleet/harness.h
+++ b/tests/fleet/harness.h
@@ -52,7 +52,7 @@
   Process(const std::string& path, const std::vector<std::string>& args,
           const std::map<std::string, std::string>& env) {
     int pipe_ends[2];
-    if (::pipe2(pipe_ends, O_CLOEXEC) != 0) throw std::runtime_error("no pipe");
+    if (::pipe2(pipe_ends, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
     posix_spawn_file_actions_t actions;
     posix_spawn_file_actions_init(&actions);
     posix_spawn_file_actions_adddup2(&actions, pipe_ends[1], STDOUT_FILENO);
@@ -178,7 +178,7 @@
  public:
   Folder() {
     std::string pattern = (std::filesystem::temp_directory_path() / "fleet-XXXXXX").string();
-    if (!::mkdtemp(pattern.data())) throw std::runtime_error("no temporary folder");
+    if (!::mkdtemp(pattern.data())) throw std::runtime_error("cannot create a temporary folder");
     path = pattern;
   }
   Folder(const Folder&) = delete;
@@ -207,10 +207,11 @@
 // Returns the HOST:PORT that follows `prefix` in `line`. Throws std::runtime_error if there is none.
 inline Tcp::endpoint EndpointAfter(const std::string& line, const std::string& prefix) {
   const auto begin = line.find(prefix);
-  if (begin == std::string::npos) throw std::runtime_error("no " + prefix + " in: " + line);
+  if (begin == std::string::npos)
+    throw std::runtime_error("\"" + prefix + "\" is missing in the line: " + line);
   const std::string rest = line.substr(begin + prefix.size());
   const auto colon = rest.find(':');
-  if (colon == std::string::npos) throw std::runtime_error("no port in: " + line);
+  if (colon == std::string::npos) throw std::runtime_error("the port is missing in the line: " + line);
   return {boost::asio::ip::make_address(rest.substr(0, colon)),
           static_cast<unsigned short>(std::stoi(rest.substr(colon + 1)))};
 }
@@ -294,7 +295,7 @@
   // Returns the port at which a route listens.
   unsigned short Port(const std::string& route) {
     const auto line = process_.WaitFor("relay route " + route + " ");
-    if (!line) throw std::runtime_error("no route " + route);
+    if (!line) throw std::runtime_error("the relay has no route " + route);
     return EndpointAfter(line->second, "relay route " + route + " ").port();
   }
 
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -397,10 +397,10 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("The tests' fault relay between processes on loopback.");
+  CLI::App app("The fault relay of the tests, between processes on loopback.");
   std::uint64_t seed = 1;
   std::vector<std::string> routes;
-  app.add_option("--seed", seed, "for the faults' chances");
+  app.add_option("--seed", seed, "seed of the random faults");
   app.add_option("--route", routes, "NAME=udp|tcp:LISTEN=TARGET")->required();
   CLI11_PARSE(app, argc, argv);
   try {
@@ -408,7 +408,7 @@
     Relay relay(io, seed);
     for (const std::string& route : routes) {
       if (!relay.Add(route)) {
-        std::fprintf(stderr, "relay: no route: %s\n", route.c_str());
+        std::fprintf(stderr, "relay: invalid route: %s\n", route.c_str());
         return 2;
       }
     }
