--- a/bench/fleet_bench.h
+++ b/bench/fleet_bench.h
@@ -21,7 +21,7 @@
 inline double BytesSent(Cluster& cluster, const std::set<std::size_t>& dead) {
   double sum = 0;
   for (std::size_t i = 0; i < cluster.size(); ++i)
-    if (!dead.contains(i)) sum += static_cast<double>(cluster.Counted(i, "bytes_sent"));
+    if (!dead.contains(i)) sum += static_cast<double>(cluster.Counter(i, "bytes_sent"));
   return sum / static_cast<double>(cluster.size() - dead.size());
 }
 
--- a/bench/lease_handoff.cpp
+++ b/bench/lease_handoff.cpp
@@ -63,7 +63,7 @@
     for (std::size_t i = 0; i < cluster.size(); ++i) {
       if (dead.contains(i)) continue;
       if (const auto line = cluster.process(i).WaitFor(kHolds, marks[i], milliseconds(0)))
-        return {i, cluster.process(i).When(line->first)};
+        return {i, cluster.process(i).LineReadAt(line->first)};
     }
     std::this_thread::sleep_for(milliseconds(5));
   }
@@ -97,19 +97,19 @@
       {
         Cluster cluster(size, Section(interval_ms, 0), ConfigJson(off_discovery.address(), {}),
                         Cluster::NoEdit, kVoters);
-        if (!cluster.WaitUntilWhole()) throw std::runtime_error("the fleet did not come together");
+        if (!cluster.WaitUntilAllAlive()) throw std::runtime_error("the fleet did not come together");
         off = CallsPerSecond(off_discovery, std::chrono::seconds(10));
       }
       Cluster cluster(size, Section(interval_ms, term_ms), ConfigJson(on_discovery.address(), {}),
                       Cluster::NoEdit, kVoters);
       auto holder = Holder(cluster, std::vector<std::size_t>(size, 0), {});
       std::this_thread::sleep_for(milliseconds(2 * term_ms));
-      const std::uint64_t sent = cluster.Counted(0, "sent");
+      const std::uint64_t sent = cluster.Counter(0, "sent");
       const double on = CallsPerSecond(on_discovery, std::chrono::seconds(10));
-      const double datagrams = static_cast<double>(cluster.Counted(0, "sent") - sent) / 10;
+      const double datagrams = static_cast<double>(cluster.Counter(0, "sent") - sent) / 10;
       std::vector<double> handed;
       for (int i = 0; i < kills; ++i) {
-        const auto marks = cluster.Marks();
+        const auto marks = cluster.LineCounts();
         const std::size_t victim = holder.member;
         const auto killed = Clock::now();
         cluster.process(victim).Kill();
--- a/bench/membership_rounds.cpp
+++ b/bench/membership_rounds.cpp
@@ -31,7 +31,7 @@
 // Kills one member and waits until every other holds it as dead.
 void Kill(Cluster& cluster, std::size_t victim, const std::set<std::size_t>& dead, Clock::duration interval,
           Row* row) {
-  const auto marks = cluster.Marks();
+  const auto marks = cluster.LineCounts();
   const auto killed = Clock::now();
   cluster.process(victim).Kill();
   std::vector<double> known;
@@ -39,7 +39,7 @@
     if (i == victim || dead.contains(i)) continue;
     const auto line = cluster.WaitForState(i, victim, "dead", marks[i], milliseconds(300000));
     if (!line) throw std::runtime_error("a death was never noticed");
-    known.push_back(Seconds(cluster.process(i).When(*line) - killed));
+    known.push_back(Seconds(cluster.process(i).LineReadAt(*line) - killed));
   }
   const auto [first, last] = std::minmax_element(known.begin(), known.end());
   row->spread.push_back((*last - *first) / Seconds(interval));
@@ -49,8 +49,8 @@
 Row Measure(std::size_t size, int loss, int kills, int interval_ms) {
   Row row;
   Cluster cluster(size, {{"probe_interval_ms", interval_ms}, {"sync_interval_ms", 10 * interval_ms}});
-  if (!cluster.WaitUntilWhole()) throw std::runtime_error("the fleet did not come together");
-  cluster.Relay("FAULT * drop=" + std::to_string(loss / 100.0));
+  if (!cluster.WaitUntilAllAlive()) throw std::runtime_error("the fleet did not come together");
+  cluster.SendRelayCommand("FAULT * drop=" + std::to_string(loss / 100.0));
   const auto began = Clock::now();
   const double before = BytesSent(cluster, {});
   std::this_thread::sleep_for(milliseconds(interval_ms) * 30);
--- a/bench/model_leases.cpp
+++ b/bench/model_leases.cpp
@@ -23,7 +23,7 @@
   model::World& world = federation.world();
   const auto until = world.now() + std::chrono::minutes(1);
   while (world.now() < until) {
-    const auto holders = Holders(federation, 0, model::kSitePool, kDuty);
+    const auto holders = FindHolders(federation, 0, model::kSitePool, kDuty);
     if (!holders.empty()) return holders.front();
     world.RunUntil(world.now() + milliseconds(5));
   }
--- a/bench/model_state.cpp
+++ b/bench/model_state.cpp
@@ -26,8 +26,8 @@
  public:
   explicit Takers(Row* row) : row_(row) {}
   void Begin(model::Moment at) { told_ = at; }
-  void OnTaken(const model::PoolMember& by, const fleet::Entry&) override {
-    row_->taken_ms.push_back(std::chrono::duration<double, std::milli>(by.host().True() - told_).count());
+  void OnEntryAccepted(const model::PoolMember& by, const fleet::Entry&) override {
+    row_->taken_ms.push_back(std::chrono::duration<double, std::milli>(by.host().TrueTime() - told_).count());
   }
 
  private:
--- a/bench/model_sync.cpp
+++ b/bench/model_sync.cpp
@@ -35,11 +35,12 @@
 // Deaths, and the bytes of syncs: tables and what answers them.
 class Watch : public model::Observer {
  public:
-  void OnChanged(const model::PoolMember&, const fleet::Member& member,
-                 std::optional<fleet::MemberState>) override {
+  void OnMemberChanged(const model::PoolMember&, const fleet::Member& member,
+                       std::optional<fleet::MemberState>) override {
     count += member.last.state == fleet::MemberState::kDead;
   }
-  void OnSent(const model::PoolMember& by, const model::Endpoint&, const fleet::Message& message) override {
+  void OnMessageSent(const model::PoolMember& by, const model::Endpoint&,
+                     const fleet::Message& message) override {
     if (message.kind != fleet::Message::Kind::kSync) return;
     sync_bytes += fleet::kMaxDatagramBytes - fleet::RemainingBytes(by.options().section.name, message);
     for (const fleet::Update& update : message.updates) sync_bytes += fleet::EncodedSize(update);
--- a/bench/recovery_time.cpp
+++ b/bench/recovery_time.cpp
@@ -91,7 +91,7 @@
     PrintStarts((std::to_string(n) + " entries").c_str(), times);
   }
   Cluster cluster(3, {{"probe_interval_ms", 200}}, config);
-  if (!cluster.WaitUntilWhole()) throw std::runtime_error("the fleet did not come together");
+  if (!cluster.WaitUntilAllAlive()) throw std::runtime_error("the fleet did not come together");
   times.clear();
   for (int i = 0; i < starts; ++i)
     times.push_back(TimeToReady(
--- a/bench/request_cost.cpp
+++ b/bench/request_cost.cpp
@@ -62,7 +62,7 @@
   variant.process =
       std::make_unique<Process>("/bin/sh", std::vector<std::string>{"-c", run, variant.program, file},
                                 std::map<std::string, std::string>{{"TMPDIR", variant.folder.path}});
-  const auto until = std::chrono::steady_clock::now() + fleet::kBound;
+  const auto until = std::chrono::steady_clock::now() + fleet::kMaxWait;
   while (std::chrono::steady_clock::now() < until) {
     try {
       if (Client(variant.port.tcp()).Ask("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").result_int() == 200)
@@ -123,11 +123,11 @@
   std::printf("CPU time of a request; ratios to the first row, median of %d rounds of %d requests\n",
               options.rounds, options.requests);
   for (const auto& variant : variants)
-    std::printf("%-40s %-10s us=%.2f ratio=%.3f quarter=%.3f..%.3f lines_per_1000=%.2f\n",
-                variant->program.c_str(), variant->log.c_str(), Quantile(variant->us, 0.5),
-                Quantile(variant->ratios, 0.5), Quantile(variant->ratios, 0.25),
-                Quantile(variant->ratios, 0.75),
-                1000.0 * static_cast<double>(variant->process->Mark()) / (options.rounds * options.requests));
+    std::printf(
+        "%-40s %-10s us=%.2f ratio=%.3f quarter=%.3f..%.3f lines_per_1000=%.2f\n", variant->program.c_str(),
+        variant->log.c_str(), Quantile(variant->us, 0.5), Quantile(variant->ratios, 0.5),
+        Quantile(variant->ratios, 0.25), Quantile(variant->ratios, 0.75),
+        1000.0 * static_cast<double>(variant->process->LineCount()) / (options.rounds * options.requests));
 }
 
 }  // namespace
--- a/bench/state_convergence.cpp
+++ b/bench/state_convergence.cpp
@@ -37,11 +37,11 @@
 
 // Asks the first member until it takes the failing server out; when it did.
 Clock::time_point Eject(Cluster& cluster) {
-  const auto mark = cluster.process(0).Mark();
+  const auto mark = cluster.process(0).LineCount();
   for (int i = 0; i < 20000; ++i) {
     Client(cluster[0].clients).Ask(Look());
     const auto line = cluster.process(0).WaitFor(" ejected: ", mark, milliseconds(1));
-    if (line) return cluster.process(0).When(line->first);
+    if (line) return cluster.process(0).LineReadAt(line->first);
   }
   throw std::runtime_error("the server was never ejected");
 }
@@ -51,15 +51,15 @@
   const Servers servers;
   Cluster cluster(size, {{"probe_interval_ms", interval_ms}, {"sync_interval_ms", 10 * interval_ms}},
                   ConfigJson(Tcp::endpoint(kAnyPort.address(), 9), {}), std::cref(servers));
-  if (!cluster.WaitUntilWhole()) throw std::runtime_error("the fleet did not come together");
-  cluster.Relay("FAULT * drop=" + std::to_string(loss / 100.0));
+  if (!cluster.WaitUntilAllAlive()) throw std::runtime_error("the fleet did not come together");
+  cluster.SendRelayCommand("FAULT * drop=" + std::to_string(loss / 100.0));
   const auto began = Clock::now();
   const double before = BytesSent(cluster, {});
   const auto ejected = Eject(cluster);
   for (std::size_t i = 1; i < size; ++i) {
     const auto line = cluster.process(i).WaitFor("verdict server=s-1 from=n1", 0, milliseconds(20000));
     if (line)
-      row->taken.push_back(Seconds(cluster.process(i).When(line->first) - ejected));
+      row->taken.push_back(Seconds(cluster.process(i).LineReadAt(line->first) - ejected));
     else
       ++row->missed;
   }
--- a/model/lease/schedule.cpp
+++ b/model/lease/schedule.cpp
@@ -38,7 +38,7 @@
         world_(seed),
         operator_(world_, arena_, seed, options.change) {
     Link link;
-    link.most = milliseconds(5);
+    link.max_delay = milliseconds(5);
     world_.network().SetDefault(link);
     std::mt19937_64 random(seed);
     const double bound = static_cast<double>(arena_.drift.count()) / static_cast<double>(arena_.term.count());
@@ -46,7 +46,7 @@
       MachineClock clock;
       clock.rate = RateOf(random, bound);
       clock.offset = seconds(1 + random() % 1000000);
-      clock.wall_ms = static_cast<std::int64_t>(random() % 2000) - 1000;
+      clock.wall_ahead_ms = static_cast<std::int64_t>(random() % 2000) - 1000;
       world_.Add(
           std::string(1, static_cast<char>('A' + i)), AddressOf(i),
           [this, i](Host& host) {
--- a/model/quota/gateways.cpp
+++ b/model/quota/gateways.cpp
@@ -151,7 +151,7 @@
   }
 
   void Count(const std::string& partner, double units, bool inside, bool counts) {
-    all_.Count(number_, partner, host_.True(),
+    all_.Count(number_, partner, host_.TrueTime(),
                static_cast<quota::MilliUnits>(std::ceil(units * quota::kUnit)), inside, counts);
   }
 
--- a/model/quota/lease_member.h
+++ b/model/quota/lease_member.h
@@ -87,7 +87,7 @@
   void OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status, fleet::FencingToken, Span,
                      std::string_view) override {
     if (status == fleet::LeaseStatus::kHolder)
-      holders_.Tell(std::stoul(duty.substr(duty.find('/') + 1)), machine_, host_.True());
+      holders_.Tell(std::stoul(duty.substr(duty.find('/') + 1)), machine_, host_.TrueTime());
   }
   void OnFailure(const Failure&) override {}
 
--- a/model/quota/scale/crowd.cpp
+++ b/model/quota/scale/crowd.cpp
@@ -113,7 +113,7 @@
 
  private:
   void Serve() {
-    const Moment true_now = host_.True();
+    const Moment true_now = host_.TrueTime();
     while (const auto arrival = all_.clients_[number_].Take(true_now)) {
       const Time at = all_.clocks_[number_].At(arrival->at);
       const bool timed = ++all_.gateway_costs_.charges % kTimedCharges == 0;
@@ -182,9 +182,9 @@
   for (std::size_t site = 0; site < std::min<std::size_t>(options.sites, 5); ++site)
     voters_.push_back(addresses_[site * options.per_site]);
   Link wide;
-  wide.least = options.wide_least;
-  wide.most = options.wide_most;
-  world_.network().SetWide(wide);
+  wide.min_delay = options.wide_least;
+  wide.max_delay = options.wide_most;
+  world_.network().SetInterSite(wide);
   const double apart = options.clocks_apart * std::chrono::duration<double>(options.timings.clock_drift) /
                        std::chrono::duration<double>(options.timings.lease_term);
   for (std::size_t i = 0; i < count; ++i) {
--- a/model/quota/scenario.cpp
+++ b/model/quota/scenario.cpp
@@ -92,9 +92,9 @@
   options.machines = options_.sites * options_.per_site;
   options.from = kSettled;
   options.to = kRun;
-  options.most = seconds(4);
-  options.most_loss = 0.3;
-  options.most_delay_ms = 3000;
+  options.max_duration = seconds(4);
+  options.max_loss = 0.3;
+  options.max_delay_ms = 3000;
   options.count = seed_ % 5 == 1 ? 3 : 8;
   using enum FaultKind;
   options.kinds = {kStall, kCutOneWay, kPartition, kPartition, kLoss, kDelay, kDuplicate, kReorder};
@@ -115,7 +115,7 @@
   }
   if (!RestartsAll(seed_)) return faults;
   Fault all{seconds(8), milliseconds(100), kCrash, {}, 0};
-  for (std::size_t i = 0; i < options.machines; ++i) all.who.push_back(i);
+  for (std::size_t i = 0; i < options.machines; ++i) all.machines.push_back(i);
   faults.push_back(std::move(all));
   return faults;
 }
--- a/model/site/clients.cpp
+++ b/model/site/clients.cpp
@@ -63,7 +63,7 @@
                        of.idempotency == Idempotency::kNotIdempotent,
                        of.priority_weight,
                        ask.work_ms,
-                       host_.True(),
+                       host_.TrueTime(),
                        Moment(0),
                        0,
                        0,
@@ -108,7 +108,7 @@
 }
 
 void ClientPool::End(CallId call, Ending ending) {
-  ledger_.Ended(call, ending, host_.True());
+  ledger_.Ended(call, ending, host_.TrueTime());
   open_.erase(call);
 }
 
--- a/model/site/gateway.cpp
+++ b/model/site/gateway.cpp
@@ -25,7 +25,7 @@
       options_(options),
       ledger_(ledger),
       balancer_(options.settings, options.seed),
-      last_(static_cast<RequestId>(host.True().count())) {
+      last_(static_cast<RequestId>(host.TrueTime().count())) {
   ListUpdate list{ListKind::kFull, {}};
   for (ServerId server = 1; server <= options_.servers.size(); ++server) {
     ServerEntry entry;
--- a/model/site/scene.cpp
+++ b/model/site/scene.cpp
@@ -17,7 +17,7 @@
   return std::string(kind).append(std::to_string(site + 1)).append(".").append(std::to_string(number + 1));
 }
 
-Federation::Maker MakerOf(const SceneOptions& options, Scene::Maker maker, Ledger& ledger) {
+Federation::ProgramFactory MakerOf(const SceneOptions& options, Scene::Maker maker, Ledger& ledger) {
   return [options, maker = std::move(maker), &ledger](Host& host, const FleetSetup& setup) {
     GatewayOptions of{options.settings, {}, setup.site_pool.seed};
     of.settings.balancer_count = static_cast<int>(options.federation.members);
@@ -54,7 +54,7 @@
   of.classes = options.settings.classes;
   of.seed = seed * 1000003 + site;
   for (std::size_t i = 0; i < options.federation.members; ++i)
-    of.gateways.push_back(Federation::AddressOf(federation_.Machine(site, i)));
+    of.gateways.push_back(Federation::AddressOf(federation_.MachineIndex(site, i)));
   network.Place(world().size(), site);
   const Endpoint address(boost::asio::ip::address_v4(kClients + static_cast<std::uint32_t>(site)), kPort);
   clients_.push_back(world().Add(Named("clients", site, 0), address, [this, of](Host& host) {
@@ -63,7 +63,7 @@
 }
 
 GatewayProgram* Scene::gateway(std::size_t site, std::size_t member) {
-  return static_cast<GatewayProgram*>(federation_.program(federation_.Machine(site, member)));
+  return static_cast<GatewayProgram*>(federation_.program(federation_.MachineIndex(site, member)));
 }
 
 }  // namespace load_balancer::model
--- a/model/spill/federation.cpp
+++ b/model/spill/federation.cpp
@@ -17,9 +17,9 @@
       holders_(options.sites),
       tallies_(options.sites) {
   Link wide;
-  wide.least = options.spill.way / 2;
-  wide.most = options.spill.way;
-  world_.network().SetWide(wide);
+  wide.min_delay = options.spill.way / 2;
+  wide.max_delay = options.spill.way;
+  world_.network().SetInterSite(wide);
   for (std::size_t s = 0; s < options.sites; ++s) {
     servers_.emplace_back(world_, options.cores, options.spill.most_part);
     for (std::size_t g = 0; g < options.gateways; ++g) {
--- a/model/spill/gateway.cpp
+++ b/model/spill/gateway.cpp
@@ -92,7 +92,7 @@
   Ask ask = clients_.Draw();
   ask.id = federation_.NextId();
   ask.site = site_;
-  ask.at = host_.True();
+  ask.at = host_.TrueTime();
   federation_.Asked(ask);
   const bool taken = federation_.servers(site_).Own(ask.work_ms, [&federation = federation_, ask] {
     federation.Ran(ask);
@@ -277,7 +277,7 @@
       if (spill::Neighbour{site, gateway} == self_) continue;
       const auto late =
           site == self_.site ? std::chrono::milliseconds(0) : federation_.options().estimate_delay;
-      federation_.world().At(host_.True() + late, [&host = host_, to = addresses.pool, estimate = *made] {
+      federation_.world().At(host_.TrueTime() + late, [&host = host_, to = addresses.pool, estimate = *made] {
         host.Send(to, estimate, kStateBytes);
       });
     }
--- a/model/system/checks.cpp
+++ b/model/system/checks.cpp
@@ -45,11 +45,11 @@
                    fleet::FencingToken token) {
   ++acts_;
   const std::string who = federation_->world().host(machine).Name();
-  for (const std::size_t holder : Holders(*federation_, machine, pool, duty))
+  for (const std::size_t holder : FindHolders(*federation_, machine, pool, duty))
     if (holder != machine)
       Break(who + " acts for " + duty + " while " + federation_->world().host(holder).Name() + " holds it" +
             At(now()));
-  if (!federation_->member(machine, pool)->Holds(duty))
+  if (!federation_->member(machine, pool)->HoldsLease(duty))
     Break(who + " acts for " + duty + " without its lease" + At(now()));
   fleet::FencingToken& largest = tokens_[{pool, duty}];
   if (tokens_grow_ && token < largest) Break(who + " acts for " + duty + " with an older token" + At(now()));
@@ -106,16 +106,16 @@
 }
 
 void Checks::CheckDuty(std::size_t machine, std::size_t pool, const std::string& duty) {
-  const std::size_t holders = Holders(*federation_, machine, pool, duty).size();
+  const std::size_t holders = FindHolders(*federation_, machine, pool, duty).size();
   if (holders != 1) Break(duty + " has " + std::to_string(holders) + " holders after the faults" + At(now()));
 }
 
 void Checks::Recovered() {
-  for (const std::size_t pool : {kSitePool, kWidePool})
-    for (std::string& line : WrongViews(*federation_, pool)) Break("after the faults " + std::move(line));
-  for (std::size_t i = 0; i < wiring_.allocators; ++i) CheckDuty(0, kWidePool, Wiring::AllocatorOf(i));
+  for (const std::size_t pool : {kSitePool, kFederationPool})
+    for (std::string& line : FindWrongViews(*federation_, pool)) Break("after the faults " + std::move(line));
+  for (std::size_t i = 0; i < wiring_.allocators; ++i) CheckDuty(0, kFederationPool, Wiring::AllocatorOf(i));
   for (std::size_t site = 0; site < wiring_.sites.size(); ++site)
-    CheckDuty(federation_->Machine(site, 0), kSitePool, Wiring::AmbassadorOf(wiring_.sites[site]));
+    CheckDuty(federation_->MachineIndex(site, 0), kSitePool, Wiring::AmbassadorOf(wiring_.sites[site]));
   if (!skew_kept_) return;
   for (std::size_t machine = 0; machine < federation_->size(); ++machine)
     for (const std::string& site : wiring_.sites)
--- a/model/system/gateway.cpp
+++ b/model/system/gateway.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 FleetSetup Observed(FleetSetup setup, Observer* facts) {
-  setup.wide_pool.value().observer = facts;
+  setup.federation_pool.value().observer = facts;
   return setup;
 }
 
@@ -21,8 +21,8 @@
       options_(options),
       wiring_(wiring),
       checks_(checks),
-      quota_(host, *wide(), setup_.machine, wiring, checks),
-      spill_(host, site(), *wide(), setup_.machine, wiring, checks, *this) {
+      quota_(host, *federation_member(), setup_.machine, wiring, checks),
+      spill_(host, site(), *federation_member(), setup_.machine, wiring, checks, *this) {
   Feed(OverflowShare{wiring.spill.most_part});
 }
 
@@ -49,7 +49,7 @@
   if (spill_.Next() <= host().Now()) spill_.Tick();
   if (!leaves_at_ || *leaves_at_ > host().Now()) return;
   leaves_at_.reset();
-  wide()->Leave();
+  federation_member()->Leave();
 }
 
 Time SystemGateway::Next() const {
@@ -65,7 +65,7 @@
 void SystemGateway::Rejoin() {
   site().Rejoin();
   leaves_at_.reset();
-  wide()->Rejoin();
+  federation_member()->Rejoin();
   quota_.Resume();
 }
 
--- a/model/system/gateway.h
+++ b/model/system/gateway.h
@@ -21,7 +21,7 @@
 // The duties' facts that the federation's pool has brought, until they are looked at.
 class PoolFacts : public Observer {
  public:
-  void OnTaken(const PoolMember&, const fleet::Entry& entry) override {
+  void OnEntryAccepted(const PoolMember&, const fleet::Entry& entry) override {
     const auto* fact = std::get_if<fleet::FencedValue>(&entry.content);
     if (fact && fact->key != "lease/" + fact->duty) taken_.push_back(*fact);
   }
--- a/model/system/quota_side.cpp
+++ b/model/system/quota_side.cpp
@@ -15,7 +15,7 @@
 
 quota::AccountOptions OptionsOf(const Wiring& wiring, const PoolMember& pool, const Host& host) {
   const std::string& site = wiring.sites.at(pool.options().site);
-  const auto incarnation = static_cast<std::uint64_t>(host.True().count()) + 1;
+  const auto incarnation = static_cast<std::uint64_t>(host.TrueTime().count()) + 1;
   return {site, wiring.layout.at(site).size(), incarnation, wiring.allocators, wiring.timings};
 }
 
@@ -118,7 +118,7 @@
   for (const quota::AllocatorAction& action : actions) {
     const auto* send = std::get_if<quota::SendResponse>(&action);
     if (!send) continue;
-    checks_.Acted(machine_, kWidePool, proof.lease_name(), proof.token());
+    checks_.Acted(machine_, kFederationPool, proof.lease_name(), proof.token());
     Send(send->gateway, {{kAllocatorKey, allocator}, {kResponseKey, quota::ToJson(send->response)}});
   }
 }
--- a/model/system/scenario.cpp
+++ b/model/system/scenario.cpp
@@ -120,16 +120,16 @@
   federation.members = options.gateways;
   federation.fleet = PoolSection(milliseconds(300), 4, seconds(3));
   federation.federated = true;
-  federation.wide = PoolSection(milliseconds(500), 5, seconds(3));
-  federation.wide.name = "sites";
-  federation.wide.share_ejections = false;
-  federation.wide.max_bytes_per_second = 131072;
+  federation.federation_pool = PoolSection(milliseconds(500), 5, seconds(3));
+  federation.federation_pool.name = "sites";
+  federation.federation_pool.share_ejections = false;
+  federation.federation_pool.max_bytes_per_second = 131072;
   for (std::size_t i = 0; i < wiring.allocators; ++i)
-    federation.wide_duties.push_back({Wiring::AllocatorOf(i), fleet::LeasedRoleKind::kExclusive});
+    federation.federation_duties.push_back({Wiring::AllocatorOf(i), fleet::LeasedRoleKind::kExclusive});
   for (const std::string& site : wiring.sites)
     federation.duties.push_back({Wiring::AmbassadorOf(site), fleet::LeasedRoleKind::kExclusive});
   const double bound = std::chrono::duration<double>(wiring.timings.clock_drift) / wiring.timings.lease_term;
-  federation.most_rate_error = ClocksApart(seed) ? bound : kSmallError;
+  federation.max_rate_error = ClocksApart(seed) ? bound : kSmallError;
   scene.settings.classes = Classes();
   scene.settings.tenants.assign(wiring.tenants.size(), TenantSettings{kCapacity});
   scene.settings.max_attempts = 3;
@@ -154,14 +154,14 @@
   of.count = 4 + dice.Below(8);
   of.from = kFaultsFrom;
   of.to = std::max(kFaultsFrom + seconds(1), options.length - kRecovery);
-  if (!ClocksApart(seed)) of.most_jump_ms = kSmallJump;
+  if (!ClocksApart(seed)) of.max_jump_ms = kSmallJump;
   std::vector<Fault> faults = DrawFaults(seed * 1'000'003 + kFaultsOfGateways, of);
   // Machines of a site after the gateways: its servers, then its clients.
   of.machines = options.sites * kServers;
   of.count = dice.Below(4);
   of.kinds = {kCrash, kStall};
   for (Fault fault : DrawFaults(seed * 1'000'003 + kFaultsOfServers, of)) {
-    for (std::size_t& who : fault.who)
+    for (std::size_t& who : fault.machines)
       who = options.sites * options.gateways + who / kServers * (kServers + 1) + who % kServers;
     faults.push_back(std::move(fault));
   }
@@ -174,8 +174,8 @@
   double forward = 0, back = 0;
   for (const Fault& fault : faults) {
     if (fault.kind != FaultKind::kWallJump) continue;
-    forward += std::max(0.0, fault.figure);
-    back += std::max(0.0, -fault.figure);
+    forward += std::max(0.0, fault.magnitude);
+    back += std::max(0.0, -fault.magnitude);
   }
   return forward + back < static_cast<double>(wiring.spill.most_skew.count()) / 2;
 }
--- a/model/system/system.cpp
+++ b/model/system/system.cpp
@@ -28,7 +28,8 @@
   world.At(options.length, [&checks] { checks.Recovered(); });
   world.RunUntil(end);
   checks.Over(scene.ledger());
-  SystemResult result{checks.broken(), checks.counts(), scene.ledger().calls().size(), 0, world.history()};
+  SystemResult result{checks.broken(), checks.counts(), scene.ledger().calls().size(), 0,
+                      world.event_digest()};
   for (const auto& [id, call] : scene.ledger().calls())
     result.served += call.ends > 0 && call.ending == Ending::kServed;
   return result;
--- a/tests/federation/gateways.h
+++ b/tests/federation/gateways.h
@@ -16,7 +16,7 @@
 
 namespace load_balancer::testing::federation {
 
-using fleet::kBound;
+using fleet::kMaxWait;
 using fleet::milliseconds;
 using fleet::Process;
 using nlohmann::json;
@@ -65,7 +65,7 @@
   Process& operator[](int i) { return *processes_[Index(i)]; }
   fleet::Tcp::endpoint clients(int i) const { return fleet::EndpointAfter(clients_[Index(i)], ""); }
   std::string Operator(int i, const std::string& call) { return fleet::Call(operators_[Index(i)], call); }
-  std::string Relay(const std::string& line) const { return relay_.Say(line); }
+  std::string Relay(const std::string& line) const { return relay_.SendCommand(line); }
 
   // A new process in the place of one, with its folder.
   void Launch(int i) {
@@ -106,12 +106,12 @@
 
   std::vector<std::size_t> Marks() {
     std::vector<std::size_t> marks;
-    for (int i = 0; i < kAll; ++i) marks.push_back((*this)[i].Mark());
+    for (int i = 0; i < kAll; ++i) marks.push_back((*this)[i].LineCount());
     return marks;
   }
   // The gateway whose log has a line with `part` after its mark, other than `but`; -1 if none has in time.
   int WaitForAny(const std::string& part, const std::vector<std::size_t>& marks, int but = -1) {
-    const auto until = Steady::now() + kBound;
+    const auto until = Steady::now() + kMaxWait;
     while (Steady::now() < until)
       for (int i = 0; i < kAll; ++i)
         if (i != but && (*this)[i].WaitFor(part, marks[Index(i)], milliseconds(5))) return i;
@@ -187,7 +187,7 @@
   bool WaitForMore(std::size_t more) {
     std::unique_lock lock(mutex_);
     const std::size_t least = count_ + more;
-    return changed_.wait_for(lock, kBound, [&] { return count_ >= least; });
+    return changed_.wait_for(lock, kMaxWait, [&] { return count_ >= least; });
   }
   // All that arrived, by when they were sent.
   std::vector<Entry> Take() {
--- a/tests/federation/spill_faults_test.cpp
+++ b/tests/federation/spill_faults_test.cpp
@@ -62,7 +62,7 @@
   void Clear() { EXPECT_EQ(scene_.gateways().Relay("CLEAR *"), "ACK cleared"); }
   // Another gateway than `but` makes the site's estimates.
   bool WaitForAmbassador(int site, int but) {
-    const auto until = Steady::now() + kBound;
+    const auto until = Steady::now() + kMaxWait;
     while (Steady::now() < until && (scene_.Ambassador(site) < 0 || scene_.Ambassador(site) == but))
       Go(milliseconds(20));
     return scene_.Ambassador(site) != but;
@@ -78,7 +78,7 @@
   // An unsafe request of site a has come to a server of site b, which works on it.
   bool WaitForOneUnderWay() {
     const auto from = Steady::now();
-    return scene_.ledger().WaitFor(1, 2 * kBound, [from](const Entry& each) {
+    return scene_.ledger().WaitFor(1, 2 * kMaxWait, [from](const Entry& each) {
       return each.site == kA && each.unsafe && each.sent >= from && each.arrivals[kB] > 0 && !each.over;
     });
   }
--- a/tests/federation/spill_members_test.cpp
+++ b/tests/federation/spill_members_test.cpp
@@ -53,7 +53,8 @@
   ASSERT_TRUE(scene.WaitUntilServed());
   // Through a client's own address, and for comparison from that of the gateway that the mark names.
   const auto over = [&](const char* from) {
-    PatientClient client(scene.gateways().clients(Gateways::kPerSite), kBound, asio::ip::make_address(from));
+    PatientClient client(scene.gateways().clients(Gateways::kPerSite), kMaxWait,
+                         asio::ip::make_address(from));
     int count = 0;
     for (int n = 0; n < 60; ++n)
       count += client.Ask(std::string("GET /look/it HTTP/1.1\r\nHost: s\r\nReq-Cost: 1000\r\n") + kOwner +
--- a/tests/federation/spill_scene.h
+++ b/tests/federation/spill_scene.h
@@ -62,7 +62,7 @@
   // So many more requests of the site have been answered by servers of another; of `to`, if that is given.
   bool WaitForSpilled(int site, std::size_t more, int to = -1) {
     const auto from = Steady::now();
-    const bool came = ledger_.WaitFor(more, 2 * kBound, [=](const Entry& each) {
+    const bool came = ledger_.WaitFor(more, 2 * kMaxWait, [=](const Entry& each) {
       return each.site == site && each.sent >= from && each.status == 200 && each.spilled() &&
              (to < 0 || each.arrivals[Gateways::Index(to)] > 0);
     });
@@ -78,8 +78,8 @@
     for (const int i : Gateways::Site(site)) {
       const auto lines = gateways_[i].Lines();
       for (std::size_t n = 0; n < lines.size(); ++n) {
-        if (lines[n].find(kMakesEstimates) == std::string::npos || gateways_[i].When(n) < at) continue;
-        at = gateways_[i].When(n);
+        if (lines[n].find(kMakesEstimates) == std::string::npos || gateways_[i].LineReadAt(n) < at) continue;
+        at = gateways_[i].LineReadAt(n);
         last = i;
       }
     }
@@ -88,7 +88,7 @@
   // All gateways are served, so that what is counted from now on is no start.
   bool WaitUntilServed() {
     for (int i = 0; i < Gateways::kAll; ++i)
-      if (!ledger_.WaitFor(5, kBound,
+      if (!ledger_.WaitFor(5, kMaxWait,
                            [i](const Entry& each) { return each.gateway == i && each.status == 200; }))
         return false;
     return true;
@@ -110,7 +110,7 @@
   void ExpectSound(const std::set<int>& killed = {}) {
     for (int site = 0; site < Gateways::kSites; ++site) Rate(site, 0);
     const auto open = [](const Entry& each) { return !each.over; };
-    const auto until = Steady::now() + 2 * kBound;
+    const auto until = Steady::now() + 2 * kMaxWait;
     while (ledger_.Count(open) > 0 && Steady::now() < until) std::this_thread::sleep_for(milliseconds(20));
     EXPECT_EQ(ledger_.Count(open), 0u) << "requests that never ended";
     EXPECT_EQ(ledger_.Count([&](const Entry& each) {
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -99,7 +99,7 @@
     refused.work_ms = 1;
     refused.priority_weight = 1;
     service_.Offer(refused, message);
-    const auto until = std::chrono::steady_clock::now() + fleet::kBound;
+    const auto until = std::chrono::steady_clock::now() + fleet::kMaxWait;
     while (origin_.ends.empty() && std::chrono::steady_clock::now() < until)
       io_.run_one_for(milliseconds(50));
     io_.run_for(milliseconds(50));  // a second answer would come now
--- a/tests/fleet/lease_chaos_test.cpp
+++ b/tests/fleet/lease_chaos_test.cpp
@@ -90,12 +90,12 @@
       std::this_thread::sleep_for(milliseconds(100 + random_() % 500));
     }
     Undo(true);
-    relay_.Say("CLEAR *");
+    relay_.SendCommand("CLEAR *");
   }
   // Somebody's write is taken after the faults.
   bool ActsAgain() {
     const auto now = Steady::now().time_since_epoch().count();
-    const auto until = Steady::now() + kBound;
+    const auto until = Steady::now() + kMaxWait;
     while (Steady::now() < until) {
       const auto all = resource_.All();
       if (!all.empty() && all.back().begin > now) return true;
@@ -118,19 +118,19 @@
   std::vector<std::string> Routes() const {
     std::vector<std::string> routes;
     for (std::size_t i = 0; i < kActors; ++i)
-      routes.push_back(Cluster::Name(i) + "=udp:127.0.0.1:0=" + Host(binds_[i].port()));
+      routes.push_back(Cluster::Name(i) + "=udp:127.0.0.1:0=" + LoopbackAddress(binds_[i].port()));
     return routes;
   }
   std::string VotesOf(std::size_t i) const { return folder_.path / (Cluster::Name(i) + ".votes"); }
   void Start(std::size_t i) {
     std::vector<std::string> args{"--name",      Cluster::Name(i),
-                                  "--bind",      Host(binds_[i].port()),
-                                  "--advertise", Host(relay_.Port(Cluster::Name(i))),
+                                  "--bind",      LoopbackAddress(binds_[i].port()),
+                                  "--advertise", LoopbackAddress(relay_.Port(Cluster::Name(i))),
                                   "--votes",     VotesOf(i),
                                   "--resource",  std::to_string(resource_.port()),
                                   "--term",      std::to_string(kTerm.count()),
                                   "--seeds"};
-    for (std::size_t s = 0; s < kActors; ++s) args.push_back(Host(relay_.Port(Cluster::Name(s))));
+    for (std::size_t s = 0; s < kActors; ++s) args.push_back(LoopbackAddress(relay_.Port(Cluster::Name(s))));
     processes_.at(i) = std::make_unique<Process>(load_balancer::testing::kLeaseActorPath, args,
                                                  std::map<std::string, std::string>{});
   }
@@ -168,7 +168,7 @@
     const std::size_t i = random_() % 2 == 0 ? last : random_() % kActors;
     const std::size_t other = (i + 1 + random_() % (kActors - 1)) % kActors;
     const auto lasts = Steady::now() + milliseconds(300 + random_() % 4000);
-    const std::string name = Cluster::Name(i), from = " from=" + Host(binds_[other].port());
+    const std::string name = Cluster::Name(i), from = " from=" + LoopbackAddress(binds_[other].port());
     switch (random_() % 6) {
       case 0:
       case 1: {
@@ -196,9 +196,9 @@
   // For a while; one that ends takes the route's others along.
   void Disturb(const std::string& what, const std::string& route, const std::string& fault) {
     ++done_[what];
-    relay_.Say("FAULT " + route + fault);
+    relay_.SendCommand("FAULT " + route + fault);
     later_.push_back({Steady::now() + milliseconds(300 + random_() % 2000), kActors,
-                      [this, route] { relay_.Say("CLEAR " + route); }});
+                      [this, route] { relay_.SendCommand("CLEAR " + route); }});
   }
 
   std::mt19937 random_;
--- a/tests/fleet/lease_test.cpp
+++ b/tests/fleet/lease_test.cpp
@@ -73,13 +73,13 @@
                            {"lease_drift_ms", kDrift.count()}};
     auto cluster =
         std::make_unique<Cluster>(5, section, ConfigJson(discovery.address(), {}), Cluster::NoEdit, 5);
-    EXPECT_TRUE(cluster->WaitUntilWhole());
+    EXPECT_TRUE(cluster->WaitUntilAllAlive());
     return cluster;
   }
   // The member that logs that it holds discovery, from the marks on; 5 if none does in time.
   static std::size_t WaitForHolder(Cluster& cluster, const std::vector<std::size_t>& marks,
                                    const std::vector<std::size_t>& among) {
-    const auto until = std::chrono::steady_clock::now() + kBound;
+    const auto until = std::chrono::steady_clock::now() + kMaxWait;
     while (std::chrono::steady_clock::now() < until) {
       for (const std::size_t i : among)
         if (cluster.process(i).WaitFor(kHolds, marks[i], milliseconds(5))) return i;
@@ -128,7 +128,7 @@
 
   // The member's file of maintenance comes to name the server.
   static bool WaitUntilOut(Cluster& cluster, std::size_t member) {
-    const auto until = std::chrono::steady_clock::now() + kBound;
+    const auto until = std::chrono::steady_clock::now() + kMaxWait;
     while (std::chrono::steady_clock::now() < until) {
       for (const auto& entry : std::filesystem::directory_iterator(cluster[member].folder->path)) {
         if (entry.path().extension() != ".maintenance") continue;
@@ -164,7 +164,7 @@
   // All servers, the announcements of both leases, and the set of servers in maintenance.
   static bool WaitForAll(Cluster& cluster, std::size_t member) {
     const std::string all = "facts=" + std::to_string(kServers + 3) + ",";
-    const auto until = std::chrono::steady_clock::now() + kBound;
+    const auto until = std::chrono::steady_clock::now() + kMaxWait;
     while (std::chrono::steady_clock::now() < until) {
       if (Call(cluster[member].operators, "STATE").find(all) != std::string::npos) return true;
       std::this_thread::sleep_for(milliseconds(10));
@@ -178,7 +178,7 @@
   const auto cluster = Start();
   for (std::size_t i = 0; i < 5; ++i)
     EXPECT_TRUE(WaitForAll(*cluster, i)) << i << " " << Call((*cluster)[i].operators, "STATE");
-  for (std::size_t i = 0; i < 5; ++i) EXPECT_EQ(cluster->Counted(i, "throttled"), 0u) << i;
+  for (std::size_t i = 0; i < 5; ++i) EXPECT_EQ(cluster->Counter(i, "throttled"), 0u) << i;
   EXPECT_EQ(cluster->Count(" state=dead "), 0u);
 }
 
@@ -188,13 +188,13 @@
   ASSERT_LT(holder, 5u);
   const fl::FencingToken token = TokenOf(*cluster, holder, 0);
   ASSERT_TRUE(WaitForOneWatch(token));
-  const auto marks = cluster->Marks();
+  const auto marks = cluster->LineCounts();
   const auto killed = std::chrono::steady_clock::now();
   cluster->process(holder).Kill();
   const std::size_t next = WaitForHolder(*cluster, marks, Others(holder));
   ASSERT_LT(next, 5u);
   const auto line = cluster->process(next).WaitFor(kHolds, marks[next]);
-  const auto took = cluster->process(next).When(line->first) - killed;
+  const auto took = cluster->process(next).LineReadAt(line->first) - killed;
   // The voters' term and bound, what a follower still waits, and a round or two of asking.
   EXPECT_LE(took, 2 * kTerm + 3 * kDrift);
   std::printf("handed on after %lld ms\n",
@@ -209,7 +209,7 @@
   const std::size_t holder = WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4});
   ASSERT_LT(holder, 5u);
   const fl::FencingToken token = TokenOf(*cluster, holder, 0);
-  const auto marks = cluster->Marks();
+  const auto marks = cluster->LineCounts();
   cluster->process(holder).Signal(SIGSTOP);
   const std::size_t next = WaitForHolder(*cluster, marks, Others(holder));
   ASSERT_LT(next, 5u);
@@ -247,14 +247,15 @@
   std::vector<std::size_t> majority;
   for (const std::size_t i : Others(holder))
     if (i != mate) majority.push_back(i);
-  const auto marks = cluster->Marks();
+  const auto marks = cluster->LineCounts();
   cluster->Cut({holder, mate});
   const auto stopped = cluster->process(holder).WaitFor("lease duty=discovery role=waiting", marks[holder]);
   ASSERT_TRUE(stopped);
   const std::size_t next = WaitForHolder(*cluster, marks, majority);
   ASSERT_LT(next, 5u);
   const auto acts = cluster->process(next).WaitFor(kHolds, marks[next]);
-  EXPECT_LT(cluster->process(holder).When(stopped->first), cluster->process(next).When(acts->first));
+  EXPECT_LT(cluster->process(holder).LineReadAt(stopped->first),
+            cluster->process(next).LineReadAt(acts->first));
   // Without a quorum the other side does the duty without a lease, so that service goes on.
   EXPECT_TRUE(cluster->process(holder).WaitFor("lease duty=discovery role=alone", marks[holder]));
   cluster->Heal();
@@ -285,7 +286,7 @@
   cluster->Cut({0, 1});
   // Whether a call to one of these is answered so in the end.
   const auto answered = [&](const std::vector<std::size_t>& members, const std::string& answer) {
-    const auto until = std::chrono::steady_clock::now() + kBound;
+    const auto until = std::chrono::steady_clock::now() + kMaxWait;
     for (; std::chrono::steady_clock::now() < until; std::this_thread::sleep_for(milliseconds(20)))
       for (const std::size_t member : members)
         if (Call((*cluster)[member].operators, "DETACH s-1").starts_with(answer)) return true;
@@ -301,7 +302,7 @@
   const auto cluster = Start();
   ASSERT_LT(WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4}), 5u);
   const std::size_t before = cluster->Count("role=holder");
-  cluster->Relay("FAULT * drop=0.3");
+  cluster->SendRelayCommand("FAULT * drop=0.3");
   EXPECT_FALSE(cluster->process(0).WaitFor("no such line", 0, 10 * kTerm));
   std::size_t granted = 0;
   for (std::size_t i = 0; i < 5; ++i)
--- a/tests/fleet/membership_test.cpp
+++ b/tests/fleet/membership_test.cpp
@@ -29,23 +29,23 @@
 
 TEST(Membership, KilledMemberIsDeadEverywhereWithinTheBound) {
   Cluster cluster(5, kQuick);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   const auto killed = std::chrono::steady_clock::now();
   cluster.process(4).Kill();
   for (std::size_t i = 0; i < 4; ++i) {
     const auto line = cluster.WaitForState(i, 4, "dead", 0, Bound(5));
     ASSERT_TRUE(line) << "n" << i + 1 << " within " << Bound(5).count() << " ms";
-    const auto took = cluster.process(i).When(*line) - killed;
+    const auto took = cluster.process(i).LineReadAt(*line) - killed;
     std::printf("n%zu: dead after %lld ms, bound %lld ms\n", i + 1,
                 static_cast<long long>(std::chrono::duration_cast<milliseconds>(took).count()),
                 static_cast<long long>(Bound(5).count()));
   }
-  EXPECT_TRUE(cluster.WaitForOneView({0, 1, 2, 3}, kBound));
+  EXPECT_TRUE(cluster.WaitUntilViewsAgree({0, 1, 2, 3}, kMaxWait));
 }
 
 TEST(Membership, OneThatStoodStillRefutesItsDeathAndIsAlive) {
   Cluster cluster(5, kQuick);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   cluster.process(4).Signal(SIGSTOP);
   std::vector<std::size_t> dead;
   for (std::size_t i = 0; i < 4; ++i) {
@@ -57,15 +57,15 @@
   EXPECT_TRUE(cluster.process(4).WaitFor("stalled for "));
   EXPECT_TRUE(cluster.process(4).WaitFor("by=refuting"));
   for (std::size_t i = 0; i < 4; ++i) EXPECT_TRUE(cluster.WaitForState(i, 4, "alive", dead[i])) << i;
-  EXPECT_TRUE(cluster.WaitForOneView({0, 1, 2, 3, 4}, kBound));
+  EXPECT_TRUE(cluster.WaitUntilViewsAgree({0, 1, 2, 3, 4}, kMaxWait));
   EXPECT_EQ(cluster.Count("member=n1 state=dead") + cluster.Count("member=n2 state=dead"), 0u)
       << "the one that stood still blamed others";
 }
 
 TEST(Membership, NoLiveMemberIsDeadIn60SecondsOf30PercentLoss) {
   Cluster cluster(5, kQuick);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
-  ASSERT_EQ(cluster.Relay("FAULT * drop=0.3"), "ACK faults set");
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
+  ASSERT_EQ(cluster.SendRelayCommand("FAULT * drop=0.3"), "ACK faults set");
   // The one wait of a set time: what is asserted is that nothing happens in it.
   EXPECT_FALSE(cluster.WaitForState(0, 1, "dead", 0, milliseconds(60000)));
   const auto suspicions = cluster.Count("state=suspect"), deaths = cluster.Count("state=dead");
@@ -76,7 +76,7 @@
 
 TEST(Membership, BothSidesOfAPartitionConvergeOnceItHeals) {
   Cluster cluster(5, kQuick);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   cluster.Cut({3, 4});
   const auto healing = std::chrono::steady_clock::now() + milliseconds(10000);
   for (const std::size_t i : {0, 1, 2}) EXPECT_TRUE(cluster.WaitForState(i, 3, "dead"));
@@ -86,15 +86,15 @@
   std::this_thread::sleep_until(healing);
   cluster.Heal();
   // A sync, the refutations' way round, and the longest suspicion of what a table called dead.
-  ASSERT_TRUE(cluster.WaitForOneView({0, 1, 2, 3, 4}, milliseconds(1000) + Bound(5)));
+  ASSERT_TRUE(cluster.WaitUntilViewsAgree({0, 1, 2, 3, 4}, milliseconds(1000) + Bound(5)));
   for (const auto& [name, state] : cluster.View(0)) EXPECT_TRUE(state.starts_with("alive")) << name;
 }
 
 TEST(Membership, RestartUnderTheSameNameReplacesTheOldIncarnation) {
   Cluster cluster(3, kQuick);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   const std::string before = cluster.View(0).at("n3");
-  const auto marks = cluster.Marks();
+  const auto marks = cluster.LineCounts();
   cluster.Restart(2);
   for (std::size_t i : {0, 1}) EXPECT_TRUE(cluster.WaitForState(i, 2, "alive", marks[i]));
   EXPECT_EQ(cluster.View(0).size(), 3u);
@@ -103,7 +103,7 @@
 
 TEST(Membership, LeavesOnSigtermAndOnLameduckAndRejoins) {
   Cluster cluster(3, kQuick);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   ASSERT_EQ(Call(cluster[2].operators, "LAMEDUCK"), "ACK draining");
   const auto left = cluster.WaitForState(0, 2, "left");
   ASSERT_TRUE(left);
@@ -117,8 +117,8 @@
 
 TEST(Membership, AProcessThatReplacesAnotherTakesItsAddressOver) {
   Cluster cluster(2, kQuick);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
-  const auto mark = cluster.process(0).Mark();
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
+  const auto mark = cluster.process(0).LineCount();
   const std::string file = cluster[1].folder->path / "config.json";
   Process next(load_balancer::testing::kProxyPath, {"--config", file}, {{"TMPDIR", cluster[1].folder->path}});
   ASSERT_TRUE(next.WaitFor("cannot have 127.0.0.1:"));
@@ -148,7 +148,7 @@
   Cluster cluster(
       2, kQuick,
       ConfigJson(Tcp::endpoint(kAnyPort.address(), 9), Members(MemberJson("s-1", backend.address()))));
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   Watched<bool> over;
   std::thread flood([&] {
     boost::asio::io_context io;
@@ -166,7 +166,7 @@
   over.Do([](bool& done) { done = true; });
   flood.join();
   for (const char* kind : {"malformed", "oversized", "foreign", "version"})
-    EXPECT_GT(cluster.Counted(0, kind), 0u) << kind;
+    EXPECT_GT(cluster.Counter(0, kind), 0u) << kind;
   EXPECT_FALSE(cluster.View(0).contains("stranger"));
   EXPECT_LT(cluster.Count("dropped malformed="), 10u) << "a flood fills the log";
 }
--- a/tests/fleet/payload_test.cpp
+++ b/tests/fleet/payload_test.cpp
@@ -124,7 +124,7 @@
   EXPECT_TRUE(one.Send(address(1), "spill", 1));  // nobody has subscribed
   EXPECT_TRUE(one.Send(address(2), "quota", 2));  // of another pool
   EXPECT_TRUE(one.Send(address(1), "quota", 3));
-  const auto until = std::chrono::steady_clock::now() + kBound;
+  const auto until = std::chrono::steady_clock::now() + kMaxWait;
   while ((heard.empty() || wide.counters().received == 0) && std::chrono::steady_clock::now() < until)
     io.run_one_for(milliseconds(10));
   EXPECT_EQ(heard, std::vector<std::string>{"n1 3"});
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -60,8 +60,8 @@
 
 // Asks until the process has ejected a server.
 bool ProvokeEjection(Cluster& cluster, std::size_t member) {
-  const auto mark = cluster.process(member).Mark();
-  const auto until = std::chrono::steady_clock::now() + kBound;
+  const auto mark = cluster.process(member).LineCount();
+  const auto until = std::chrono::steady_clock::now() + kMaxWait;
   while (std::chrono::steady_clock::now() < until) {
     Client(cluster[member].clients).Ask(Look());
     if (cluster.process(member).WaitFor(" ejected: ", mark, milliseconds(1))) return true;
@@ -72,7 +72,7 @@
 // Where it was served in the end. What is refused was sent nowhere, and a proxy that has seen few answers
 // refuses now and then.
 std::string Served(const Tcp::endpoint& at, const std::string& request) {
-  const auto until = std::chrono::steady_clock::now() + kBound;
+  const auto until = std::chrono::steady_clock::now() + kMaxWait;
   do {
     const HttpResponse answer = Client(at).Ask(request);
     if (answer.result_int() == 200) return answer.body();
@@ -99,25 +99,25 @@
 TEST(SharedState, AllStopSendingToAServerThatFailsOneAndReturnItTogether) {
   const OneSidedFailure servers;
   Cluster cluster(5, kQuick, ConfigJson(kNobody, {}), std::cref(servers));
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   {
     Load load;
     for (std::size_t i = 0; i < 5; ++i) load.Add(cluster[i].clients);
     const auto first = cluster.process(0).WaitFor(" ejected: ");
     ASSERT_TRUE(first);
-    const auto ejected = cluster.process(0).When(first->first);
+    const auto ejected = cluster.process(0).LineReadAt(first->first);
     std::vector<std::chrono::steady_clock::time_point> returns;
     for (std::size_t i = 0; i < 5; ++i) {
       const auto out = i == 0 ? first : cluster.process(i).WaitFor(" ejected on a peer's word");
       ASSERT_TRUE(out) << i;
-      EXPECT_LE(cluster.process(i).When(out->first) - ejected, milliseconds(2 * 200)) << i;
+      EXPECT_LE(cluster.process(i).LineReadAt(out->first) - ejected, milliseconds(2 * 200)) << i;
     }
     for (std::size_t i = 1; i < 5; ++i)
       for (int k = 0; k < 5; ++k) EXPECT_NE(Client(cluster[i].clients).Ask(Look()).body(), "s-1") << i;
     for (std::size_t i = 0; i < 5; ++i) {
       const auto back = cluster.process(i).WaitFor(" returns to service");
       ASSERT_TRUE(back) << i;
-      returns.push_back(cluster.process(i).When(back->first));
+      returns.push_back(cluster.process(i).LineReadAt(back->first));
     }
     const auto [soonest, latest] = std::minmax_element(returns.begin(), returns.end());
     EXPECT_LE(*latest - *soonest, milliseconds(500));
@@ -128,7 +128,7 @@
 TEST(SharedState, AfterAPartitionAllHoldTheNewerVerdict) {
   const OneSidedFailure servers;
   Cluster cluster(5, kQuick, ConfigJson(kNobody, {}), std::cref(servers));
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   cluster.Cut({3, 4});
   ASSERT_TRUE(ProvokeEjection(cluster, 0));
   for (const std::size_t i : {1, 2})
@@ -143,8 +143,8 @@
 TEST(SharedState, AVerdictReachesAllUnder30PercentLoss) {
   const OneSidedFailure servers;
   Cluster cluster(5, kQuick, ConfigJson(kNobody, {}), std::cref(servers));
-  ASSERT_TRUE(cluster.WaitUntilWhole());
-  cluster.Relay("FAULT * drop=0.3");
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
+  cluster.SendRelayCommand("FAULT * drop=0.3");
   ASSERT_TRUE(ProvokeEjection(cluster, 0));
   for (std::size_t i = 1; i < 5; ++i)
     EXPECT_TRUE(cluster.process(i).WaitFor("verdict server=s-1 from=n1")) << i;
@@ -183,7 +183,7 @@
   Lie(cluster, 0, "s-1", 0, 8);
   EXPECT_TRUE(process.WaitFor("state server=s-1 from=liar refused=implausible"));
   for (const char* id : {"s-1", "s-2", "s-3", "s-4"}) {
-    const auto mark = process.Mark();
+    const auto mark = process.LineCount();
     Lie(cluster, 0, id, 0, 9);
     ASSERT_TRUE(process.WaitFor("ejected on a peer's word", mark)) << id;
   }
@@ -205,17 +205,17 @@
   nlohmann::json section = kQuick;
   section["server_limit"] = kLimit;
   Cluster cluster(5, section, ConfigJson(kNobody, Members(MemberJson("s-1", server.address()))));
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   for (std::size_t i = 0; i < 5; ++i) ASSERT_TRUE(cluster.process(i).WaitFor("limit=10 share=2")) << i;
   auto load = std::make_unique<Load>();
   for (std::size_t i = 0; i < 3; ++i)
     for (int k = 0; k < 8; ++k) load->Add(cluster[i].clients);
-  std::vector<std::size_t> marks = cluster.Marks();
+  std::vector<std::size_t> marks = cluster.LineCounts();
   cluster.process(3).Kill();
   cluster.process(4).Kill();
   for (const std::size_t i : {0, 1, 2})
     EXPECT_TRUE(cluster.process(i).WaitFor("limit=10 share=3", marks[i])) << "the dead ones' share returns";
-  marks = cluster.Marks();
+  marks = cluster.LineCounts();
   cluster.Restart(3);
   cluster.Restart(4);
   for (std::size_t i = 3; i < 5; ++i)
@@ -230,7 +230,7 @@
 
 // Asks STATE until the answer holds `part`.
 bool WaitForState(Cluster& cluster, std::size_t member, const std::string& part) {
-  const auto until = std::chrono::steady_clock::now() + kBound;
+  const auto until = std::chrono::steady_clock::now() + kMaxWait;
   while (std::chrono::steady_clock::now() < until) {
     if (Call(cluster[member].operators, "STATE").find(part) != std::string::npos) return true;
     std::this_thread::sleep_for(milliseconds(10));
@@ -250,7 +250,7 @@
   section["affinity_entries"] = 100;
   section["affinity_ttl_ms"] = 60000;
   Cluster cluster(3, section, config);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   for (int key = 0; key < 5; ++key) {
     const std::string request = Look("Cookie: obj=player" + std::to_string(key) + "\r\n");
     const std::string met = Served(cluster[0].clients, request);
--- a/tests/model/sync_test.cpp
+++ b/tests/model/sync_test.cpp
@@ -100,7 +100,7 @@
       host.Send(to, Older(std::any_cast<Datagram>(std::move(content))), bytes);
     }
     std::map<std::string, std::string>& Disk() override { return host.Disk(); }
-    Moment True() const override { return host.True(); }
+    Moment TrueTime() const override { return host.TrueTime(); }
     const Endpoint& Address() const override { return host.Address(); }
     const std::string& Name() const override { return host.Name(); }
     Host& host;
@@ -144,10 +144,10 @@
     world.RunUntil(seconds(41));
     world.network().End(cut);
     world.RunUntil(seconds(58));
-    EXPECT_EQ(WrongStates(federation, kSitePool).size(), 0u) << seed;
+    EXPECT_EQ(FindDifferingStates(federation, kSitePool).size(), 0u) << seed;
     EXPECT_EQ(federation.member(0, kSitePool)->state().Ejections(world.host(0).Wall()).size(), 4u) << seed;
     world.RunUntil(seconds(100));
-    EXPECT_EQ(WrongViews(federation, kSitePool).size(), 0u) << seed;
+    EXPECT_EQ(FindWrongViews(federation, kSitePool).size(), 0u) << seed;
   }
 }
 
@@ -155,7 +155,7 @@
 
 // The bytes of syncs alone, while one member restarts and everything else stands still.
 struct SyncBytes : Observer {
-  void OnSent(const PoolMember& by, const Endpoint&, const fl::Message& message) override {
+  void OnMessageSent(const PoolMember& by, const Endpoint&, const fl::Message& message) override {
     if (message.kind != fl::Message::Kind::kSync) return;
     for (const fl::Update& update : message.updates) bytes += fl::EncodedSize(update);
     EXPECT_LE(message.updates.size() + fl::Encode(by.options().section.name, message).size(),
@@ -175,7 +175,7 @@
   Federation federation(3, options);
   World& world = federation.world();
   world.RunUntil(seconds(20));
-  EXPECT_EQ(WrongViews(federation, kSitePool).size(), 0u);
+  EXPECT_EQ(FindWrongViews(federation, kSitePool).size(), 0u);
   watch.bytes = 0;
   world.Restart(7);
   world.RunUntil(seconds(22));
--- a/tests/quota/search.cpp
+++ b/tests/quota/search.cpp
@@ -20,7 +20,7 @@
     if (!PlayQuota(seed, faults)) continue;
     const auto needed =
         Shrink(faults, [&](const std::vector<Fault>& some) { return PlayQuota(seed, some).has_value(); });
-    std::printf("%s\n%s", PlayQuota(seed, needed)->text.c_str(), Write({seed, needed}).c_str());
+    std::printf("%s\n%s", PlayQuota(seed, needed)->text.c_str(), WriteTrace({seed, needed}).c_str());
     return 1;
   }
   std::printf("none of %llu seeds overspends\n", static_cast<unsigned long long>(count));
--- a/tests/quota/use_test.cpp
+++ b/tests/quota/use_test.cpp
@@ -36,9 +36,9 @@
 
 void Wide(Gateways& gateways) {
   Link wide;
-  wide.least = milliseconds(8);
-  wide.most = milliseconds(15);
-  gateways.world().network().SetWide(wide);
+  wide.min_delay = milliseconds(8);
+  wide.max_delay = milliseconds(15);
+  gateways.world().network().SetInterSite(wide);
 }
 
 // Of the budget, over a span.
--- a/tests/sites/refusal_test.cpp
+++ b/tests/sites/refusal_test.cpp
@@ -527,7 +527,7 @@
     SCOPED_TRACE(bad.faults.front());
     file.Clear();
     bad.put(file);
-    std::size_t from = process.Mark();
+    std::size_t from = process.LineCount();
     process.Signal(SIGHUP);
     for (const std::string& fault : bad.faults) {
       const auto line = process.WaitFor(fault, from);
@@ -545,7 +545,7 @@
   file.Clear();
   config["settings"]["classes"][2]["name"] = "ledger-report";
   file.Write(config.dump());
-  const std::size_t from = process.Mark();
+  const std::size_t from = process.LineCount();
   process.Signal(SIGHUP);
   ASSERT_TRUE(process.WaitFor("config: reloaded", from));
   EXPECT_EQ(Client(address).Ask(old_class).result_int(), 404u);
@@ -572,7 +572,7 @@
                       {"ROUTER_LISTEN", "127.0.0.1:" + std::to_string(port.tcp().port())},
                       {"TMPDIR", state.path}});
   ASSERT_TRUE(WaitUntilServing(port.tcp()));
-  const std::size_t from = process.Mark();
+  const std::size_t from = process.LineCount();
   process.Signal(SIGHUP);
   const auto line = process.WaitFor("config: ", from);
   ASSERT_TRUE(line);
--- a/tests/state/recovery_test.cpp
+++ b/tests/state/recovery_test.cpp
@@ -125,7 +125,7 @@
   }
   // Asks until the failing server is out, and the file holds it.
   bool EjectAndKeep(Member& member) {
-    const auto until = std::chrono::steady_clock::now() + kBound;
+    const auto until = std::chrono::steady_clock::now() + kMaxWait;
     while (std::chrono::steady_clock::now() < until) {
       Client(member.clients).Ask(Look());
       if (member.process->WaitFor(" ejected: ", 0, milliseconds(1))) break;
@@ -155,7 +155,7 @@
   const auto restored = member.process->WaitFor("verdict server=s-1 left_ms=");
   ASSERT_TRUE(restored);
   const auto left = milliseconds(std::stoll(restored->second.substr(restored->second.find("left_ms=") + 8)));
-  const auto ends = member.process->When(restored->first) + left;
+  const auto ends = member.process->LineReadAt(restored->first) + left;
   const std::size_t before = bad.seen.Get().requests.size();
   int asked = 0;
   // Well short of the end, as a request takes its time.
@@ -200,7 +200,7 @@
   config["state"] = {{"snapshot_interval_ms", 3600000}};
   Fleet fleet(load_balancer::testing::kProxyPath);
   Member& member = fleet[fleet.Start(config)];
-  const auto until = std::chrono::steady_clock::now() + kBound;
+  const auto until = std::chrono::steady_clock::now() + kMaxWait;
   while (!std::filesystem::exists(SnapshotOf(member)) && std::chrono::steady_clock::now() < until)
     std::this_thread::sleep_for(milliseconds(5));
   fleet.Restart(0);
@@ -233,7 +233,7 @@
 
 TEST_F(Recovering, WithAnEmptyFolderItTakesThePeersState) {
   Cluster cluster(3, {{"probe_interval_ms", 100}, {"sync_interval_ms", 300}}, config);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   ASSERT_TRUE(EjectAndKeep(cluster[0]));
   for (const auto& entry : std::filesystem::directory_iterator(cluster[2].folder->path))
     if (entry.path().extension() != ".json") std::filesystem::remove(entry.path());
--- a/tools/federation_check.cpp
+++ b/tools/federation_check.cpp
@@ -25,7 +25,7 @@
     });
   for (const std::string& line : PlaySystem(seed, options, faults).broken)
     std::printf("broken: %s\n", line.c_str());
-  std::printf("%s", Write({seed, faults}).c_str());
+  std::printf("%s", WriteTrace({seed, faults}).c_str());
 }
 
 }  // namespace
--- a/tools/lease_check.cpp
+++ b/tools/lease_check.cpp
@@ -55,7 +55,7 @@
         return RunSchedule(seed, options, some).broken.has_value();
       };
       std::printf("broken: %s (members=%zu)\n%s", result.broken->c_str(), options.members,
-                  Write({seed, Shrink(faults, fails)}).c_str());
+                  WriteTrace({seed, Shrink(faults, fails)}).c_str());
       return false;
     }
     leases += result.leases, acts += result.acts, refused += result.refused;
