--- a/model/lease/schedule.cpp
+++ b/model/lease/schedule.cpp
@@ -42,7 +42,7 @@
         world_(seed),
         operator_(world_, run_, seed, options.change) {
     Link link;
-    link.most = milliseconds(5);
+    link.max_delay = milliseconds(5);
     world_.network().SetDefault(link);
     std::mt19937_64 random(seed);
     const double bound = static_cast<double>(run_.drift.count()) / static_cast<double>(run_.term.count());
@@ -50,7 +50,7 @@
       MachineClock clock;
       clock.rate = DrawClockRate(random, bound);
       clock.offset = seconds(1 + random() % 1000000);
-      clock.wall_ms = static_cast<std::int64_t>(random() % 2000) - 1000;
+      clock.wall_ahead_ms = static_cast<std::int64_t>(random() % 2000) - 1000;
       world_.Add(
           std::string(1, static_cast<char>('A' + i)), AddressOf(i),
           [this, i](Host& host) {
--- a/src/fleet/section.cpp
+++ b/src/fleet/section.cpp
@@ -7,9 +7,10 @@
 namespace load_balancer::fleet {
 namespace {
 
-// Lifeguard's longest suspicion is this many times the shortest one,
+// The ratio of the longest suspicion to the shortest one, as in Lifeguard.
 constexpr int kLongestToShortestSuspicion = 6;
-// which grows with the decimal logarithm of the members.
+// The shortest suspicion grows with the decimal logarithm of the number of members. 4 stands for 10,000
+// members.
 constexpr int kLogarithmOfMembers = 4;
 
 void ReadMembership(Section* section, FleetSection* fleet) {
@@ -46,7 +47,8 @@
     section->RequireMultiple("lease_term_ms", fleet.lease_term, kLeaseTermsPerDrift, "lease_drift_ms",
                              fleet.lease_drift);
   }
-  if (has_leases && fleet.seeds.empty()) section->Fault("seeds", "is missing, as leases need voters");
+  if (has_leases && fleet.seeds.empty())
+    section->Fault("seeds", "is missing; leases need the seeds as voters");
   if (fleet.name.empty()) section->Fault("name", "is empty");
   const Milliseconds longest = LongestSuspicion(fleet);
   if (fleet.forget_after < longest)
--- a/tests/fleet/lease_chaos_test.cpp
+++ b/tests/fleet/lease_chaos_test.cpp
@@ -93,12 +93,12 @@
       std::this_thread::sleep_for(milliseconds(100 + random_() % 500));
     }
     EndFaults(true);
-    relay_.Say("CLEAR *");
+    relay_.SendCommand("CLEAR *");
   }
   // Waits for a write that began after this call. Returns whether there was one in time.
   bool WaitForNewWrite() {
     const auto now = Steady::now().time_since_epoch().count();
-    const auto until = Steady::now() + kBound;
+    const auto until = Steady::now() + kMaxWait;
     while (Steady::now() < until) {
       const auto all = resource_.Writes();
       if (!all.empty() && all.back().begin > now) return true;
@@ -121,19 +121,19 @@
   std::vector<std::string> Routes() const {
     std::vector<std::string> routes;
     for (std::size_t i = 0; i < kActors; ++i)
-      routes.push_back(Cluster::Name(i) + "=udp:127.0.0.1:0=" + Host(binds_[i].port()));
+      routes.push_back(Cluster::Name(i) + "=udp:127.0.0.1:0=" + LoopbackAddress(binds_[i].port()));
     return routes;
   }
   std::string VoteFileOf(std::size_t i) const { return folder_.path / (Cluster::Name(i) + ".votes"); }
   void Start(std::size_t i) {
     std::vector<std::string> args{"--name",      Cluster::Name(i),
-                                  "--bind",      Host(binds_[i].port()),
-                                  "--advertise", Host(relay_.Port(Cluster::Name(i))),
+                                  "--bind",      LoopbackAddress(binds_[i].port()),
+                                  "--advertise", LoopbackAddress(relay_.Port(Cluster::Name(i))),
                                   "--votes",     VoteFileOf(i),
                                   "--resource",  std::to_string(resource_.port()),
                                   "--term",      std::to_string(kTerm.count()),
                                   "--seeds"};
-    for (std::size_t s = 0; s < kActors; ++s) args.push_back(Host(relay_.Port(Cluster::Name(s))));
+    for (std::size_t s = 0; s < kActors; ++s) args.push_back(LoopbackAddress(relay_.Port(Cluster::Name(s))));
     processes_.at(i) = std::make_unique<Process>(load_balancer::testing::kLeaseActorPath, args,
                                                  std::map<std::string, std::string>{});
   }
@@ -172,7 +172,7 @@
     const std::size_t i = random_() % 2 == 0 ? last : random_() % kActors;
     const std::size_t other = (i + 1 + random_() % (kActors - 1)) % kActors;
     const auto ends_at = Steady::now() + milliseconds(300 + random_() % 4000);
-    const std::string name = Cluster::Name(i), from = " from=" + Host(binds_[other].port());
+    const std::string name = Cluster::Name(i), from = " from=" + LoopbackAddress(binds_[other].port());
     switch (random_() % 6) {
       case 0:
       case 1: {
@@ -200,9 +200,9 @@
   // Disturbs a route for a random time. The end of one fault also clears the other faults of the route.
   void DisturbRoute(const std::string& name, const std::string& route, const std::string& fault) {
     ++fault_counts_[name];
-    relay_.Say("FAULT " + route + fault);
+    relay_.SendCommand("FAULT " + route + fault);
     repairs_.push_back({Steady::now() + milliseconds(300 + random_() % 2000), kActors,
-                        [this, route] { relay_.Say("CLEAR " + route); }});
+                        [this, route] { relay_.SendCommand("CLEAR " + route); }});
   }
 
   std::mt19937 random_;
--- a/tests/fleet/lease_test.cpp
+++ b/tests/fleet/lease_test.cpp
@@ -75,14 +75,14 @@
                            {"lease_drift_ms", kDrift.count()}};
     auto cluster =
         std::make_unique<Cluster>(5, section, ConfigJson(discovery.address(), {}), Cluster::NoEdit, 5);
-    EXPECT_TRUE(cluster->WaitUntilWhole());
+    EXPECT_TRUE(cluster->WaitUntilAllAlive());
     return cluster;
   }
   // Waits until one of the members logs, after its mark, that it holds the lease of discovery. Returns the
   // index of that member, or 5 if none logs it in time.
   static std::size_t WaitForHolder(Cluster& cluster, const std::vector<std::size_t>& marks,
                                    const std::vector<std::size_t>& among) {
-    const auto until = std::chrono::steady_clock::now() + kBound;
+    const auto until = std::chrono::steady_clock::now() + kMaxWait;
     while (std::chrono::steady_clock::now() < until) {
       for (const std::size_t i : among)
         if (cluster.process(i).WaitFor(kHolds, marks[i], milliseconds(5))) return i;
@@ -131,7 +131,7 @@
 
   // Waits until the member's maintenance file contains the server s-1.
   static bool WaitUntilInMaintenance(Cluster& cluster, std::size_t member) {
-    const auto until = std::chrono::steady_clock::now() + kBound;
+    const auto until = std::chrono::steady_clock::now() + kMaxWait;
     while (std::chrono::steady_clock::now() < until) {
       for (const auto& entry : std::filesystem::directory_iterator(cluster[member].folder->path)) {
         if (entry.path().extension() != ".maintenance") continue;
@@ -168,7 +168,7 @@
   // maintenance.
   static bool WaitForAllEntries(Cluster& cluster, std::size_t member) {
     const std::string all = "facts=" + std::to_string(kServers + 3) + ",";
-    const auto until = std::chrono::steady_clock::now() + kBound;
+    const auto until = std::chrono::steady_clock::now() + kMaxWait;
     while (std::chrono::steady_clock::now() < until) {
       if (Call(cluster[member].operators, "STATE").find(all) != std::string::npos) return true;
       std::this_thread::sleep_for(milliseconds(10));
@@ -182,7 +182,7 @@
   const auto cluster = Start();
   for (std::size_t i = 0; i < 5; ++i)
     EXPECT_TRUE(WaitForAllEntries(*cluster, i)) << i << " " << Call((*cluster)[i].operators, "STATE");
-  for (std::size_t i = 0; i < 5; ++i) EXPECT_EQ(cluster->Counted(i, "throttled"), 0u) << i;
+  for (std::size_t i = 0; i < 5; ++i) EXPECT_EQ(cluster->Counter(i, "throttled"), 0u) << i;
   EXPECT_EQ(cluster->Count(" state=dead "), 0u);
 }
 
@@ -192,13 +192,13 @@
   ASSERT_LT(holder, 5u);
   const fl::FencingToken token = TokenOf(*cluster, holder, 0);
   ASSERT_TRUE(WaitForOneWatch(token));
-  const auto marks = cluster->Marks();
+  const auto marks = cluster->LineCounts();
   const auto killed = std::chrono::steady_clock::now();
   cluster->process(holder).Kill();
   const std::size_t next = WaitForHolder(*cluster, marks, Others(holder));
   ASSERT_LT(next, 5u);
   const auto line = cluster->process(next).WaitFor(kHolds, marks[next]);
-  const auto took = cluster->process(next).When(line->first) - killed;
+  const auto took = cluster->process(next).LineReadAt(line->first) - killed;
   // The votes last for a term and the drift bound. Followers wait up to two drift bounds longer, and the
   // acquisition takes one or two rounds of requests.
   EXPECT_LE(took, 2 * kTerm + 3 * kDrift);
@@ -214,7 +214,7 @@
   const std::size_t holder = WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4});
   ASSERT_LT(holder, 5u);
   const fl::FencingToken token = TokenOf(*cluster, holder, 0);
-  const auto marks = cluster->Marks();
+  const auto marks = cluster->LineCounts();
   cluster->process(holder).Signal(SIGSTOP);
   const std::size_t next = WaitForHolder(*cluster, marks, Others(holder));
   ASSERT_LT(next, 5u);
@@ -252,7 +252,7 @@
   std::vector<std::size_t> majority;
   for (const std::size_t i : Others(holder))
     if (i != companion) majority.push_back(i);
-  const auto marks = cluster->Marks();
+  const auto marks = cluster->LineCounts();
   cluster->Cut({holder, companion});
   const auto lost_lease =
       cluster->process(holder).WaitFor("lease duty=discovery role=waiting", marks[holder]);
@@ -260,7 +260,8 @@
   const std::size_t next = WaitForHolder(*cluster, marks, majority);
   ASSERT_LT(next, 5u);
   const auto acquired = cluster->process(next).WaitFor(kHolds, marks[next]);
-  EXPECT_LT(cluster->process(holder).When(lost_lease->first), cluster->process(next).When(acquired->first));
+  EXPECT_LT(cluster->process(holder).LineReadAt(lost_lease->first),
+            cluster->process(next).LineReadAt(acquired->first));
   // Without a quorum, the minority side performs the role without a lease, so that it continues to serve.
   EXPECT_TRUE(cluster->process(holder).WaitFor("lease duty=discovery role=alone", marks[holder]));
   cluster->Heal();
@@ -291,7 +292,7 @@
   cluster->Cut({0, 1});
   // Calls the members until one of them gives this answer. Returns false if none does in time.
   const auto answered = [&](const std::vector<std::size_t>& members, const std::string& answer) {
-    const auto until = std::chrono::steady_clock::now() + kBound;
+    const auto until = std::chrono::steady_clock::now() + kMaxWait;
     for (; std::chrono::steady_clock::now() < until; std::this_thread::sleep_for(milliseconds(20)))
       for (const std::size_t member : members)
         if (Call((*cluster)[member].operators, "DETACH s-1").starts_with(answer)) return true;
@@ -307,7 +308,7 @@
   const auto cluster = Start();
   ASSERT_LT(WaitForHolder(*cluster, {0, 0, 0, 0, 0}, {0, 1, 2, 3, 4}), 5u);
   const std::size_t before = cluster->Count("role=holder");
-  cluster->Relay("FAULT * drop=0.3");
+  cluster->SendRelayCommand("FAULT * drop=0.3");
   EXPECT_FALSE(cluster->process(0).WaitFor("no such line", 0, 10 * kTerm));
   std::size_t granted = 0;
   for (std::size_t i = 0; i < 5; ++i)
--- a/tests/fleet/payload_test.cpp
+++ b/tests/fleet/payload_test.cpp
@@ -127,7 +127,7 @@
   EXPECT_TRUE(one.Send(address(1), "spill", 1));  // a channel without subscriber
   EXPECT_TRUE(one.Send(address(2), "quota", 2));  // a node of another fleet
   EXPECT_TRUE(one.Send(address(1), "quota", 3));
-  const auto deadline = std::chrono::steady_clock::now() + kBound;
+  const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
   while ((received.empty() || federation_node.counters().received == 0) &&
          std::chrono::steady_clock::now() < deadline)
     io.run_one_for(milliseconds(10));
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -63,8 +63,8 @@
 
 // Sends requests until the process has ejected a server. Returns false if that takes longer than kBound.
 bool ProvokeEjection(Cluster& cluster, std::size_t member) {
-  const auto log_position = cluster.process(member).Mark();
-  const auto deadline = std::chrono::steady_clock::now() + kBound;
+  const auto log_position = cluster.process(member).LineCount();
+  const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
   while (std::chrono::steady_clock::now() < deadline) {
     Client(cluster[member].clients).Ask(Look());
     if (cluster.process(member).WaitFor(" ejected: ", log_position, milliseconds(1))) return true;
@@ -76,7 +76,7 @@
 // since a rejected request was sent to no server. A proxy that has seen few responses occasionally rejects
 // requests.
 std::string AskUntilServed(const Tcp::endpoint& address, const std::string& request) {
-  const auto deadline = std::chrono::steady_clock::now() + kBound;
+  const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
   do {
     const HttpResponse response = Client(address).Ask(request);
     if (response.result_int() == 200) return response.body();
@@ -105,25 +105,25 @@
 TEST(SharedState, AllMembersEjectAServerThatFailsForOneOfThemAndReturnItTogether) {
   const ServersWithOneSidedFailure servers;
   Cluster cluster(5, kShortIntervals, ConfigJson(kUnusedAddress, {}), std::cref(servers));
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   {
     Load load;
     for (std::size_t i = 0; i < 5; ++i) load.Add(cluster[i].clients);
     const auto first = cluster.process(0).WaitFor(" ejected: ");
     ASSERT_TRUE(first);
-    const auto ejected_at = cluster.process(0).When(first->first);
+    const auto ejected_at = cluster.process(0).LineReadAt(first->first);
     std::vector<std::chrono::steady_clock::time_point> return_times;
     for (std::size_t i = 0; i < 5; ++i) {
       const auto ejection = i == 0 ? first : cluster.process(i).WaitFor(" ejected on a peer's word");
       ASSERT_TRUE(ejection) << i;
-      EXPECT_LE(cluster.process(i).When(ejection->first) - ejected_at, milliseconds(2 * 200)) << i;
+      EXPECT_LE(cluster.process(i).LineReadAt(ejection->first) - ejected_at, milliseconds(2 * 200)) << i;
     }
     for (std::size_t i = 1; i < 5; ++i)
       for (int k = 0; k < 5; ++k) EXPECT_NE(Client(cluster[i].clients).Ask(Look()).body(), "s-1") << i;
     for (std::size_t i = 0; i < 5; ++i) {
       const auto return_line = cluster.process(i).WaitFor(" returns to service");
       ASSERT_TRUE(return_line) << i;
-      return_times.push_back(cluster.process(i).When(return_line->first));
+      return_times.push_back(cluster.process(i).LineReadAt(return_line->first));
     }
     const auto [earliest, latest] = std::minmax_element(return_times.begin(), return_times.end());
     EXPECT_LE(*latest - *earliest, milliseconds(500));
@@ -134,7 +134,7 @@
 TEST(SharedState, AllMembersReceiveAnEjectionAfterAPartitionHeals) {
   const ServersWithOneSidedFailure servers;
   Cluster cluster(5, kShortIntervals, ConfigJson(kUnusedAddress, {}), std::cref(servers));
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   cluster.Cut({3, 4});
   ASSERT_TRUE(ProvokeEjection(cluster, 0));
   for (const std::size_t i : {1, 2})
@@ -149,8 +149,8 @@
 TEST(SharedState, AnEjectionReachesAllMembersAt30PercentPacketLoss) {
   const ServersWithOneSidedFailure servers;
   Cluster cluster(5, kShortIntervals, ConfigJson(kUnusedAddress, {}), std::cref(servers));
-  ASSERT_TRUE(cluster.WaitUntilWhole());
-  cluster.Relay("FAULT * drop=0.3");
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
+  cluster.SendRelayCommand("FAULT * drop=0.3");
   ASSERT_TRUE(ProvokeEjection(cluster, 0));
   for (std::size_t i = 1; i < 5; ++i)
     EXPECT_TRUE(cluster.process(i).WaitFor("verdict server=s-1 from=n1")) << i;
@@ -190,7 +190,7 @@
   SendForgedEjection(cluster, 0, "s-1", 0, 8);
   EXPECT_TRUE(process.WaitFor("state server=s-1 from=faulty refused=implausible"));
   for (const char* id : {"s-1", "s-2", "s-3", "s-4"}) {
-    const auto log_position = process.Mark();
+    const auto log_position = process.LineCount();
     SendForgedEjection(cluster, 0, id, 0, 9);
     ASSERT_TRUE(process.WaitFor("ejected on a peer's word", log_position)) << id;
   }
@@ -212,18 +212,18 @@
   nlohmann::json section = kShortIntervals;
   section["server_limit"] = kLimit;
   Cluster cluster(5, section, ConfigJson(kUnusedAddress, Members(MemberJson("s-1", server.address()))));
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   for (std::size_t i = 0; i < 5; ++i) ASSERT_TRUE(cluster.process(i).WaitFor("limit=10 share=2")) << i;
   auto load = std::make_unique<Load>();
   for (std::size_t i = 0; i < 3; ++i)
     for (int k = 0; k < 8; ++k) load->Add(cluster[i].clients);
-  std::vector<std::size_t> log_positions = cluster.Marks();
+  std::vector<std::size_t> log_positions = cluster.LineCounts();
   cluster.process(3).Kill();
   cluster.process(4).Kill();
   for (const std::size_t i : {0, 1, 2})
     EXPECT_TRUE(cluster.process(i).WaitFor("limit=10 share=3", log_positions[i]))
         << "the share of the crashed members was not redistributed";
-  log_positions = cluster.Marks();
+  log_positions = cluster.LineCounts();
   cluster.Restart(3);
   cluster.Restart(4);
   for (std::size_t i = 3; i < 5; ++i)
@@ -238,7 +238,7 @@
 
 // Repeats the call STATE until its answer contains `part`. Returns false if that takes longer than kBound.
 bool WaitForState(Cluster& cluster, std::size_t member, const std::string& part) {
-  const auto deadline = std::chrono::steady_clock::now() + kBound;
+  const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
   while (std::chrono::steady_clock::now() < deadline) {
     if (Call(cluster[member].operators, "STATE").find(part) != std::string::npos) return true;
     std::this_thread::sleep_for(milliseconds(10));
@@ -258,7 +258,7 @@
   section["affinity_entries"] = 100;
   section["affinity_ttl_ms"] = 60000;
   Cluster cluster(3, section, config);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   for (int key = 0; key < 5; ++key) {
     const std::string request = Look("Cookie: obj=player" + std::to_string(key) + "\r\n");
     const std::string server = AskUntilServed(cluster[0].clients, request);
--- a/tests/model/sync_test.cpp
+++ b/tests/model/sync_test.cpp
@@ -105,7 +105,7 @@
       host.Send(to, WithoutNewFields(std::any_cast<Datagram>(std::move(content))), bytes);
     }
     std::map<std::string, std::string>& Disk() override { return host.Disk(); }
-    Moment True() const override { return host.True(); }
+    Moment TrueTime() const override { return host.TrueTime(); }
     const Endpoint& Address() const override { return host.Address(); }
     const std::string& Name() const override { return host.Name(); }
     Host& host;
@@ -152,10 +152,10 @@
     world.RunUntil(seconds(41));
     world.network().End(partition);
     world.RunUntil(seconds(58));
-    EXPECT_EQ(WrongStates(federation, kSitePool).size(), 0u) << seed;
+    EXPECT_EQ(FindDifferingStates(federation, kSitePool).size(), 0u) << seed;
     EXPECT_EQ(federation.member(0, kSitePool)->state().Ejections(world.host(0).Wall()).size(), 4u) << seed;
     world.RunUntil(seconds(100));
-    EXPECT_EQ(WrongViews(federation, kSitePool).size(), 0u) << seed;
+    EXPECT_EQ(FindWrongViews(federation, kSitePool).size(), 0u) << seed;
   }
 }
 
@@ -163,7 +163,7 @@
 
 // Counts the bytes of the updates in all syncs and checks that each sync fits a datagram.
 struct SyncBytesObserver : Observer {
-  void OnSent(const PoolMember& sender, const Endpoint&, const fl::Message& message) override {
+  void OnMessageSent(const PoolMember& sender, const Endpoint&, const fl::Message& message) override {
     if (message.kind != fl::Message::Kind::kSync) return;
     for (const fl::Update& update : message.updates) bytes += fl::EncodedSize(update);
     EXPECT_LE(message.updates.size() + fl::Encode(sender.options().section.name, message).size(),
@@ -183,7 +183,7 @@
   Federation federation(3, options);
   World& world = federation.world();
   world.RunUntil(seconds(20));
-  EXPECT_EQ(WrongViews(federation, kSitePool).size(), 0u);
+  EXPECT_EQ(FindWrongViews(federation, kSitePool).size(), 0u);
   observer.bytes = 0;
   world.Restart(7);
   world.RunUntil(seconds(22));
--- a/tests/state/recovery_test.cpp
+++ b/tests/state/recovery_test.cpp
@@ -133,7 +133,7 @@
   // Sends requests until the process has ejected the failing server and its snapshot contains the ejection.
   // Returns false if that takes longer than kBound.
   bool EjectAndWaitForSnapshot(Member& member) {
-    const auto deadline = std::chrono::steady_clock::now() + kBound;
+    const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
     while (std::chrono::steady_clock::now() < deadline) {
       Client(member.clients).Ask(Look());
       if (member.process->WaitFor(" ejected: ", 0, milliseconds(1))) break;
@@ -165,7 +165,7 @@
   ASSERT_TRUE(restored);
   const auto remaining =
       milliseconds(std::stoll(restored->second.substr(restored->second.find("left_ms=") + 8)));
-  const auto ends_at = member.process->When(restored->first) + remaining;
+  const auto ends_at = member.process->LineReadAt(restored->first) + remaining;
   const std::size_t before = failing.seen.Get().requests.size();
   int requests = 0;
   // Stops well before the end of the ejection, because a request takes some time.
@@ -210,7 +210,7 @@
   config["state"] = {{"snapshot_interval_ms", 3600000}};
   Fleet fleet(load_balancer::testing::kProxyPath);
   Member& member = fleet[fleet.Start(config)];
-  const auto deadline = std::chrono::steady_clock::now() + kBound;
+  const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
   while (!std::filesystem::exists(SnapshotPath(member)) && std::chrono::steady_clock::now() < deadline)
     std::this_thread::sleep_for(milliseconds(5));
   fleet.Restart(0);
@@ -243,7 +243,7 @@
 
 TEST_F(Recovery, AMemberWithoutASnapshotRecoversFromAPeer) {
   Cluster cluster(3, {{"probe_interval_ms", 100}, {"sync_interval_ms", 300}}, config);
-  ASSERT_TRUE(cluster.WaitUntilWhole());
+  ASSERT_TRUE(cluster.WaitUntilAllAlive());
   ASSERT_TRUE(EjectAndWaitForSnapshot(cluster[0]));
   for (const auto& entry : std::filesystem::directory_iterator(cluster[2].folder->path))
     if (entry.path().extension() != ".json") std::filesystem::remove(entry.path());
--- a/tools/lease_check.cpp
+++ b/tools/lease_check.cpp
@@ -56,7 +56,7 @@
         return RunSchedule(seed, options, subset).violation.has_value();
       };
       std::printf("broken: %s (members=%zu)\n%s", result.violation->c_str(), options.member_count,
-                  Write({seed, Shrink(faults, violates)}).c_str());
+                  WriteTrace({seed, Shrink(faults, violates)}).c_str());
       return false;
     }
     handovers += result.handovers, admitted += result.admitted, rejected += result.rejected;
