--- a/model/quota/gateways.h
+++ b/model/quota/gateways.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "model/quota/lease_member.h"
-#include "model/quota/ledger_check.h"
+#include "model/quota/overspend_check.h"
 #include "model/quota/spender.h"
 #include "model/world.h"
 #include "quota/account.h"
--- a/model/quota/ledger_check.h
+++ b/model/quota/overspend_check.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The hard rule of quotas, and what an all-knowing gate would have done.
-#ifndef LOAD_BALANCER_MODEL_QUOTA_LEDGER_CHECK_H_
-#define LOAD_BALANCER_MODEL_QUOTA_LEDGER_CHECK_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_OVERSPEND_CHECK_H_
+#define LOAD_BALANCER_MODEL_QUOTA_OVERSPEND_CHECK_H_
 
 #include <algorithm>
 #include <cstdint>
@@ -86,4 +86,4 @@
 
 }  // namespace load_balancer::model
 
-#endif  // LOAD_BALANCER_MODEL_QUOTA_LEDGER_CHECK_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_OVERSPEND_CHECK_H_
--- a/model/quota/scale/judges.h
+++ b/model/quota/scale/baselines.h
@@ -2,15 +2,15 @@
 //
 // Other ways to keep a partner's budget, for the same requests: the budget divided evenly by gateways; one
 // central counter that is asked for each request; and an all-knowing gate, which no real one beats.
-#ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_JUDGES_H_
-#define LOAD_BALANCER_MODEL_QUOTA_SCALE_JUDGES_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_BASELINES_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SCALE_BASELINES_H_
 
 #include <cstdint>
 #include <map>
 #include <optional>
 
-#include "model/quota/ledger_check.h"
-#include "model/quota/scale/crowd.h"
+#include "model/quota/overspend_check.h"
+#include "model/quota/scale/gateway_cluster.h"
 #include "quota/budget.h"
 
 namespace load_balancer::model::scale {
@@ -56,4 +56,4 @@
 
 }  // namespace load_balancer::model::scale
 
-#endif  // LOAD_BALANCER_MODEL_QUOTA_SCALE_JUDGES_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SCALE_BASELINES_H_
--- a/model/quota/scale/crowd.cpp
+++ b/model/quota/scale/gateway_cluster.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "model/quota/scale/crowd.h"
+#include "model/quota/scale/gateway_cluster.h"
 
 #include <utility>
 #include <variant>
--- a/model/quota/scale/crowd.h
+++ b/model/quota/scale/gateway_cluster.h
@@ -2,8 +2,8 @@
 //
 // Many gateways under many partners' clients, in virtual time: each with its account of quotas, and some that
 // may come to be allocators. What goes between them is packed as on the wire.
-#ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_CROWD_H_
-#define LOAD_BALANCER_MODEL_QUOTA_SCALE_CROWD_H_
+#ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_GATEWAY_CLUSTER_H_
+#define LOAD_BALANCER_MODEL_QUOTA_SCALE_GATEWAY_CLUSTER_H_
 
 #include <cstdint>
 #include <map>
@@ -104,4 +104,4 @@
 
 }  // namespace load_balancer::model::scale
 
-#endif  // LOAD_BALANCER_MODEL_QUOTA_SCALE_CROWD_H_
+#endif  // LOAD_BALANCER_MODEL_QUOTA_SCALE_GATEWAY_CLUSTER_H_
--- a/model/quota/scale/run.cpp
+++ b/model/quota/scale/run.cpp
@@ -5,8 +5,8 @@
 #include <cmath>
 #include <numeric>
 
+#include "model/quota/scale/baselines.h"
 #include "model/quota/scale/fairness.h"
-#include "model/quota/scale/judges.h"
 
 namespace load_balancer::model::scale {
 namespace {
--- a/model/quota/scale/run.h
+++ b/model/quota/scale/run.h
@@ -7,7 +7,7 @@
 #include <array>
 #include <cstdint>
 
-#include "model/quota/scale/crowd.h"
+#include "model/quota/scale/gateway_cluster.h"
 
 namespace load_balancer::model::scale {
 
--- a/model/system/checks.h
+++ b/model/system/checks.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "model/fleet/federation.h"
-#include "model/quota/ledger_check.h"
+#include "model/quota/overspend_check.h"
 #include "model/site/ledger.h"
 #include "model/system/offer_check.h"
 #include "model/system/wiring.h"
