--- a/src/quota/account.cpp
+++ b/src/quota/account.cpp
@@ -12,10 +12,10 @@
 
 using std::chrono::milliseconds;
 
-// Between two requests that only report the revision, until it is agreed.
+// Interval of the requests that only report the revision. They end when all gateways have it.
 constexpr Span kAnnounceInterval = std::chrono::seconds(1);
 
-// At least one MilliUnit, and at most more than any bucket holds.
+// Converts a cost. The result is at least one MilliUnit and at most kMaxBurst + 1, which fits no bucket.
 MilliUnits CostOf(double units) {
   const double cost = std::ceil(units * static_cast<double>(kUnit));
   if (!(cost >= 1)) return 1;
@@ -81,7 +81,8 @@
   if (response.incarnation == options_.incarnation) AcceptGrants(now, allocator, response, actions);
 }
 
-// A newer file lowers this gateway's reserved minimums before it is read here.
+// Lowers the reserved minimums to those of the allocator's revision. A newer configuration file lowers them
+// at this gateway before the gateway has read the file.
 void Account::ApplyNewerRevision(Time now, const AllocationResponse& response) {
   for (const ReservedMinimum& minimum : response.reserved_minimums) {
     Entry* entry = accounts_.Find(minimum.partner);
@@ -131,7 +132,7 @@
   };
   const auto add = [now](const std::string& partner, Entry& entry, AllocationRequest& request) {
     request.grant_requests.push_back(entry.account.MakeRequest(now));
-    request.grant_requests.back().held.partner = partner;
+    request.grant_requests.back().held_grant.partner = partner;
   };
   PartnerAccounts::ActiveEntries with_others;
   for (const auto& [partner, entry] : accounts_.active()) {
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -9,7 +9,7 @@
 namespace load_balancer::quota {
 namespace {
 
-// The process that a response is for; incarnation 0: any process of the gateway.
+// The process that a response is sent to. Incarnation 0 means any process of the gateway.
 struct Recipient {
   GatewayId gateway = 0;
   std::uint64_t incarnation = 0;
@@ -48,7 +48,7 @@
   return {incarnation, revisions_.current->revision, last_grant_.token, is_agreed, {}, {}, {}};
 }
 
-// The grants of other holders have expired with their leases.
+// Needs no state of earlier holders: their grants have expired with their leases.
 void Allocator::BeginTerm(const fleet::LeaseProof& proof, AllocatorActions* actions) {
   if (proof.token() == last_grant_.token) return;
   last_grant_.token = proof.token();
@@ -82,12 +82,12 @@
     Schedule(ack.partner, *entry);
   }
   for (const GrantRequest& grant_request : request.grant_requests) {
-    const GrantAck& held = grant_request.held;
-    Entry* entry = Find(held.partner);
+    const GrantAck& held_grant = grant_request.held_grant;
+    Entry* entry = Find(held_grant.partner);
     if (!entry) continue;
-    entry->allocator.OnAck(now, gateway, request.incarnation, held);
+    entry->allocator.OnAck(now, gateway, request.incarnation, held_grant);
     entry->allocator.OnGrantRequest(now, gateway, request.incarnation, request.number, grant_request);
-    Schedule(held.partner, *entry);
+    Schedule(held_grant.partner, *entry);
   }
 }
 
@@ -99,7 +99,7 @@
   WarnOnce(name + " " + theirs, Failure(kOtherRevision, name, theirs + ", not " + ours), actions);
   AllocationResponse response = EmptyResponse(now, request.incarnation);
   for (const GrantRequest& grant_request : request.grant_requests) {
-    const std::string& partner = grant_request.held.partner;
+    const std::string& partner = grant_request.held_grant.partner;
     if (!revisions_.current->partners.contains(partner)) continue;
     const ReservedMinimums minimums(partner, gateways_, revisions_);
     response.reserved_minimums.push_back({partner, minimums.CurrentOf(gateway)});
@@ -163,7 +163,7 @@
 }
 
 Result<void> Allocator::Load(Time now, const nlohmann::json& ledger) {
-  const auto entries = DemandLedgerFromJson(ledger, AllocatorDuty(options_.index));
+  const auto entries = DemandLedgerFromJson(ledger, AllocatorRoleName(options_.index));
   if (!entries) return tl::unexpected(entries.error());
   for (const DemandLedgerEntry& expected : *entries) {
     const GatewayId* gateway = gateways_.Find(expected.gateway);
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -2,7 +2,8 @@
 //
 /// @file
 /// The budget allocator: while it holds its lease, it divides the budgets of the partners that hash to it
-/// among the gateways, as grants that expire. It is a function of its events, without clock or socket.
+/// among the gateways, as grants that expire. It reads no clock and uses no socket: its state depends only on
+/// the calls that it gets.
 /// docs/federation.md shows why the sum of the grants never exceeds a budget.
 #ifndef LOAD_BALANCER_QUOTA_ALLOCATOR_H_
 #define LOAD_BALANCER_QUOTA_ALLOCATOR_H_
@@ -25,9 +26,10 @@
 
 namespace load_balancer::quota {
 
+/// The identity of an allocator and its settings.
 struct AllocatorOptions {
-  std::size_t index = 0;       ///< Of this allocator; AllocatorDuty(index) is its lease.
-  std::size_t allocators = 1;  ///< How many there are.
+  std::size_t index = 0;       ///< The index of this allocator. Its lease is AllocatorRoleName(index).
+  std::size_t allocators = 1;  ///< The number of allocators.
   SiteLayout layout;
   Timings timings;
 };
@@ -37,7 +39,7 @@
   std::string gateway;
   AllocationResponse response;
 };
-/// Action: log that this process holds the lease and issues its grants from now on.
+/// Action: log that this process holds the lease and issues grants from now on.
 struct TermBegan {
   std::size_t allocator = 0;
   std::uint64_t token = 0;
@@ -45,41 +47,43 @@
 using AllocatorAction = std::variant<SendResponse, TermBegan, LogWarning>;
 using AllocatorActions = std::vector<AllocatorAction>;
 
-/// The state of one partner's budget, for operators.
+/// The state of one partner's budget, as shown to operators.
 struct PartnerBudgetStatus {
   std::string partner;
-  MilliUnits rate = 0;                       ///< Of the budget.
-  MilliUnits committed = 0;                  ///< Grants and reserved minimums that may be in force now.
-  std::map<std::string, MilliUnits> demand;  ///< Of the gateways that requested a grant recently.
+  MilliUnits rate = 0;       ///< The rate of the budget.
+  MilliUnits committed = 0;  ///< The rate of all grants and reserved minimums that may be in force now.
+  /// The demand of each gateway that requested a grant recently, by the gateway's name.
+  std::map<std::string, MilliUnits> demand;
 };
 
-/// Issues the grants of one lease. All times are of the process's monotonic clock and must be read after the
-/// event occurred: for a request, after it was read from the socket. The actions that OnRequest and Tick
-/// append may be carried out at any later time.
+/// Issues the grants of one lease. All times are readings of the process's monotonic clock, taken after the
+/// event occurred: for a request, after it was read from the socket. The caller may carry out the actions
+/// that OnRequest and Tick append at any later time.
 class Allocator {
  public:
   Allocator(AllocatorOptions options, std::shared_ptr<const Budgets> budgets);
 
-  /// Handles a request that came from the pool address of `gateway`. Does nothing if the proof no longer
-  /// holds.
+  /// Handles a request that came from the pool address of `gateway`. Does nothing if the proof is no longer
+  /// valid.
   void OnRequest(Time now, const fleet::LeaseProof& proof, const std::string& gateway,
                  const AllocationRequest& request, AllocatorActions* actions);
-  /// Issues what is due. Call it at Next() or soon after, while the lease is held.
+  /// Issues the grants that are due. Call it at Next() or soon after, while the lease is held.
   void Tick(Time now, const fleet::LeaseProof& proof, AllocatorActions* actions);
+  /// Returns when to call Tick; Time::max() if nothing is due.
   Time Next() const { return schedule_.empty() ? Time::max() : schedule_.begin()->due; }
 
   /// Replaces the budgets, after a reload of the configuration.
   void UpdateBudgets(std::shared_ptr<const Budgets> budgets);
 
-  /// When the last outstanding grant expires; `now` if there is none. The lease must not be released before,
-  /// as the next holder assumes that no grant is outstanding.
+  /// Returns when the last outstanding grant expires; `now` if there is none. The lease must not be released
+  /// earlier, because the next holder assumes that no grant is outstanding.
   Time GrantsExpireAt(Time now) const;
 
-  /// The demand of each partner's gateways, for the next holder or process (see demand_ledger.h). It is a
-  /// hint for dividing the first grants; safety does not depend on it.
+  /// Returns the demand of each partner's gateways, for the next holder or process (see demand_ledger.h). It
+  /// is a hint for the division of the first grants. Safety does not depend on it.
   nlohmann::json Ledger(Time now) const;
-  /// Loads a complete ledger, or nothing of it with kBadLedger. Skips gateways and partners that are not
-  /// configured.
+  /// Loads a complete ledger. Fails with kBadLedger and loads nothing if it is malformed. Skips gateways and
+  /// partners that are not configured.
   Result<void> Load(Time now, const nlohmann::json& ledger);
 
   std::vector<PartnerBudgetStatus> Statuses(Time now) const;
@@ -102,14 +106,15 @@
   void WarnOnce(const std::string& key, const Failure& failure, AllocatorActions* actions);
   void IssueGrants(Time now, const fleet::LeaseProof& guard, AllocatorActions* actions);
   AllocationResponse EmptyResponse(Time now, std::uint64_t incarnation) const;
-  Entry* Find(const std::string& partner);  // null: the partner has no budget of this lease
+  // Returns null if the partner has no budget or belongs to another allocator.
+  Entry* Find(const std::string& partner);
   void Schedule(const std::string& partner, Entry& entry);
 
   const AllocatorOptions options_;
   const GatewayRegistry gateways_;
   BudgetRevisions revisions_;
-  GrantId last_grant_;                     // its token is the lease's
-  std::map<std::string, Entry> partners_;  // kept across leases
+  GrantId last_grant_;                     // the token is that of the lease
+  std::map<std::string, Entry> partners_;  // kept when the lease is lost and acquired again
   std::set<ScheduledPartner> schedule_;
   std::set<std::string> warned_;
 };
--- a/src/quota/amount.h
+++ b/src/quota/amount.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// Exact integer amounts of a budget. Sums of integers are exact, so that rounding never creates budget.
+/// Amounts of a budget as integers. Their sums are exact, so that rounding never adds to a budget.
 #ifndef LOAD_BALANCER_QUOTA_AMOUNT_H_
 #define LOAD_BALANCER_QUOTA_AMOUNT_H_
 
@@ -16,12 +16,12 @@
 /// One unit of a budget.
 inline constexpr MilliUnits kUnit = 1000;
 
-/// Limits of one budget. Within them no product of a rate and a burst, and no level of a bucket, overflows 64
-/// bits.
+/// Limits of one budget. Within these limits, the product of a rate and a burst and the level of a bucket fit
+/// 64 bits.
 inline constexpr MilliUnits kMaxRate = 1'000'000 * kUnit;  // per second
 inline constexpr MilliUnits kMaxBurst = 9'000'000 * kUnit;
 
-/// A portion of a budget, as the parameters of one gateway's token bucket.
+/// A portion of a budget: the parameters of one gateway's token bucket.
 struct Allocation {
   MilliUnits rate = 0;   ///< Fill rate, per second.
   MilliUnits depth = 0;  ///< Capacity of the bucket.
--- a/src/quota/bucket.h
+++ b/src/quota/bucket.h
@@ -2,7 +2,7 @@
 //
 /// @file
 /// A token bucket whose rate and depth may change (Turner, "New Directions in Communications", 1986). It
-/// counts in integers: a charge fits exactly from the nanosecond on at which the bucket holds its cost.
+/// counts in integers, so a charge succeeds from the exact nanosecond at which the bucket holds its cost.
 #ifndef LOAD_BALANCER_QUOTA_BUCKET_H_
 #define LOAD_BALANCER_QUOTA_BUCKET_H_
 
@@ -15,35 +15,37 @@
 
 namespace load_balancer::quota {
 
-/// All times are of one clock. A time before an earlier one counts as the earlier one.
+/// A token bucket. All times are readings of one clock. A time that lies before the last update counts as the
+/// time of that update.
 class Bucket {
  public:
   /// Creates an empty bucket of zero rate and depth.
   explicit Bucket(Time now) : last_update_(now) {}
 
-  /// Changes the rate and depth from `at` on. Tokens beyond the new depth are lost.
+  /// Sets the rate and depth from `at` on. Tokens that exceed the new depth are lost.
   void SetAllocation(Time at, const Allocation& allocation);
 
-  /// Takes `cost`, which is above 0, if the bucket holds it at `now`.
+  /// Takes `cost`, which must be above 0, if the bucket holds that much at `now`. Returns whether it did.
   bool Charge(Time now, MilliUnits cost);
 
-  /// Returns a charge of `cost` that was made at `charged_at`, as far as the bucket would hold more now had
-  /// the charge never been made: what has overflowed since is lost. Returns possibly less than that, never
-  /// more, and nothing after about 2 s.
+  /// Returns to the bucket a charge of `cost` that was made at `charged_at`. Adds at most as much as the
+  /// bucket would hold in addition if the charge had never been made: tokens that would have overflowed since
+  /// then are lost. May add less than that, and adds nothing after about 2 s.
   void Credit(Time now, Time charged_at, MilliUnits cost);
 
-  /// The time from `now` until the bucket holds `cost`, if it is neither charged nor changed before. Empty if
-  /// it never will.
+  /// Returns the time from `now` until the bucket holds `cost`, provided that it is neither charged nor
+  /// changed before. Returns nothing if the bucket will never hold that much.
   std::optional<Span> TimeUntilAvailable(Time now, MilliUnits cost) const;
 
   Time last_update() const { return last_update_; }
 
  private:
-  /// Billionths of a MilliUnit: what a rate of 1 fills in a nanosecond.
+  /// Billionths of a MilliUnit. A rate of 1 adds one of them per nanosecond.
   using FineUnits = std::int64_t;
   static constexpr FineUnits kFineUnits = 1'000'000'000;  // per MilliUnit
 
-  // Credit needs the least headroom that the bucket had since a charge. It is recorded per period.
+  // Credit needs the smallest headroom (depth less level) that the bucket had since a charge. The minimum is
+  // recorded for each period.
   static constexpr std::size_t kPeriods = 8;
   static constexpr std::int64_t kPeriodNs = 1 << 28;
 
@@ -60,7 +62,7 @@
   FineUnits level_ = 0;
   FineUnits depth_ = 0;
   std::array<FineUnits, kPeriods> min_headroom_{};
-  std::int64_t newest_period_ = 0;  // the last one recorded
+  std::int64_t newest_period_ = 0;  // the last period with a record
 };
 
 }  // namespace load_balancer::quota
--- a/src/quota/budget.h
+++ b/src/quota/budget.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The budgets of the partners over all gateways of the federation, and the portions of a budget that follow
-/// from the configuration alone.
+/// The budgets of the partners, each shared by all gateways of the federation, and the portions of a budget
+/// that follow from the configuration alone.
 #ifndef LOAD_BALANCER_QUOTA_BUDGET_H_
 #define LOAD_BALANCER_QUOTA_BUDGET_H_
 
@@ -19,61 +19,62 @@
 
 namespace load_balancer::quota {
 
-/// What a budget is counted in; kWork: milliseconds of hinted work.
+/// The unit that a budget counts: requests, or milliseconds of hinted work.
 enum class Unit { kRequests, kWork };
 
-/// What is done with a request that exceeds the budget: handle it marked as over the limit, or reject it.
+/// The action for a request that exceeds the budget: mark it as over the limit and handle it, or reject it.
 enum class OverLimitAction { kMark, kReject };
 
-/// One partner's budget: a token bucket of `rate` and `burst` over all gateways.
+/// One partner's budget: a token bucket of `rate` and `burst` that all gateways share.
 struct Budget {
   MilliUnits rate = 0;   ///< Per second, 1 to kMaxRate.
   MilliUnits burst = 0;  ///< 1 to kMaxBurst.
   Unit unit = Unit::kRequests;
   OverLimitAction over_limit_action = OverLimitAction::kMark;
-  /// The rate per second that each site has without a grant; their sum is at most `rate`.
+  /// The rate per second that each site may use without a grant, by site. The sum is at most `rate`.
   std::map<std::string, MilliUnits> reserved_minimums;
 };
 
-/// All budgets of one configuration file. A larger revision is newer; equal revisions mean equal budgets.
+/// All budgets of one configuration file. A larger revision is newer. Equal revisions have equal budgets.
 struct Budgets {
   std::uint64_t revision = 0;
   std::map<std::string, Budget, std::less<>> partners;
 };
 
-/// The configured gateways of each site. Names of gateways are unique over all sites.
+/// The names of the configured gateways, by site. Names of gateways are unique across all sites.
 using SiteLayout = std::map<std::string, std::set<std::string>>;
 
 /// Durations that all processes of the federation must agree on.
 struct Timings {
   /// The longest lifetime of a grant.
   Span max_grant_lifetime = std::chrono::milliseconds(2000);
-  /// Time between two grant requests of a gateway that has less than it needs.
+  /// Interval of the grant requests of a gateway that has less than it needs.
   Span request_interval = std::chrono::milliseconds(250);
-  /// Term of the allocators' leases.
+  /// The term of the allocators' leases.
   Span lease_term = std::chrono::milliseconds(3000);
-  /// How much a clock may gain or lose over a lease term.
+  /// The most that a clock may gain or lose over a lease term.
   Span clock_drift = std::chrono::milliseconds(100);
 
-  /// How much the clocks of two machines may differ over any span of at most a lease term.
+  /// Returns the most by which the clocks of two machines may diverge within a lease term.
   Span MaxClockDifference() const { return 2 * clock_drift; }
 };
 
-/// The portion of `budget` that has the given rate; its depth is the proportional part of the burst, rounded
-/// down.
+/// Returns the portion of `budget` that has the given rate. Its depth is the proportional part of the burst,
+/// rounded down.
 Allocation AllocationForRate(const Budget& budget, MilliUnits rate);
 
-/// What one gateway of `site` has without a grant: the site's reserved minimum divided by its configured
-/// gateways, rounded down. Zero for a site that has no reserved minimum or no gateways.
+/// Returns the allocation that one gateway of `site` has without a grant: the site's reserved minimum divided
+/// by the number of its configured gateways, rounded down. It is zero for a site without a reserved minimum
+/// or without gateways.
 Allocation ReservedMinimumOf(const Budget& budget, const std::string& site, std::size_t gateways);
 
-/// The rate at which a bucket may fill by a machine's own clock so that it never fills faster than `rate` in
-/// true time. As each clock's rate is within drift / term of true, this is rate * term / (term + drift),
-/// rounded down.
+/// Returns the rate at which a bucket may fill by the local clock so that it never fills faster than `rate`
+/// in true time. A local clock runs fast by at most drift / term, so the result is rate * term / (term +
+/// drift), rounded down.
 MilliUnits SlowedRate(MilliUnits rate, const Timings& timings);
 
-/// The index of the allocator that the partner belongs to: XXH3 of its name modulo `allocators`, which must
-/// not be 0.
+/// Returns the index of the allocator that the partner belongs to: the XXH3 hash of the partner's name modulo
+/// `allocators`, which must not be 0.
 std::size_t AllocatorOf(std::string_view partner, std::size_t allocators);
 
 }  // namespace load_balancer::quota
--- a/src/quota/commitments.cpp
+++ b/src/quota/commitments.cpp
@@ -14,11 +14,11 @@
   const auto found = commitments_.find(gateway);
   if (found == commitments_.end()) return;
   auto& [grants, lent_until] = found->second;
-  const auto taken = std::find_if(grants.begin(), grants.end(), [&](const OutstandingGrant& grant) {
+  const auto acknowledged = std::find_if(grants.begin(), grants.end(), [&](const OutstandingGrant& grant) {
     return grant.incarnation == incarnation && grant.id == id;
   });
-  if (taken == grants.end()) return;
-  lent_until = std::max(lent_until, taken->sent_at + lent_for - max_clock_difference_);
+  if (acknowledged == grants.end()) return;
+  lent_until = std::max(lent_until, acknowledged->sent_at + lent_for - max_clock_difference_);
   std::erase_if(grants, [&](const OutstandingGrant& grant) {
     return grant.incarnation == incarnation && grant.id < id;
   });
@@ -33,8 +33,8 @@
   }
 }
 
-// An incarnation of the gateway has one grant in force at a time, or its reserved minimum. Two incarnations
-// may have a grant each.
+// Sums the largest possible grant of each incarnation. An incarnation has one grant or its reserved minimum
+// in force at a time. Two incarnations of a gateway may each have a grant.
 Allocation Commitments::Granted(const GatewayCommitment& commitment, Time begin,
                                 const std::uint64_t* excluded_incarnation) {
   const std::vector<OutstandingGrant>& grants = commitment.grants;
@@ -43,7 +43,7 @@
     const std::uint64_t incarnation = first->incarnation;
     if (excluded_incarnation && incarnation == *excluded_incarnation) continue;
     const auto is_same = [&](const OutstandingGrant& grant) { return grant.incarnation == incarnation; };
-    if (std::any_of(grants.begin(), first, is_same)) continue;  // summed already
+    if (std::any_of(grants.begin(), first, is_same)) continue;  // this incarnation is in the sum
     Allocation largest;
     for (auto grant = first; grant != grants.end(); ++grant) {
       if (is_same(*grant) && grant->expires_at > begin) largest = ElementwiseMax(largest, grant->allocation);
@@ -112,7 +112,7 @@
     const Allocation minimum = minimums.Of(gateway);
     Time begin = first;
     Time change = first;
-    Allocation difference;  // of what the gateway has to its reserved minimum, until `change`
+    Allocation difference;  // the gateway's allocation less its reserved minimum; valid until `change`
     for (Allocation& total : totals) {
       if (begin >= change) {
         difference = InForce(commitment, begin, minimum) - minimum;
--- a/src/quota/commitments.h
+++ b/src/quota/commitments.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// What each gateway may have in force of one budget, from now until the last outstanding grant has expired,
-/// and so how much more can be granted. Nothing counts as returned before it certainly is.
+/// Tracks how much of one budget each gateway may have in force, from now until the last outstanding grant
+/// has expired. The rest of the budget can be granted. An amount counts as in force until it certainly is
+/// not.
 #ifndef LOAD_BALANCER_QUOTA_COMMITMENTS_H_
 #define LOAD_BALANCER_QUOTA_COMMITMENTS_H_
 
@@ -18,41 +19,46 @@
 
 /// A grant that may be in force at its gateway.
 struct OutstandingGrant {
-  std::uint64_t incarnation = 0;  ///< Of the gateway's process.
+  std::uint64_t incarnation = 0;  ///< The incarnation of the gateway's process.
   GrantId id;
   Allocation allocation;
-  Time sent_at;     ///< When the grant was sent, or a moment before.
-  Time expires_at;  ///< By when it has certainly expired.
+  Time sent_at;     ///< When the grant was sent, or shortly before.
+  Time expires_at;  ///< When the grant has certainly expired.
 };
 
-/// The outstanding grants of one budget. All times are of the allocator's clock, divided into slots of equal
-/// length.
+/// The outstanding grants of one budget. All times are readings of the allocator's clock. Time is divided
+/// into slots of equal length.
 class Commitments {
  public:
-  /// `max_clock_difference`: how much a gateway's clock may differ from this one over a grant's lifetime.
+  /// `max_clock_difference` is the most by which a gateway's clock and the allocator's clock may diverge over
+  /// a grant's lifetime.
   Commitments(Span slot, Span max_clock_difference)
       : slot_(slot), max_clock_difference_(max_clock_difference) {}
 
+  /// Adds a grant to the gateway.
   void Add(GatewayId gateway, const OutstandingGrant& grant);
-  /// The gateway has put the grant in force. Earlier grants to the same incarnation are over, and its
-  /// reserved minimum is lent for `lent_for` from then on, which was after the grant was sent. Does nothing
-  /// for an unknown grant.
+  /// Records that the gateway has put the grant in force. Earlier grants to the same incarnation are no
+  /// longer in force, and the gateway does not use its reserved minimum for `lent_for` from the time of the
+  /// acknowledgement, which is later than the time at which the grant was sent. Does nothing for an unknown
+  /// grant.
   void Acknowledge(GatewayId gateway, std::uint64_t incarnation, const GrantId& id, Span lent_for);
-  /// Forgets what has expired.
+  /// Removes expired grants.
   void Prune(Time now);
 
-  /// What the gateway may have in force in the slot of `at`.
+  /// Returns the allocation that the gateway may have in force during the slot that contains `at`.
   Allocation At(GatewayId gateway, Time at, const Allocation& reserved_minimum) const;
-  /// The same of grants to its processes other than `incarnation`.
+  /// Returns the sum of the grants that processes of the gateway other than `incarnation` may have in force
+  /// during the slot that contains `at`.
   Allocation OfOtherIncarnations(GatewayId gateway, Time at, std::uint64_t incarnation) const;
-  /// Until when the gateway has lent its reserved minimum; Time::min() if it has not.
+  /// Returns until when the gateway does not use its reserved minimum; Time::min() if it may use it.
   Time lent_until(GatewayId gateway) const;
-  /// The newest grant to this incarnation that has not expired; null if there is none.
+  /// Returns the newest unexpired grant to this incarnation; null if there is none.
   const OutstandingGrant* Newest(GatewayId gateway, std::uint64_t incarnation) const;
-  /// By when all grants have expired; `now` if there are none.
+  /// Returns when all grants have expired; `now` if there is none.
   Time LastExpiry(Time now) const;
 
-  /// The sums of At over all gateways, for each slot that begins before `end`, from the one of `now` on.
+  /// Returns the sum of At over all gateways for each slot, from the slot of `now` to the last slot that
+  /// begins before `end`.
   std::vector<Allocation> TotalsBySlot(Time now, Time end, const ReservedMinimums& minimums) const;
   Span slot() const { return slot_; }
   Time SlotBegin(Time at) const {
@@ -64,17 +70,18 @@
     std::vector<OutstandingGrant> grants;
     Time lent_until = Time::min();
   };
-  // What may be in force of grants in the slot of `begin`, without those to `excluded_incarnation` if it is
-  // not null.
+  // Returns the grants that may be in force in the slot that begins at `begin`. Leaves out grants to
+  // `excluded_incarnation` if it is not null.
   static Allocation Granted(const GatewayCommitment& commitment, Time begin,
                             const std::uint64_t* excluded_incarnation);
-  // What may be in force in the slot of `begin`.
+  // Returns the allocation that may be in force in the slot that begins at `begin`, the reserved minimum
+  // included.
   Allocation InForce(const GatewayCommitment& commitment, Time begin,
                      const Allocation& reserved_minimum) const;
-  // InForce has the same value for all slots that begin from `begin` to before the time returned.
+  // Returns a time after `begin`. InForce is the same for all slots that begin from `begin` until that time.
   Time NextChange(const GatewayCommitment& commitment, Time begin) const;
 
-  static constexpr Span kEarliest = Time::min().time_since_epoch() / 2;  // before all times that occur
+  static constexpr Span kEarliest = Time::min().time_since_epoch() / 2;  // earlier than all times in use
 
   Span slot_;
   Span max_clock_difference_;
--- a/src/quota/demand_estimator.cpp
+++ b/src/quota/demand_estimator.cpp
@@ -6,11 +6,11 @@
 namespace load_balancer::quota {
 namespace {
 
-// Charges expected during a silence from which on it is the end of the traffic.
+// The traffic has ended when a silence lasts so long that this many charges were expected.
 constexpr double kEndOfTrafficCharges = 7;
-// A window with fewer charges shows no shift.
+// Fewer charges in a window are not enough to detect a shift.
 constexpr double kMinShiftCharges = 8;
-// Standard deviations of a shift.
+// A larger difference than this many standard deviations is a shift.
 constexpr double kShiftDeviations = 3;
 
 double Seconds(Span span) { return std::chrono::duration<double>(span).count(); }
--- a/src/quota/demand_estimator.h
+++ b/src/quota/demand_estimator.h
@@ -15,36 +15,37 @@
 
 namespace load_balancer::quota {
 
-/// Measures over two scales of two sliding windows each: the last second beside its last 150 to 200 ms, and
-/// the last 8 s beside their last 1.2 to 1.6 s. The finer scale is used if it holds so many charges that
-/// their number determines the rate. Sparse traffic is measured by the coarser one, as its noise would
-/// otherwise move the partner's budget to and fro.
+/// Estimates a rate on two time scales. Each scale has a long and a short sliding window. On the fine scale
+/// these are the last second and the last 150 to 200 ms; on the coarse scale, the last 8 s and the last 1.2
+/// to 1.6 s. The fine scale is used if its long window contains enough charges to determine the rate. Sparse
+/// traffic is measured on the coarse scale, because the noise of a short window would shift the partner's
+/// budget between gateways.
 ///
-/// Traffic is counted anew from the start of a short window whose rate differs from the long one's by more
-/// than three standard deviations of a Poisson process of the long one's rate. So a change of heavy traffic
-/// is noticed within 200 ms, up or down. A silence of 150 ms or more in which seven charges were expected is
-/// the end of the traffic.
+/// Each scale detects a shift: the rate of the short window differs from that of the long window by more than
+/// three standard deviations of a Poisson process of the long window's rate. The scale then drops everything
+/// before the short window. A rise or fall of heavy traffic is therefore noticed within 200 ms. The traffic
+/// counts as ended after a silence of at least 150 ms in which seven charges were expected.
 class DemandEstimator {
  public:
-  /// Width of a bin of the finer scale.
+  /// The width of a bin of the fine scale.
   static constexpr Span kBinWidth = std::chrono::milliseconds(50);
 
   /// Counts a charge.
   void Add(Time now, MilliUnits cost);
-  /// The rate per second. 0 once a silence is the end of the traffic, 8 s after the last charge at the
-  /// latest.
+  /// Returns the estimated rate per second. It is 0 once the traffic has ended, at the latest 8 s after the
+  /// last charge.
   MilliUnits Estimate(Time now);
-  /// The largest single cost of the last 8 s or more; 0 if there is none.
+  /// Returns the largest cost of a charge within at least the last 8 s; 0 if there was no charge.
   MilliUnits LargestCost(Time now);
 
  private:
-  // Lengths of the windows in bins; the current bin is part of each in addition.
+  // Lengths of the windows in complete bins. Each window also contains the current bin.
   static constexpr int kLongWindow = 20;
   static constexpr int kShortWindow = 3;
-  // Beyond the number of any bin, negative ones included.
+  // Added to bin numbers, which may be negative, before the modulo. Larger than the absolute value of each.
   static constexpr std::int64_t kBinOffset = std::int64_t{1} << 40;
   static constexpr Span kCoarseBinWidth = 8 * kBinWidth;
-  // Number of charges of the largest cost from which on the finer scale determines the rate.
+  // The fine scale is used if it contains at least this many charges of the largest cost.
   static constexpr MilliUnits kMinFineCharges = 32;
 
   /// A long and a short sliding window over bins of one width.
@@ -55,12 +56,12 @@
     void Add(MilliUnits cost) { Bin(current_bin_) += cost; }
     MilliUnits Sum(int bins) const;
     MilliUnits LongSum() const { return Sum(kLongWindow); }
-    /// Whether the rate of the short window is significantly different from that of the long one.
+    /// Returns whether the rates of the short and the long window differ significantly.
     bool HasShifted(Time now, double largest_cost) const;
     double Rate(Time now) const;
-    /// Drops what came more than `bins` bins before the current one.
+    /// Drops the charges of bins that lie more than `bins` bins before the current one.
     void KeepLast(int bins) { first_bin_ = std::max(first_bin_, current_bin_ - bins); }
-    /// Starts anew with the current bin as if `sum` were all that came.
+    /// Drops all charges and puts `sum` into the current bin.
     void Restart(MilliUnits sum);
 
    private:
@@ -70,24 +71,25 @@
     MilliUnits Bin(std::int64_t number) const {
       return bins_[static_cast<std::uint64_t>(number + kBinOffset) % bins_.size()];
     }
-    /// The length in seconds of a window of `bins` complete bins and the elapsed part of the current one. It
-    /// is no longer than the traffic that is counted, and at least `min_window_`.
+    /// Returns the length in seconds of a window of `bins` complete bins and the elapsed part of the current
+    /// bin. The window begins no earlier than `first_bin_`, and its length is at least `min_window_`.
     double WindowSeconds(Time now, int bins) const;
 
     const Span bin_width_;
     const Span min_window_;
     std::array<MilliUnits, kLongWindow + 1> bins_{};
     std::int64_t current_bin_ = -kBinOffset;
-    std::int64_t first_bin_ = 0;  // of the traffic that is counted
+    std::int64_t first_bin_ = 0;  // earlier bins do not count
   };
 
   void Advance(Time now);
 
   Scale fine_{kBinWidth, kBinWidth};
-  // Half a bin at least, so that a single charge counts as 200 ms of traffic.
+  // The shortest window is half a bin, so that a single charge counts as the traffic of 200 ms.
   Scale coarse_{kCoarseBinWidth, kCoarseBinWidth / 2};
   Time last_charge_;
-  // The largest costs of the current and of the last period, each a long window of the coarse scale.
+  // The largest costs of the current and of the previous period. A period is as long as the long window of
+  // the coarse scale.
   std::int64_t period_ = -kBinOffset;
   MilliUnits largest_in_period_ = 0;
   MilliUnits largest_in_last_period_ = 0;
--- a/src/quota/demand_ledger.cpp
+++ b/src/quota/demand_ledger.cpp
@@ -14,7 +14,7 @@
 constexpr const char* kVersionKey = "v";
 constexpr const char* kPartnersKey = "partners";
 
-// Throws json::exception or std::invalid_argument on anything malformed.
+// Throws json::exception or std::invalid_argument if anything is malformed.
 std::vector<DemandLedgerEntry> ReadEntries(const json& ledger) {
   if (ledger.at(kVersionKey).get<int>() != kLedgerVersion) throw std::invalid_argument("version");
   std::vector<DemandLedgerEntry> entries;
@@ -36,13 +36,13 @@
   return {{kVersionKey, kLedgerVersion}, {kPartnersKey, std::move(partners)}};
 }
 
-Result<std::vector<DemandLedgerEntry>> DemandLedgerFromJson(const json& ledger, const std::string& place) {
+Result<std::vector<DemandLedgerEntry>> DemandLedgerFromJson(const json& ledger, const std::string& subject) {
   try {
     return ReadEntries(ledger);
   } catch (const json::exception& error) {
-    return tl::unexpected(Failure(kBadLedger, place, error.what()));
+    return tl::unexpected(Failure(kBadLedger, subject, error.what()));
   } catch (const std::invalid_argument& error) {
-    return tl::unexpected(Failure(kBadLedger, place, error.what()));
+    return tl::unexpected(Failure(kBadLedger, subject, error.what()));
   }
 }
 
--- a/src/quota/demand_ledger.h
+++ b/src/quota/demand_ledger.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The demand that an allocator hands to the next lease holder or process as JSON: {"v": 1, "partners":
-/// {partner: {gateway: thousandths per second}}}.
+/// The demand ledger, which an allocator passes to the next lease holder or process as JSON: {"v": 1,
+/// "partners": {partner: {gateway: demand in thousandths per second}}}.
 #ifndef LOAD_BALANCER_QUOTA_DEMAND_LEDGER_H_
 #define LOAD_BALANCER_QUOTA_DEMAND_LEDGER_H_
 
@@ -22,11 +22,12 @@
   MilliUnits demand = 0;  ///< Per second.
 };
 
+/// Encodes a ledger.
 nlohmann::json DemandLedgerToJson(const std::vector<DemandLedgerEntry>& entries);
 
-/// Decodes a complete ledger, or fails with kBadLedger with `place` as its place.
+/// Decodes a complete ledger. Fails with kBadLedger, which names `subject`, if anything is malformed.
 Result<std::vector<DemandLedgerEntry>> DemandLedgerFromJson(const nlohmann::json& ledger,
-                                                            const std::string& place);
+                                                            const std::string& subject);
 
 }  // namespace load_balancer::quota
 
--- a/src/quota/division.cpp
+++ b/src/quota/division.cpp
@@ -26,7 +26,7 @@
   return totals;
 }
 
-// Fills the selected claims up to a common level; the other rates stay as they are.
+// Raises the rates of the selected claims to a common level. The other rates stay as they are.
 void FillToCommonLevel(MilliUnits capacity, const std::vector<RateClaim>& claims, const Indices& selected,
                        std::vector<MilliUnits>* rates) {
   const ClaimTotals totals = Total(claims, selected);
@@ -41,7 +41,7 @@
     const MilliUnits minimum = minimums_fit ? ReservedDemand(claims[i]) : 0;
     return std::max(minimum, std::min(claims[i].demand, level));
   };
-  // Bisection: the highest level that fits is in [low, high).
+  // Finds the highest level that fits by bisection. It is in [low, high).
   MilliUnits low = 0;
   MilliUnits high = totals.largest_demand;
   while (high - low > 1) {
@@ -56,7 +56,7 @@
   for (const std::size_t i : selected) (*rates)[i] = rate_at(i, low);
 }
 
-// Claims whose turn lasts come first, then those whose last turn is longest ago.
+// Sorts claims whose turn lasts first, then the others by the end of their last turn.
 void SortByTurn(const std::vector<RateClaim>& claims, Time now, Indices* indices) {
   std::stable_sort(indices->begin(), indices->end(), [&](std::size_t left, std::size_t right) {
     const bool left_lasts = claims[left].turn_until > now;
@@ -77,11 +77,11 @@
 
   Indices useful;
   Indices too_small;
-  MilliUnits pool = 0;  // what the claims that take turns have together
+  MilliUnits turn_capacity = 0;  // the total rate of the claims that take turns
   for (const std::size_t i : all) {
     if (claims[i].demand > 0 && rates[i] < claims[i].min_useful_rate) {
       too_small.push_back(i);
-      pool += rates[i];
+      turn_capacity += rates[i];
     } else {
       useful.push_back(i);
     }
@@ -89,13 +89,13 @@
   if (too_small.empty()) return rates;
 
   SortByTurn(claims, now, &too_small);
-  pool = std::min(capacity, std::max(pool, claims[too_small.front()].min_useful_rate));
-  MilliUnits spent = 0;
+  turn_capacity = std::min(capacity, std::max(turn_capacity, claims[too_small.front()].min_useful_rate));
+  MilliUnits assigned = 0;
   for (const std::size_t i : too_small) {
-    rates[i] = spent + claims[i].min_useful_rate <= pool ? claims[i].min_useful_rate : 0;
-    spent += rates[i];
+    rates[i] = assigned + claims[i].min_useful_rate <= turn_capacity ? claims[i].min_useful_rate : 0;
+    assigned += rates[i];
   }
-  FillToCommonLevel(capacity - spent, claims, useful, &rates);
+  FillToCommonLevel(capacity - assigned, claims, useful, &rates);
   return rates;
 }
 
--- a/src/quota/division.h
+++ b/src/quota/division.h
@@ -13,21 +13,24 @@
 
 namespace load_balancer::quota {
 
-/// What one gateway claims of a rate.
+/// The claim of one gateway to a part of a rate.
 struct RateClaim {
   MilliUnits demand = 0;
-  /// As much of the demand is served before the rest is divided.
+  /// This much of the demand is served before the rest is divided.
   MilliUnits reserved_minimum = 0;
-  /// A smaller rate is of no use.
+  /// A smaller rate is useless to the gateway.
   MilliUnits min_useful_rate = 0;
-  /// Until when the claim has, or last had, its turn to get `min_useful_rate` while others went without.
+  /// When the claim's current or last turn ends. During its turn a claim gets `min_useful_rate` while others
+  /// get nothing.
   Time turn_until = Time::min();
 };
 
-/// Divides `capacity` into one rate per claim, at most `capacity` in total. What exceeds all demand is
-/// divided in proportion to demand. Claims whose rate would be below their minimum useful rate take turns: as
-/// many as fit get that minimum, first those whose turn lasts at `now`, then those whose last turn is longest
-/// ago, and at least one of them; the others get nothing.
+/// Divides `capacity` into one rate per claim. The rates add up to at most `capacity`. Capacity that exceeds
+/// the total demand is divided in proportion to demand.
+///
+/// Claims whose rate would be below their minimum useful rate take turns: at least one of them, and as many
+/// as fit, get that minimum, and the others get nothing. Claims whose turn lasts at `now` come first, then
+/// claims whose last turn is longest ago.
 std::vector<MilliUnits> DivideRate(MilliUnits capacity, const std::vector<RateClaim>& claims, Time now);
 
 }  // namespace load_balancer::quota
--- a/src/quota/duty.h
+++ b/src/quota/duty.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The names of the allocators' leases. They are part of the wire format and of operators' pages, where an
-/// allocator is called a treasurer.
+/// The names of the allocators' leases. They are part of the wire format and of operators' documentation,
+/// which call an allocator a treasurer.
 #ifndef LOAD_BALANCER_QUOTA_DUTY_H_
 #define LOAD_BALANCER_QUOTA_DUTY_H_
 
@@ -11,8 +11,9 @@
 
 namespace load_balancer::quota {
 
-/// The name of the lease that the allocator `index` holds while it issues grants.
-inline std::string AllocatorDuty(std::size_t index) {
+/// Returns the name of the leased role of the allocator `index`. Its lease is held by the process that issues
+/// the allocator's grants.
+inline std::string AllocatorRoleName(std::size_t index) {
   return std::string("treasurer/").append(std::to_string(index));
 }
 
--- a/src/quota/failures.h
+++ b/src/quota/failures.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The kinds of failure of quotas.
+/// The kinds of failure that quotas report.
 #ifndef LOAD_BALANCER_QUOTA_FAILURES_H_
 #define LOAD_BALANCER_QUOTA_FAILURES_H_
 
--- a/src/quota/gateway_registry.h
+++ b/src/quota/gateway_registry.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The configured gateways, numbered.
+/// Assigns numbers to the configured gateways.
 #ifndef LOAD_BALANCER_QUOTA_GATEWAY_REGISTRY_H_
 #define LOAD_BALANCER_QUOTA_GATEWAY_REGISTRY_H_
 
@@ -14,7 +14,7 @@
 
 namespace load_balancer::quota {
 
-/// Index of a gateway in the order of sites and names.
+/// The index of a gateway. Gateways are ordered by site, then by name.
 using GatewayId = std::uint32_t;
 
 /// A site and the number of its configured gateways.
@@ -29,10 +29,10 @@
   explicit GatewayRegistry(const SiteLayout& layout);
 
   std::size_t size() const { return names_.size(); }
-  /// Null if the gateway is not configured.
+  /// Returns null if the gateway is not configured.
   const GatewayId* Find(const std::string& name) const;
   const std::string& name(GatewayId gateway) const { return names_[gateway]; }
-  /// The index of the gateway's site in `sites()`.
+  /// Returns the index of the gateway's site in `sites()`.
   std::size_t site(GatewayId gateway) const { return site_of_[gateway]; }
   const std::vector<SiteSize>& sites() const { return sites_; }
 
--- a/src/quota/grant_planner.cpp
+++ b/src/quota/grant_planner.cpp
@@ -6,10 +6,10 @@
 namespace load_balancer::quota {
 namespace {
 
-// The largest rate that fits into `room` by itself and by its depth.
-MilliUnits LargestRateWithin(const Budget& budget, const Allocation& room) {
-  const MilliUnits rate = std::max<MilliUnits>(room.rate, 0);
-  const MilliUnits depth = std::clamp<MilliUnits>(room.depth, 0, budget.burst);
+// Returns the largest rate whose allocation fits into `capacity`: neither the rate nor the depth exceeds it.
+MilliUnits LargestRateWithin(const Budget& budget, const Allocation& capacity) {
+  const MilliUnits rate = std::max<MilliUnits>(capacity.rate, 0);
+  const MilliUnits depth = std::clamp<MilliUnits>(capacity.depth, 0, budget.burst);
   return std::min(rate, depth * budget.rate / budget.burst);
 }
 
@@ -31,8 +31,8 @@
     if (begin >= max_end) break;
     const Allocation own = commitments_.At(gateway, begin, minimum);
     const Allocation others = total - own + commitments_.OfOtherIncarnations(gateway, begin, incarnation);
-    const Allocation room = Allocation{budget_.rate, budget_.burst} - others;
-    const MilliUnits fitting = LargestRateWithin(budget_, room);
+    const Allocation capacity = Allocation{budget_.rate, budget_.burst} - others;
+    const MilliUnits fitting = LargestRateWithin(budget_, capacity);
     if (fitting < rate && begin >= min_end) return {AllocationForRate(budget_, rate), begin};
     rate = std::min(rate, fitting);
     begin += commitments_.slot();
--- a/src/quota/grant_planner.h
+++ b/src/quota/grant_planner.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// Finds grants that fit beside everything else that may be in force of one budget.
+/// Finds grants that fit into one budget beside all other allocations that may be in force.
 #ifndef LOAD_BALANCER_QUOTA_GRANT_PLANNER_H_
 #define LOAD_BALANCER_QUOTA_GRANT_PLANNER_H_
 
@@ -11,21 +11,22 @@
 
 namespace load_balancer::quota {
 
-/// An allocation and by when it must have expired.
+/// An allocation that fits, and the time at which it must have expired.
 struct FittingGrant {
   Allocation allocation;
   Time expires_at;
 };
 
-/// Plans the grants that are issued at one time. Keeps the totals of all slots, as each grant changes them
-/// for the next one.
+/// Plans the grants that are issued at one time. It caches the total of each slot, because each grant changes
+/// the totals for the next one.
 class GrantPlanner {
  public:
-  /// Considers the slots from `now` to `end`. The arguments must outlive this.
+  /// Considers the slots from `now` to `end`. The arguments must outlive this object.
   GrantPlanner(const Budget& budget, const ReservedMinimums& minimums, Commitments* commitments, Time now,
                Time end);
 
-  /// The largest rate up to `rate` that fits until `min_end`, and how long it fits, up to `max_end`.
+  /// Returns the largest rate up to `rate` that fits at least until `min_end`, and the time, at most
+  /// `max_end`, until which it fits.
   FittingGrant Fit(GatewayId gateway, std::uint64_t incarnation, MilliUnits rate, Time min_end,
                    Time max_end) const;
   /// Adds a grant to the commitments.
@@ -36,7 +37,7 @@
   const ReservedMinimums& minimums_;
   Commitments& commitments_;
   const Time first_slot_;
-  std::vector<Allocation> totals_;  // of all gateways, by slot
+  std::vector<Allocation> totals_;  // sums over all gateways, by slot
 };
 
 }  // namespace load_balancer::quota
--- a/src/quota/key_aliases.h
+++ b/src/quota/key_aliases.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The configuration keys of quotas that had another name before. Both names are read.
+/// The configuration keys of quotas that have a former name. Either name is accepted.
 #ifndef LOAD_BALANCER_QUOTA_KEY_ALIASES_H_
 #define LOAD_BALANCER_QUOTA_KEY_ALIASES_H_
 
@@ -16,17 +16,18 @@
   const char* former;
 };
 
-/// Of the section `quota`.
+/// Keys of the section `quota`.
 inline constexpr KeyAlias kAllocatorsKey{"allocators", "treasurers"};
 inline constexpr KeyAlias kGrantLifetimeKey{"grant_lifetime_ms", "draw_ms"};
 inline constexpr std::array kSectionAliases{kAllocatorsKey, kGrantLifetimeKey};
 
-/// Of a partner's budget.
+/// Keys of a partner's budget.
 inline constexpr KeyAlias kReservedMinimumsKey{"reserved_minimums", "floors"};
 inline constexpr std::array kBudgetAliases{kReservedMinimumsKey};
 
-/// The configuration file `root` with the section `quota` under the present names of the keys, for comparing
-/// two files. Leaves alone what is malformed or given by both names, which ReadQuota reports.
+/// Returns the configuration file `root` with the former key names of the section `quota` replaced by the
+/// current ones, so that two files can be compared. Leaves values unchanged that are malformed or that are
+/// given under both names; ReadQuota reports these.
 nlohmann::json WithPresentKeys(nlohmann::json root);
 
 }  // namespace load_balancer::quota
--- a/src/quota/message_codec.cpp
+++ b/src/quota/message_codec.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// The keys on the wire. They abbreviate earlier names of the fields and must not change.
+// The keys on the wire. They abbreviate former names of the fields and must not change.
 constexpr const char* kIncarnationKey = "l";
 constexpr const char* kRevisionKey = "r";
 constexpr const char* kNumberKey = "i";
@@ -22,7 +22,7 @@
 constexpr const char* kRecallsKey = "c";
 constexpr const char* kReservedMinimumsKey = "f";
 
-// Numbers of keys of each message and of fields of each entry.
+// The number of keys of each message and the number of fields of each list entry.
 constexpr std::size_t kRequestKeys = 5;
 constexpr std::size_t kResponseKeys = 7;
 constexpr std::size_t kGrantRequestFields = 6;
@@ -40,7 +40,7 @@
   return list;
 }
 
-// The functions below throw json::exception or std::invalid_argument on anything malformed.
+// The functions below throw json::exception or std::invalid_argument if a value is malformed.
 
 std::uint64_t ReadUnsigned(const json& value) {
   if (!value.is_number_unsigned()) throw std::invalid_argument("figure");
@@ -77,7 +77,7 @@
   return entries;
 }
 
-// The first fields of a grant request are those of an acknowledgement.
+// Reads the fields of an acknowledgement, which are also the first fields of a grant request.
 GrantAck ReadAckFields(const json& value) {
   return {ReadPartner(value[0]),
           {ReadUnsigned(value[1]), ReadUnsigned(value[2])},
@@ -123,10 +123,10 @@
 }  // namespace
 
 json EntryToJson(const GrantRequest& request) {
-  return {request.held.partner,
-          request.held.grant.token,
-          request.held.grant.number,
-          request.held.lent_ms,
+  return {request.held_grant.partner,
+          request.held_grant.grant.token,
+          request.held_grant.grant.number,
+          request.held_grant.lent_ms,
           static_cast<std::uint64_t>(request.demand),
           static_cast<std::uint64_t>(request.min_depth)};
 }
--- a/src/quota/message_codec.h
+++ b/src/quota/message_codec.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The wire format of the messages, on the channel `quota` of the federation pool.
+/// The wire format of the messages, which are sent on the channel `quota` of the federation pool.
 #ifndef LOAD_BALANCER_QUOTA_MESSAGE_CODEC_H_
 #define LOAD_BALANCER_QUOTA_MESSAGE_CODEC_H_
 
@@ -13,19 +13,19 @@
 
 namespace load_balancer::quota {
 
-/// The channel, and the keys of the payload in which the messages are sent: the allocator's index, and either
-/// of the two messages.
+/// The channel, and the keys of its payload. A payload consists of the allocator's index and either a request
+/// or a response.
 inline constexpr const char* kChannel = "quota";
 inline constexpr const char* kAllocatorKey = "t";
 inline constexpr const char* kRequestKey = "q";
 inline constexpr const char* kResponseKey = "a";
 
-/// Encodes a message as an object with keys of one letter, and lists for repeated entries.
+/// Encodes a message as an object with keys of one letter. Repeated entries are lists.
 nlohmann::json ToJson(const AllocationRequest& request);
 nlohmann::json ToJson(const AllocationResponse& response);
 
-/// Decode a message. They check for unknown and missing keys, types, lengths and ranges, and fail with
-/// kBadMessage with `from` as its place.
+/// Decodes a message. Checks for unknown and missing keys, and checks types, lengths and ranges. Fails with
+/// kBadMessage, which names the sender `from`.
 Result<AllocationRequest> AllocationRequestFromJson(const nlohmann::json& json, const std::string& from);
 Result<AllocationResponse> AllocationResponseFromJson(const nlohmann::json& json, const std::string& from);
 
--- a/src/quota/message_split.cpp
+++ b/src/quota/message_split.cpp
@@ -8,10 +8,10 @@
 namespace load_balancer::quota {
 namespace {
 
-// Upper bound of a message's JSON text without its entries.
+// Upper bound of the length of a message's JSON text without its entries.
 constexpr std::size_t kHeaderBytes = 140;
 
-// Distributes entries over messages that start as copies of an empty one.
+// Distributes entries over messages, each of which starts as a copy of an empty message.
 template <typename Message>
 class Packer {
  public:
@@ -20,7 +20,7 @@
   template <typename Entry>
   void Add(const std::vector<Entry>& entries, std::vector<Entry> Message::*list) {
     for (const Entry& entry : entries) {
-      const std::size_t bytes = EntryToJson(entry).dump().size() + 1;  // and a comma
+      const std::size_t bytes = EntryToJson(entry).dump().size() + 1;  // 1 for the comma
       if (messages_.empty() || used_bytes_ + bytes > kMaxMessageBytes) {
         messages_.push_back(empty_);
         used_bytes_ = kHeaderBytes;
@@ -35,7 +35,7 @@
  private:
   Message empty_;
   std::vector<Message> messages_;
-  std::size_t used_bytes_ = 0;  // of the last message
+  std::size_t used_bytes_ = 0;  // size of the last message
 };
 
 }  // namespace
--- a/src/quota/message_split.h
+++ b/src/quota/message_split.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// Splits messages with many entries so that each fits a datagram.
+/// Splits messages with many entries so that each part fits a datagram.
 #ifndef LOAD_BALANCER_QUOTA_MESSAGE_SPLIT_H_
 #define LOAD_BALANCER_QUOTA_MESSAGE_SPLIT_H_
 
@@ -11,8 +11,8 @@
 
 namespace load_balancer::quota {
 
-/// The same entries in as many messages as needed for each to stay within kMaxMessageBytes. Empty for a
-/// message without entries.
+/// Returns the entries of a message in as many messages as needed, each within kMaxMessageBytes. Returns no
+/// message if there are no entries.
 std::vector<AllocationRequest> Split(const AllocationRequest& request);
 std::vector<AllocationResponse> Split(const AllocationResponse& response);
 
--- a/src/quota/partner_account.cpp
+++ b/src/quota/partner_account.cpp
@@ -85,7 +85,8 @@
   UpdateBucket(now);
 }
 
-// By more than a quarter of what was requested and two of the largest charges, or to or from nothing.
+// Returns whether demand differs from the requested demand by more than a quarter plus two of the largest
+// charges, or whether exactly one of them is zero.
 bool PartnerAccount::HasDemandShifted(MilliUnits demand, Time now) {
   const MilliUnits tolerance = requested_demand_ / 4 + 2 * demand_.LargestCost(now);
   if (std::abs(demand - requested_demand_) > tolerance) return true;
@@ -102,8 +103,9 @@
   const bool has_grant = now < grant_expires_at_;
   if (has_grant && HasDemandShifted(demand, now)) return RequestUrgency::kNow;
   if (demand == 0 || since_request < timings_->request_interval) return RequestUrgency::kNone;
-  const bool is_granted_what_there_is = has_grant && is_answered_;
-  if (InForce(now).rate < demand && !is_granted_what_there_is) return RequestUrgency::kNow;
+  // The allocator granted what it could, and grants more on its own when it can.
+  const bool is_grant_up_to_date = has_grant && is_answered_;
+  if (InForce(now).rate < demand && !is_grant_up_to_date) return RequestUrgency::kNow;
   if (!has_grant) return RequestUrgency::kNone;
   const Span left = grant_expires_at_ - now;
   if (left < timings_->max_grant_lifetime * 5 / 8) return RequestUrgency::kNow;
--- a/src/quota/partner_account.h
+++ b/src/quota/partner_account.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// One partner's budget at one gateway: the token bucket, which follows the grant in force or the reserved
-/// minimum, and when to request another grant.
+/// One partner's budget at one gateway: a token bucket with the allocation of the grant in force or of the
+/// reserved minimum, and the decision when to request another grant.
 #ifndef LOAD_BALANCER_QUOTA_PARTNER_ACCOUNT_H_
 #define LOAD_BALANCER_QUOTA_PARTNER_ACCOUNT_H_
 
@@ -17,60 +17,66 @@
 
 namespace load_balancer::quota {
 
-/// The reserved minimum, which is in force from `available_from` on wherever no grant is.
+/// The reserved minimum of a gateway. From `available_from` on it is in force whenever no grant is.
 struct ReservedMinimumTerms {
   Allocation usable;
-  Allocation configured;  ///< By the budgets; usable once all gateways have them.
+  Allocation configured;  ///< The minimum of the current budgets, usable once all gateways have them.
   Time available_from;
 };
 
+/// The account of one partner at one gateway.
 class PartnerAccount {
  public:
-  /// Starts with an empty bucket at `since`, from which on `minimum` holds. `since` may be past.
+  /// Starts with an empty bucket at `since`, which may be in the past. `minimum` applies from then on.
+  /// `timings` must outlive this object.
   PartnerAccount(Time since, const ReservedMinimumTerms& minimum, const Timings& timings);
 
-  /// What is in force.
+  /// The source of the allocation in force.
   enum class Source { kNone, kReservedMinimum, kGrant };
 
+  /// Charges `cost` if it fits and returns whether it did. Counts it as demand in any case.
   bool Charge(Time now, MilliUnits cost);
+  /// Returns a charge to the bucket (see Bucket::Credit).
   void Credit(Time now, Time charged_at, MilliUnits cost);
-  /// The time until `cost` fits if nothing else happens. Empty if neither a reserved minimum nor a grant is
-  /// to come.
+  /// Returns the time until `cost` fits if nothing else happens. Returns nothing if it never fits without a
+  /// new grant.
   std::optional<Span> TimeUntilAvailable(Time now, MilliUnits cost);
 
-  /// Puts a grant in force in place of what is, unless it is no newer than one that was accepted before or
-  /// has expired. The reserved minimum is lent from then on until the grant's expiry, even if another grant
-  /// replaces this one. Returns whether the grant was accepted.
+  /// Puts a grant in force and returns true. Returns false and does nothing if the grant has expired or is
+  /// not newer than all grants accepted before. The reserved minimum is lent until the grant expires, even if
+  /// another grant replaces this one earlier.
   bool Accept(Time now, const Grant& grant, const GrantId& id, Time expires_at);
-  /// The grant in force, for a request or an acknowledgement; its id is zero if there is none.
+  /// Returns the grant in force, without the partner's name, for a request or an acknowledgement. The id is
+  /// zero if there is no grant.
   GrantAck HeldGrant(Time now) const;
 
-  /// Changes the reserved minimum from `now` on. It stays lent for as long as was promised.
+  /// Changes the reserved minimum from `now` on. The time until which it is lent stays the same.
   void SetReservedMinimum(Time now, const Allocation& usable, const Allocation& configured);
-  /// Does not use the reserved minimum before `until`.
+  /// Makes the reserved minimum unavailable until `until`.
   void LendReservedMinimum(Time until) { minimum_.available_from = std::max(minimum_.available_from, until); }
   const ReservedMinimumTerms& reserved_minimum() const { return minimum_; }
 
-  /// How soon to request a grant: not now, along with other requests, or at once.
+  /// How soon to request a grant: not now, only in a message that is sent for other partners anyway, or now.
   enum class RequestUrgency { kNone, kWithOthers, kNow };
-  /// A change of demand in either direction is urgent. A gateway that has less than it needs and no answer
-  /// repeats its request each Timings::request_interval. One that has a grant by its last request renews it
-  /// well before it expires, as an allocator that can grant more does so unasked.
+  /// Returns how soon to request a grant. A rise or fall of demand is urgent. A gateway that has less than it
+  /// needs and got no response repeats its request at each Timings::request_interval. After a response the
+  /// gateway only renews its grant, well before the grant expires, because an allocator that can grant more
+  /// does so without another request.
   RequestUrgency NextRequest(Time now);
-  /// Makes the request, which counts as sent.
+  /// Returns the request, and records it as sent.
   GrantRequest MakeRequest(Time now);
-  /// The allocator has asked for a request.
+  /// Records that the allocator wants the gateway to request a grant.
   void OnRecall() { is_recalled_ = true; }
-  /// Whether there is nothing to do until the next charge or recall.
+  /// Returns whether there is nothing to do until the next charge or recall.
   bool IsIdle(Time now);
 
   Source SourceAt(Time now) const;
   Allocation InForce(Time now) const;
-  /// The estimated rate of the traffic, per second.
+  /// Returns the estimated demand, per second.
   MilliUnits Demand(Time now) { return demand_.Estimate(now); }
 
  private:
-  // Applies the changes of what is in force that were due by `now` to the bucket.
+  // Applies to the bucket each change of the allocation in force that was due by `now`.
   void Advance(Time now);
   void UpdateBucket(Time at);
   bool HasDemandShifted(MilliUnits demand, Time now);
@@ -78,12 +84,12 @@
   const Timings* timings_;
   ReservedMinimumTerms minimum_;
   Allocation grant_;
-  GrantId grant_id_;  // of the newest grant accepted
+  GrantId grant_id_;  // the id of the newest grant that was accepted
   Time grant_expires_at_ = Time::min();
   Bucket bucket_;
   DemandEstimator demand_;
   bool is_recalled_ = false;
-  bool is_answered_ = false;  // a grant was accepted since the last request
+  bool is_answered_ = false;  // whether a grant was accepted since the last request
   Time requested_at_ = Time::min();
   MilliUnits requested_demand_ = 0;
 };
--- a/src/quota/partner_accounts.cpp
+++ b/src/quota/partner_accounts.cpp
@@ -5,9 +5,9 @@
 
 namespace load_balancer::quota {
 
-PartnerAccounts::PartnerAccounts(GatewayPlace place, const Timings& timings,
+PartnerAccounts::PartnerAccounts(GatewaySite site, const Timings& timings,
                                  std::shared_ptr<const Budgets> budgets, Time now)
-    : place_(std::move(place)),
+    : site_(std::move(site)),
       timings_(timings),
       budgets_(std::move(budgets)),
       started_at_(now),
@@ -70,7 +70,7 @@
                                     const Budget& budget) {
   const Allocation configured = ReservedMinimum(budget);
   if (!previous) {
-    // The partner may have had a budget before that, with its reserved minimum lent.
+    // The partner may have had a budget in an earlier revision and may have lent its reserved minimum then.
     Create(partner, now, configured, now + timings_.max_grant_lifetime + timings_.clock_drift);
     return;
   }
--- a/src/quota/partner_allocator.cpp
+++ b/src/quota/partner_allocator.cpp
@@ -10,24 +10,25 @@
 using std::chrono::milliseconds;
 
 constexpr int kSlotsPerLifetime = 16;
-// The shortest time between two issues of grants. Each requester adds to it, as it adds to the work.
+// The shortest time between two issues of grants. It grows with the number of requesters, as the work does.
 constexpr Span kMinIssueInterval = milliseconds(10);
 constexpr Span kIssueIntervalPerRequester = std::chrono::microseconds(50);
-// Enough of a grant's lifetime to renew the grant in.
+// A grant should fit for at least this fraction (1 / 4) of its lifetime, so that there is time to renew it.
 constexpr int kRenewalFraction = 4;
 
-// The smallest rate whose allocation has at least `depth`.
+// Returns the smallest rate whose allocation has at least `depth`.
 MilliUnits RateForDepth(const Budget& budget, MilliUnits depth) {
   depth = std::min(depth, budget.burst);
   return std::min(budget.rate, (depth * budget.rate + budget.burst - 1) / budget.burst);
 }
 
-// The smallest rate of use to a gateway with charges of up to `min_depth`.
+// Returns the smallest useful rate for a gateway with charges of up to `min_depth`.
 MilliUnits MinUsefulRate(const Budget& budget, MilliUnits min_depth) {
   return RateForDepth(budget, std::max(min_depth, kUnit));
 }
 
-// Differences of a sixteenth wait until the next request.
+// Returns whether `left` is less than `right` by more than a sixteenth. Smaller differences are not worth an
+// unrequested grant.
 bool IsClearlyLess(MilliUnits left, MilliUnits right) { return left + right / 16 + 1 < right; }
 
 struct RateChange {
@@ -85,8 +86,9 @@
   return demand;
 }
 
-// Divides the capacity that is left by the reserved minimums and the grants of gateways that request nothing
-// now. While there is enough for all, each gateway keeps its reserved minimum.
+// Divides the capacity among the gateways with demand. The allocations of all other gateways, which are their
+// reserved minimums and unexpired grants, are no part of the capacity. While the capacity suffices, a gateway
+// gets no less than its reserved minimum.
 void PartnerAllocator::ComputeTargets(Time now, const Budget& budget, const ReservedMinimums& minimums) {
   std::vector<GatewayId> gateways;
   std::vector<RateClaim> claims;
@@ -105,7 +107,7 @@
     claim(gateway, requester.demand, requester.min_depth, requester.turn_until);
   for (const auto& [gateway, expected] : expected_) claim(gateway, expected.demand, 0, Time::min());
 
-  is_short_ = total_demand > capacity;
+  is_oversubscribed_ = total_demand > capacity;
   if (total_with_minimums <= capacity) {
     for (RateClaim& each : claims) each.demand = std::max(each.demand, each.reserved_minimum);
   }
@@ -117,7 +119,8 @@
   }
 }
 
-// A gateway that gets no more than the minimum useful rate has its turn for a grant's lifetime.
+// Starts the turn of a gateway that gets no more than the minimum useful rate. A turn lasts a grant's
+// lifetime.
 void PartnerAllocator::StartTurn(Time now, GatewayId gateway, const RateClaim& claim, MilliUnits rate) {
   if (rate <= 0 || rate > claim.min_useful_rate) return;
   const auto requester = requesters_.find(gateway);
@@ -131,17 +134,17 @@
 }
 
 std::vector<GatewayId> PartnerAllocator::GatewaysDue() const {
-  bool is_lacking = is_short_;
+  bool has_unmet_demand = is_oversubscribed_;
   for (const auto& [gateway, requester] : requesters_) {
     const MilliUnits needed = std::min(requester.demand, targets_.at(gateway));
-    is_lacking = is_lacking || IsClearlyLess(HeldRate(gateway, requester), needed);
+    has_unmet_demand = has_unmet_demand || IsClearlyLess(HeldRate(gateway, requester), needed);
   }
   std::vector<RateChange> due;
   for (const auto& [gateway, requester] : requesters_) {
-    const MilliUnits held = HeldRate(gateway, requester);
+    const MilliUnits held_rate = HeldRate(gateway, requester);
     const MilliUnits target = targets_.at(gateway);
-    const bool differs = IsClearlyLess(held, target) || IsClearlyLess(target, held);
-    if (!requester.is_answered || (is_lacking && differs)) due.push_back({target - held, gateway});
+    const bool differs = IsClearlyLess(held_rate, target) || IsClearlyLess(target, held_rate);
+    if (!requester.is_answered || (has_unmet_demand && differs)) due.push_back({target - held_rate, gateway});
   }
   std::sort(due.begin(), due.end());
   std::vector<GatewayId> gateways;
@@ -171,9 +174,9 @@
       issued.push_back(std::move(*grant));
   }
   due_ = Time::max();
-  // While the budget is short, turns end, reserved minimums are recalled, and what others do not renew
-  // returns.
-  if (is_short_) due_ = now + timings_->request_interval;
+  // While demand exceeds the capacity, grants are issued again at intervals: turns end, reserved minimums are
+  // recalled, and grants expire that are not renewed.
+  if (is_oversubscribed_) due_ = now + timings_->request_interval;
   if (is_waiting_) due_ = now + commitments_.slot();
   return issued;
 }
@@ -195,8 +198,9 @@
   const auto lifetime = std::chrono::floor<milliseconds>(end - margin - received);
   const Time expires_at = received + lifetime + margin;
   const OutstandingGrant* newest = commitments_.Newest(gateway, requester.incarnation);
-  const bool is_held = newest && newest->allocation == allocation && newest->expires_at >= expires_at;
-  if (requester.is_answered && is_held) return std::nullopt;
+  const bool is_granted_already =
+      newest && newest->allocation == allocation && newest->expires_at >= expires_at;
+  if (requester.is_answered && is_granted_already) return std::nullopt;
   if (received + lifetime <= now) return std::nullopt;
 
   ++last->number;
@@ -217,7 +221,7 @@
 std::vector<GatewayId> PartnerAllocator::Recalls(Time now, const GatewayRegistry& gateways,
                                                  const ReservedMinimums& minimums) {
   std::vector<GatewayId> recalls;
-  if (!is_short_ || minimums.total().rate == 0) return recalls;
+  if (!is_oversubscribed_ || minimums.total().rate == 0) return recalls;
   const Time lent_long_enough = now + timings_->max_grant_lifetime / 2;
   for (GatewayId gateway = 0; gateway < gateways.size(); ++gateway) {
     if (minimums.Of(gateway).rate == 0 || commitments_.lent_until(gateway) > lent_long_enough) continue;
--- a/src/quota/partner_allocator.h
+++ b/src/quota/partner_allocator.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// One partner's budget at its allocator: the demand of the gateways, and which grants to issue.
+/// One partner's budget at its allocator: tracks the demand of the gateways and decides which grants to
+/// issue.
 #ifndef LOAD_BALANCER_QUOTA_PARTNER_ALLOCATOR_H_
 #define LOAD_BALANCER_QUOTA_PARTNER_ALLOCATOR_H_
 
@@ -16,43 +17,45 @@
 
 namespace load_balancer::quota {
 
-/// A grant, and the process that it is for.
+/// A grant, and the process that receives it.
 struct IssuedGrant {
   GatewayId gateway = 0;
-  std::uint64_t incarnation = 0;  ///< Of the gateway's process.
-  Grant grant;                    ///< Without the partner's name.
+  std::uint64_t incarnation = 0;  ///< The incarnation of the gateway's process.
+  Grant grant;                    ///< The grant, without the partner's name.
 };
 
-/// Divides one budget. All times are of the allocator's monotonic clock.
+/// Divides one budget among gateways. All times are readings of the allocator's monotonic clock.
 class PartnerAllocator {
  public:
+  /// `timings` must outlive this object.
   explicit PartnerAllocator(const Timings& timings);
 
-  /// A gateway's process requests a grant in its message `number`.
+  /// Handles a grant request from message `number` of a gateway's process.
   void OnGrantRequest(Time now, GatewayId gateway, std::uint64_t incarnation, std::uint64_t number,
                       const GrantRequest& request);
-  /// A gateway's process has put a grant in force.
+  /// Handles an acknowledgement: a gateway's process has put a grant in force.
   void OnAck(Time now, GatewayId gateway, std::uint64_t incarnation, const GrantAck& ack);
-  /// Sets the demand of a gateway according to a ledger, which counts until the gateway's first request.
+  /// Sets the demand of a gateway from a ledger. It counts until the gateway's first request, for at most two
+  /// request intervals.
   void SetExpectedDemand(Time now, GatewayId gateway, MilliUnits demand);
 
-  /// The grants to issue now: one for each unanswered request, and another one where a gateway's grant is
-  /// less than its target, or more than it while others lack some. None lasts beyond `deadline`. `last` is
-  /// the id of the last grant that was issued, and is advanced.
+  /// Returns the grants to issue now: one for each unanswered request, and one for each gateway whose grant
+  /// differs from its target while some gateway has less than it needs. No grant lasts beyond `deadline`.
+  /// `last` is the id of the last grant that was issued. It is advanced with each grant.
   std::vector<IssuedGrant> IssueGrants(Time now, Time deadline, const Budget& budget,
                                        const ReservedMinimums& minimums, GrantId* last);
-  /// Gateways that should request a grant, because their reserved minimum is needed elsewhere and is not lent
-  /// for long. Call it after IssueGrants.
+  /// Returns the gateways that should request a grant, because their reserved minimum is needed elsewhere and
+  /// is not lent for much longer. Call it after IssueGrants.
   std::vector<GatewayId> Recalls(Time now, const GatewayRegistry& gateways, const ReservedMinimums& minimums);
-  /// When to issue grants again without an event; Time::max(): never.
+  /// Returns when to issue grants again if no event comes first; Time::max() if there is no such time.
   Time due() const { return due_; }
 
   const Commitments& commitments() const { return commitments_; }
-  /// The demand of the gateways that requested a grant recently.
+  /// Returns the demand of each gateway that requested a grant recently.
   std::map<GatewayId, MilliUnits> Demand(Time now) const;
 
  private:
-  /// A gateway that has requested a grant, by its latest request.
+  /// The latest request of a gateway.
   struct Requester {
     std::uint64_t incarnation = 0;
     std::uint64_t number = 0;
@@ -68,13 +71,13 @@
   };
 
   void Prune(Time now);
-  // Sets the rate that each gateway should have.
+  // Sets the target of each gateway: the rate that it should have.
   void ComputeTargets(Time now, const Budget& budget, const ReservedMinimums& minimums);
   void StartTurn(Time now, GatewayId gateway, const RateClaim& claim, MilliUnits rate);
-  // The gateways that are to get another grant, those first whose rate shrinks the most.
+  // Returns the gateways that should get another grant, beginning with those whose rate shrinks the most.
   std::vector<GatewayId> GatewaysDue() const;
   MilliUnits HeldRate(GatewayId gateway, const Requester& requester) const;
-  // Issues a grant of the gateway's target, as far as it fits and is of use.
+  // Issues a grant of up to the gateway's target. Returns nothing if what fits is too small to be useful.
   std::optional<IssuedGrant> IssueGrant(Time now, Time deadline, GatewayId gateway, const Budget& budget,
                                         GrantPlanner* planner, GrantId* last);
   bool WasRequestedSince(GatewayId gateway, Time since) const;
@@ -85,8 +88,9 @@
   std::map<GatewayId, Requester> requesters_;
   std::map<GatewayId, ExpectedDemand> expected_;
   std::map<GatewayId, MilliUnits> targets_;
-  bool is_short_ = false;    // demand exceeds the capacity
-  bool is_waiting_ = false;  // a gateway gets its target only when another has returned what it has
+  bool is_oversubscribed_ = false;  // whether demand exceeds the capacity
+  // Whether some gateway gets its target only after other gateways have returned parts of theirs.
+  bool is_waiting_ = false;
   std::map<GatewayId, Time> recalled_at_;
   Time issued_at_ = Time::min();
   Time due_ = Time::max();
--- a/src/quota/reserved_minimums.h
+++ b/src/quota/reserved_minimums.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The reserved minimums of one partner's budget, by gateway: what each may use without a grant.
+/// The reserved minimums of one partner's budget: the allocation that each gateway may use without a grant.
 #ifndef LOAD_BALANCER_QUOTA_RESERVED_MINIMUMS_H_
 #define LOAD_BALANCER_QUOTA_RESERVED_MINIMUMS_H_
 
@@ -13,28 +13,29 @@
 
 namespace load_balancer::quota {
 
-/// A gateway that may still have earlier budgets counts with the largest reserved minimum of all of them.
+/// The reserved minimum of each gateway. For a gateway that may still have earlier budgets, it is the largest
+/// reserved minimum of all budgets that the gateway may have.
 class ReservedMinimums {
  public:
-  /// Refers to `gateways` and `revisions`, which must outlive this.
+  /// Keeps references to `gateways` and `revisions`, which must outlive this object.
   ReservedMinimums(const std::string& partner, const GatewayRegistry& gateways,
                    const BudgetRevisions& revisions);
 
-  /// The most that the gateway may have as its reserved minimum.
+  /// Returns the largest reserved minimum that the gateway may have.
   Allocation Of(GatewayId gateway) const {
     const bool is_certain = largest_.empty() || (*has_current_)[gateway];
     return (is_certain ? current_ : largest_)[gateways_->site(gateway)];
   }
-  /// The gateway's reserved minimum by the current budgets, whichever it has.
+  /// Returns the gateway's reserved minimum in the current budgets, whether or not the gateway has these.
   Allocation CurrentOf(GatewayId gateway) const { return current_[gateways_->site(gateway)]; }
-  /// The sum of Of over all gateways.
+  /// Returns the sum of Of over all gateways.
   Allocation total() const { return total_; }
 
  private:
   const GatewayRegistry* gateways_;
   const std::vector<bool>* has_current_;
-  std::vector<Allocation> current_;  // of one gateway, by site
-  std::vector<Allocation> largest_;  // of all budgets, likewise; empty if there is no difference
+  std::vector<Allocation> current_;  // per gateway of a site, by site: in the current budgets
+  std::vector<Allocation> largest_;  // the same over all budgets; empty if equal to `current_`
   Allocation total_;
 };
 
--- a/src/quota/section.cpp
+++ b/src/quota/section.cpp
@@ -11,11 +11,11 @@
 
 using nlohmann::json;
 
-constexpr double kMinAmount = 0.001;  // a unit per second, or a unit
+constexpr double kMinAmount = 0.001;  // units per second for a rate, units for a burst
 
 MilliUnits ToMilliUnits(double units) { return std::llround(units * static_cast<double>(kUnit)); }
 
-// The name by which the section gives the key. Reports a fault if it uses both names.
+// Returns the name that the section uses for the key. Reports a fault if the section uses both names.
 const char* KeyInUse(Section& section, const KeyAlias& alias) {
   if (!section.Find(alias.former)) return alias.key;
   if (!section.Find(alias.key)) return alias.former;
@@ -23,7 +23,7 @@
   return alias.key;
 }
 
-// Reads the rates by site, each from 0 to `per_s`.
+// Reads the reserved minimum of each site: a rate from 0 to `per_s`.
 void ReadReservedMinimums(Section& section, const std::string& key, double per_s, Budget* budget) {
   const json* minimums = section.Find(key.c_str());
   if (!minimums) return;
@@ -41,7 +41,7 @@
   if (sum > budget->rate) section.Fault(key, "are more than per_s together");
 }
 
-// Reads a partner's budget; `reserved_minimums_key` is set to the name of that key in the file.
+// Reads a partner's budget. Sets `reserved_minimums_key` to the name that the file uses for that key.
 Budget ReadBudget(const json& partners, const std::string& name, std::string* reserved_minimums_key,
                   std::vector<std::string>* faults) {
   std::vector<std::string> budget_faults;
--- a/src/quota/section.h
+++ b/src/quota/section.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The configuration's section `quota`: the budgets of partners over all gateways.
+/// The section `quota` of the configuration: the budgets of the partners.
 #ifndef LOAD_BALANCER_QUOTA_SECTION_H_
 #define LOAD_BALANCER_QUOTA_SECTION_H_
 
@@ -17,18 +17,20 @@
 
 namespace load_balancer::quota {
 
-/// The names by which the file gives keys that have a former name, so that faults name them as the file does.
+/// The key names that the file uses, for keys that have a former name. Faults name a key as the file does.
 struct QuotaKeyNames {
   std::string allocators = kAllocatorsKey.key;
   std::string grant_lifetime = kGrantLifetimeKey.key;
-  std::map<std::string, std::string> reserved_minimums;  ///< By partner.
+  std::map<std::string, std::string> reserved_minimums;  ///< The name of that key, by partner.
 };
 
-/// The section's values. Keys, units and ranges are in docs/configuration.md.
+/// The section's values. docs/configuration.md lists keys, units and ranges.
 struct QuotaSection {
-  /// False if the section is absent: then tenants' quotas are divided evenly as the settings say.
+  /// Whether the section is present. If it is absent, tenants' quotas are divided evenly, as the settings
+  /// say.
   bool on = false;
-  /// Allocators that the partners are spread over; must not change in service.
+  /// The number of allocators that the partners are distributed over. It must not change while the fleet
+  /// runs.
   std::size_t allocators = 4;
   std::chrono::milliseconds max_grant_lifetime{2000};
   std::chrono::milliseconds request_interval{250};
@@ -36,11 +38,11 @@
   QuotaKeyNames key_names;
 };
 
-/// Reads `quota` of the file's root object. Appends one line per fault to `faults`.
+/// Reads the section `quota` of the file's root object. Appends one line per fault to `faults`.
 QuotaSection ReadQuota(const nlohmann::json& root, std::vector<std::string>* faults);
 
 /// Checks the section against the rest of the file: the gateways of `sites`, the tenants of the settings, and
-/// the term and drift of the federation's leases. Appends one line per fault.
+/// the term and drift of the federation's leases. Appends one line per fault to `faults`.
 void CheckQuota(const QuotaSection& quota, const SiteLayout& sites, const std::set<std::string>& tenants,
                 std::chrono::milliseconds lease_term, std::chrono::milliseconds lease_drift,
                 std::vector<std::string>* faults);
--- a/src/quota/warning.h
+++ b/src/quota/warning.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The action that accounts and allocators have in common.
+/// The action that both accounts and allocators return.
 #ifndef LOAD_BALANCER_QUOTA_WARNING_H_
 #define LOAD_BALANCER_QUOTA_WARNING_H_
 
@@ -9,7 +9,7 @@
 
 namespace load_balancer::quota {
 
-/// Action: log the failure at level warn.
+/// Action: log the failure at the level warn.
 struct LogWarning {
   Failure failure;
 };
