--- a/model/quota/gateways.h
+++ b/model/quota/gateways.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Gateways of several sites in the model, each with its account of quotas and the allocators that it may come
-// to be, under clients that send to them as a scenario says.
+// The gateways of several sites in the model. Each gateway has its account of quotas and can become the
+// holder of allocators' leases. A scenario sets the load that clients put on each gateway.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_GATEWAYS_H_
 #define LOAD_BALANCER_MODEL_QUOTA_GATEWAYS_H_
 
@@ -20,30 +20,32 @@
 
 namespace load_balancer::model {
 
+// The size of the modelled federation, its clocks, network faults and clients.
 struct GatewaysOptions {
   std::uint64_t seed = 1;
-  std::size_t sites = 3, per_site = 3, allocators = 2;
+  std::size_t sites = 3, per_site = 3, allocators = 2;  // per_site: the number of gateways of a site
   quota::Timings timings;
-  double clocks_apart = 1;  // of what the drift allows: 0: all clocks are true
-  double credited = 0;      // share of the admitted requests that prove not to have run
-  double late = 0;          // share of the quota's messages that are sent late
-  double again = 0;         // and that are sent once more, late
-  Span latest = std::chrono::seconds(4);
-  double cost = 1;       // mean units of a request; over 1: costs vary
-  Greed greed;           // on: in place of clients that come at a rate
-  bool keep_all = true;  // admissions, for the check; false: count only
+  double clock_error = 1;          // largest clock error as a fraction of the allowed drift; 0: exact clocks
+  double credited_fraction = 0;    // fraction of the admitted requests that are proven not to have run
+  double delayed_fraction = 0;     // fraction of the quota messages that are delayed
+  double duplicated_fraction = 0;  // fraction of the quota messages that are sent again after a delay
+  Span max_delay = std::chrono::seconds(4);  // of delayed and duplicated messages
+  double mean_cost = 1;                      // mean units of a request; costs vary if it is over 1
+  SpenderOptions spender;                    // if enabled, spenders replace the clients that come at a rate
+  bool record_admissions = true;             // false: requests are counted, but admissions are not recorded
 };
 
-// What became of one partner's requests.
+// Counts of one partner's requests. The ideal limiter sees the requests of all gateways at once.
 struct Tally {
-  std::vector<Admission> admitted;           // in order; without those that were credited
-  std::vector<std::uint64_t> asked, inside;  // of each gateway
-  std::uint64_t refused_in_error = 0;        // that an all-knowing gate would have let through
-  std::uint64_t possible = 0;                // that it would have let through in all
-  quota::MilliUnits spent = 0, possible_spent = 0;
+  std::vector<Admission> admissions;               // in the order of time, without credited requests
+  std::vector<std::uint64_t> requests_by_gateway;  // by gateway
+  std::vector<std::uint64_t> admitted_by_gateway;  // by gateway, without credited requests
+  std::uint64_t wrongly_rejected = 0;  // rejected, though the ideal limiter would have admitted them
+  std::uint64_t ideal_admitted = 0;    // requests that the ideal limiter would have admitted
+  quota::MilliUnits spent = 0, ideal_spent = 0;
 };
 
-// Programs are on machines 0 to size() - 1, in the order of the sites.
+// Runs the gateways on machines 0 to size() - 1, in the order of the sites.
 class Gateways {
  public:
   Gateways(const GatewaysOptions& options, std::shared_ptr<const quota::Budgets> budgets);
@@ -53,29 +55,31 @@
   std::size_t size() const { return names_.size(); }
   static std::string SiteName(std::size_t site) { return std::string(1, 's').append(std::to_string(site)); }
 
-  // Clients send a partner's requests to a gateway at this rate from now on, as a Poisson process.
+  // Sets the rate at which clients send a partner's requests to a gateway from now on, as a Poisson process.
   void SetLoad(std::size_t gateway, const std::string& partner, double per_s);
-  // The file of a gateway's machine from now on; a process that runs takes it at once.
+  // Replaces the budgets of a gateway's configuration file. A running process applies them at once.
   void SetBudgets(std::size_t gateway, std::shared_ptr<const quota::Budgets> budgets);
-  // Greedy clients save up from now on, or spend again.
-  void Save(bool saving) { saving_ = saving; }
-  // Another process takes over the gateway's address; the one before lets its grants end beside it.
+  // Sets whether spenders let their accounts fill instead of spending.
+  void SetSaving(bool saving) { saving_ = saving; }
+  // Makes another process take over the gateway's address. The previous process runs on until its grants
+  // expire.
   void HandOver(std::size_t gateway);
-  // The gateway hands out no grants until those that it has handed out have ended, and gives its leases back.
+  // Makes the gateway stop issuing grants and release its leases once the grants that it issued have expired.
   void StepDown(std::size_t gateway);
-  // The machine that holds a duty, as others see it.
+  // Returns the machine that holds the allocator's lease, as other machines know it.
   std::optional<std::size_t> Holder(std::size_t allocator) const {
-    return holders_.At(allocator, world_.now());
+    return holders_.HolderAt(allocator, world_.now());
   }
 
   const std::map<std::string, Tally>& tallies() const { return tallies_; }
-  void ClearTallies();  // counts only what comes from now on
+  void ClearTallies();  // discards the counts so far
 
  private:
   class Program;
   friend class Program;
-  void Count(std::size_t gateway, const std::string& partner, Moment at, quota::MilliUnits cost, bool inside,
-             bool counts);
+  // Counts a request in the partner's tally. `ran` is false for a request that is credited.
+  void CountRequest(std::size_t gateway, const std::string& partner, Moment at, quota::MilliUnits cost,
+                    bool admitted, bool ran);
 
   const GatewaysOptions options_;
   World world_;
@@ -83,13 +87,13 @@
   std::vector<Endpoint> addresses_;
   std::map<Endpoint, std::size_t> by_address_;
   quota::SiteLayout layout_;
-  std::vector<std::shared_ptr<const quota::Budgets>> files_;
-  std::vector<std::map<std::string, double>> loads_;
+  std::vector<std::shared_ptr<const quota::Budgets>> budgets_;  // by gateway
+  std::vector<std::map<std::string, double>> loads_;            // by gateway and partner, requests per second
   std::vector<Endpoint> voters_;
-  Holders holders_;
+  RoleHolders holders_;
   std::map<std::string, Tally> tallies_;
-  std::map<std::string, Window> ideal_;
-  std::uint64_t incarnations_ = 0;
+  std::map<std::string, ExactTokenBucket> ideal_limiters_;  // by partner
+  std::uint64_t last_incarnation_ = 0;
   bool saving_ = false;
 };
 
--- a/model/quota/lease_member.h
+++ b/model/quota/lease_member.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The allocators' leases as one gateway of the model takes part in them.
+// The part of one modelled gateway in the allocators' leases.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_LEASE_MEMBER_H_
 #define LOAD_BALANCER_MODEL_QUOTA_LEASE_MEMBER_H_
 
@@ -17,39 +17,46 @@
 
 namespace load_balancer::model {
 
-// Who holds which duty, as all others hear of it within a fifth of a second.
-class Holders {
+// The holder of each allocator's lease, as the other machines know it. They learn of a new holder after
+// kPropagationTime.
+class RoleHolders {
  public:
-  void Tell(std::size_t duty, std::size_t machine, Moment at) {
-    Known& known = duties_[duty];
-    if (known.machine == machine) return;
-    known = {machine, known.machine, at};
+  // Records that `machine` holds the allocator's lease since `at`.
+  void Update(std::size_t allocator, std::size_t machine, Moment at) {
+    Record& record = records_[allocator];
+    if (record.machine == machine) return;
+    record = {machine, record.machine, at};
   }
-  std::optional<std::size_t> At(std::size_t duty, Moment now) const {
-    const auto found = duties_.find(duty);
-    if (found == duties_.end()) return std::nullopt;
-    const bool heard = now - found->second.since >= std::chrono::milliseconds(200);
-    return heard ? found->second.machine : found->second.before;
+  // Returns the holder that is known to the other machines at `now`.
+  std::optional<std::size_t> HolderAt(std::size_t allocator, Moment now) const {
+    const auto found = records_.find(allocator);
+    if (found == records_.end()) return std::nullopt;
+    const bool is_known = now - found->second.since >= kPropagationTime;
+    return is_known ? found->second.machine : found->second.previous;
   }
 
  private:
-  struct Known {
-    std::optional<std::size_t> machine, before;
+  static constexpr Moment kPropagationTime = std::chrono::milliseconds(200);
+
+  struct Record {
+    std::optional<std::size_t> machine, previous;
     Moment since{0};
   };
-  std::map<std::size_t, Known> duties_;
+  std::map<std::size_t, Record> records_;
 };
 
-class LeaseMember final : private fleet::Leases::Callbacks {
+// Requests the leases of all allocators for one gateway's process.
+class QuotaLeaseMember final : private fleet::Leases::Callbacks {
  public:
-  using Post = std::function<void(const Endpoint&, const fleet::LeaseMessage&)>;
-  LeaseMember(Host& host, std::uint64_t incarnation, std::size_t machine, const std::vector<Endpoint>& voters,
-              std::size_t duties, const quota::Timings& timings, Holders& holders, Post post)
+  using SendFunction = std::function<void(const Endpoint&, const fleet::LeaseMessage&)>;
+  QuotaLeaseMember(Host& host, std::uint64_t incarnation, std::size_t machine,
+                   const std::vector<Endpoint>& voters, std::size_t allocators, const quota::Timings& timings,
+                   RoleHolders& holders, SendFunction send)
       : host_(host),
         machine_(machine),
         holders_(holders),
-        post_(std::move(post)),
-        leases_(Options(host, incarnation, voters, duties, timings), host.Now(), *this) {}
+        send_(std::move(send)),
+        leases_(Options(host, incarnation, voters, allocators, timings), host.Now(), *this) {}
 
   void Receive(const Endpoint& from, const fleet::LeaseMessage& message) {
     leases_.Receive(host_.Now(), from, message);
@@ -58,18 +65,18 @@
     if (leases_.Next() <= host_.Now()) leases_.Tick(host_.Now(), host_.Wall());
   }
   Time Next() const { return leases_.Next(); }
-  // Gives back all that it holds, and may ask for it again.
-  void GiveBack() {
+  // Releases all leases that the process holds. It may acquire them again.
+  void ReleaseLeases() {
     leases_.Release(host_.Now());
     leases_.Resume(host_.Now());
   }
-  std::optional<fleet::LeaseProof> ProveLease(std::size_t duty) const {
-    return leases_.ProveLease(host_.Now(), quota::AllocatorDuty(duty));
+  std::optional<fleet::LeaseProof> ProveLease(std::size_t allocator) const {
+    return leases_.ProveLease(host_.Now(), quota::AllocatorRoleName(allocator));
   }
 
  private:
   static fleet::LeaseOptions Options(Host& host, std::uint64_t incarnation,
-                                     const std::vector<Endpoint>& voters, std::size_t duties,
+                                     const std::vector<Endpoint>& voters, std::size_t allocators,
                                      const quota::Timings& timings) {
     fleet::LeaseOptions options;
     options.holder = host.Name() + "/" + std::to_string(incarnation);
@@ -78,23 +85,23 @@
     options.term = std::chrono::floor<std::chrono::milliseconds>(timings.lease_term);
     options.drift = std::chrono::ceil<std::chrono::milliseconds>(timings.clock_drift);
     options.seed = incarnation;
-    for (std::size_t i = 0; i < duties; ++i)
-      options.leased_roles.push_back({quota::AllocatorDuty(i), fleet::LeasedRoleKind::kExclusive});
+    for (std::size_t i = 0; i < allocators; ++i)
+      options.leased_roles.push_back({quota::AllocatorRoleName(i), fleet::LeasedRoleKind::kExclusive});
     return options;
   }
 
-  void Send(const Endpoint& to, const fleet::LeaseMessage& message) override { post_(to, message); }
-  void OnLeaseStatus(const std::string& duty, fleet::LeaseStatus status, fleet::FencingToken, Span,
+  void Send(const Endpoint& to, const fleet::LeaseMessage& message) override { send_(to, message); }
+  void OnLeaseStatus(const std::string& role, fleet::LeaseStatus status, fleet::FencingToken, Span,
                      std::string_view) override {
     if (status == fleet::LeaseStatus::kHolder)
-      holders_.Tell(std::stoul(duty.substr(duty.find('/') + 1)), machine_, host_.True());
+      holders_.Update(std::stoul(role.substr(role.find('/') + 1)), machine_, host_.True());
   }
   void OnFailure(const Failure&) override {}
 
   Host& host_;
   const std::size_t machine_;
-  Holders& holders_;
-  Post post_;
+  RoleHolders& holders_;
+  SendFunction send_;
   fleet::Leases leases_;
 };
 
--- a/model/quota/overspend_check.h
+++ b/model/quota/overspend_check.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The hard rule of quotas, and what an all-knowing gate would have done.
+// Checks that the gateways together never admit more than a budget, and provides an ideal limiter to compare
+// with.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_OVERSPEND_CHECK_H_
 #define LOAD_BALANCER_MODEL_QUOTA_OVERSPEND_CHECK_H_
 
@@ -14,39 +15,43 @@
 
 namespace load_balancer::model {
 
+// A request that was admitted and ran.
 struct Admission {
   Moment at;
   quota::MilliUnits cost = 0;
 };
 
+// A time window in which the admissions exceed the budget.
 struct Overspend {
-  Moment from, to;  // the window
-  double over = 0;  // units more than rate x window + burst
+  Moment from, to;
+  double excess = 0;  // units in excess of rate x window + burst
 };
 
-// Takes what comes as long as every window of any length stays within rate x window + burst: a token bucket
-// that starts full, by exact arithmetic.
-class Window {
+// A token bucket that starts full and uses exact arithmetic. It admits a request if all windows of any length
+// stay within rate x window + burst.
+class ExactTokenBucket {
  public:
-  Window(quota::MilliUnits rate, quota::MilliUnits burst)
-      : rate_(rate), depth_(burst * kFine), level_(depth_) {}
+  ExactTokenBucket(quota::MilliUnits rate, quota::MilliUnits burst)
+      : rate_(rate), depth_(burst * kFineUnitsPerMilliUnit), level_(depth_) {}
 
-  // Units that the admission is over by; it counts either way.
-  double Admit(const Admission& admission) {
+  // Charges the admission even if it does not fit. Returns by how many units the bucket is overdrawn.
+  double ForceCharge(const Admission& admission) {
     Fill(admission.at);
-    level_ -= admission.cost * kFine;
-    return level_ < 0 ? static_cast<double>(-level_) / (static_cast<double>(kFine) * quota::kUnit) : 0;
+    level_ -= admission.cost * kFineUnitsPerMilliUnit;
+    return level_ < 0
+               ? static_cast<double>(-level_) / (static_cast<double>(kFineUnitsPerMilliUnit) * quota::kUnit)
+               : 0;
   }
-  // Whether it would have been within.
-  bool Offer(const Admission& admission) {
+  // Charges the admission if it fits and returns whether it did.
+  bool TryCharge(const Admission& admission) {
     Fill(admission.at);
-    if (admission.cost * kFine > level_) return false;
-    level_ -= admission.cost * kFine;
+    if (admission.cost * kFineUnitsPerMilliUnit > level_) return false;
+    level_ -= admission.cost * kFineUnitsPerMilliUnit;
     return true;
   }
 
  private:
-  static constexpr std::int64_t kFine = 1'000'000'000;
+  static constexpr std::int64_t kFineUnitsPerMilliUnit = 1'000'000'000;
   void Fill(Moment at) {
     const std::int64_t ns = (at - last_).count();
     level_ = ns > (depth_ - level_) / rate_ ? depth_ : level_ + ns * rate_;
@@ -58,18 +63,19 @@
   Moment last_{0};
 };
 
-// The largest overspend over all windows that begin and end with an admission; `admissions` in their order.
+// Returns the largest overspend of all windows that begin and end with an admission. `admissions` must be in
+// the order of time.
 inline std::optional<Overspend> FindOverspend(const std::vector<Admission>& admissions,
                                               quota::MilliUnits rate, quota::MilliUnits burst) {
-  Window window(rate, burst);
+  ExactTokenBucket bucket(rate, burst);
   std::optional<Overspend> worst;
   for (const Admission& admission : admissions) {
-    const double over = window.Admit(admission);
-    if (over > 0 && (!worst || over > worst->over)) worst = Overspend{Moment(0), admission.at, over};
+    const double excess = bucket.ForceCharge(admission);
+    if (excess > 0 && (!worst || excess > worst->excess)) worst = Overspend{Moment(0), admission.at, excess};
   }
   if (!worst) return worst;
-  // The window that it was over by the most in.
-  double sum = 0, most = 0;
+  // Find the beginning of the window with the largest excess. It ends at worst->to.
+  double sum = 0, largest_excess = 0;
   for (auto it = admissions.rbegin(); it != admissions.rend(); ++it) {
     if (it->at > worst->to) continue;
     sum += static_cast<double>(it->cost) / quota::kUnit;
@@ -77,8 +83,8 @@
         (static_cast<double>(rate) * std::chrono::duration<double>(worst->to - it->at).count() +
          static_cast<double>(burst)) /
         quota::kUnit;
-    if (sum - allowed <= most) continue;
-    most = sum - allowed;
+    if (sum - allowed <= largest_excess) continue;
+    largest_excess = sum - allowed;
     worst->from = it->at;
   }
   return worst;
--- a/model/quota/scale/baselines.h
+++ b/model/quota/scale/baselines.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Other ways to keep a partner's budget, for the same requests: the budget divided evenly by gateways; one
-// central counter that is asked for each request; and an all-knowing gate, which no real one beats.
+// Limiters that quotas are compared with for the same requests. One divides the budget evenly among the
+// gateways. The other is a central counter that decides on each request. The ideal limiter, which admits as
+// much as any limiter can, is ExactTokenBucket (model/quota/overspend_check.h).
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_BASELINES_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SCALE_BASELINES_H_
 
@@ -15,42 +16,45 @@
 
 namespace load_balancer::model::scale {
 
-// Each gateway has its part of rate and burst, from the start on, and whole.
+// Gives each gateway an equal part of the rate and burst. Its bucket is full at the start.
 class StaticDivision {
  public:
   StaticDivision(const quota::Budget& budget, std::size_t gateways)
       : rate_(budget.rate / static_cast<quota::MilliUnits>(gateways)),
         burst_(budget.burst / static_cast<quota::MilliUnits>(gateways)) {}
-  bool Offer(std::size_t gateway, Moment at) {
+  // Charges one request at the gateway if it fits and returns whether it did.
+  bool TryCharge(std::size_t gateway, Moment at) {
     if (rate_ <= 0) return false;
-    return windows_.try_emplace(gateway, rate_, burst_).first->second.Offer({at, quota::kUnit});
+    return buckets_.try_emplace(gateway, rate_, burst_).first->second.TryCharge({at, quota::kUnit});
   }
 
  private:
   quota::MilliUnits rate_, burst_;
-  std::map<std::size_t, Window> windows_;
+  std::map<std::size_t, ExactTokenBucket> buckets_;  // by gateway
 };
 
-// A counter at the holder of the partner's duty, as far as the holder lives, is known and can be reached. A
-// new holder knows nothing of what was spent, and begins empty. Requests are counted in the order in which
-// they came in; only the time of the way is added up.
+// A central counter at the holder of the partner's allocator lease. It rejects requests while the holder is
+// down, unknown or unreachable. A new holder does not know what was spent, so its bucket is empty at the
+// start. Requests are counted in the order in which they arrive at the gateways; the caller accounts for the
+// network delay.
 class CentralCounter {
  public:
   explicit CentralCounter(const quota::Budget& budget)
-      : budget_(budget), window_(budget.rate, budget.burst) {}
-  bool Offer(Moment at, const std::optional<std::size_t>& holder) {
+      : budget_(budget), bucket_(budget.rate, budget.burst) {}
+  // Charges one request at `holder`, which is empty if it cannot be reached. Returns whether it is admitted.
+  bool TryCharge(Moment at, const std::optional<std::size_t>& holder) {
     if (!holder) return false;
     if (holder_ && *holder_ != *holder) {
-      window_ = Window(budget_.rate, budget_.burst);
-      window_.Admit({at, budget_.burst});
+      bucket_ = ExactTokenBucket(budget_.rate, budget_.burst);
+      bucket_.ForceCharge({at, budget_.burst});
     }
     holder_ = holder;
-    return window_.Offer({at, quota::kUnit});
+    return bucket_.TryCharge({at, quota::kUnit});
   }
 
  private:
   const quota::Budget budget_;
-  Window window_;
+  ExactTokenBucket bucket_;
   std::optional<std::size_t> holder_;
 };
 
--- a/model/quota/scale/clients.h
+++ b/model/quota/scale/clients.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The clients of one gateway: for each partner with traffic here a Poisson process of requests.
+// The clients of one gateway: a Poisson process of requests for each partner with traffic at the gateway.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_CLIENTS_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SCALE_CLIENTS_H_
 
@@ -19,6 +19,7 @@
 
 using PartnerId = std::uint32_t;
 
+// The requests that clients send to one gateway.
 class Clients {
  public:
   struct Arrival {
@@ -26,27 +27,27 @@
     PartnerId partner = 0;
   };
 
-  // Requests of `partner` come at `per_s` (over 0) in [from, until), beside what comes already. A process is
-  // a function of `seed`.
+  // Adds requests of `partner` in [from, until) at the rate `per_s`, which must be over 0. Requests that were
+  // added before are kept. `seed` determines the arrival times.
   void Add(PartnerId partner, double per_s, Moment from, Moment until, std::uint64_t seed) {
     Stream stream{from, until, partner, per_s,
                   std::minstd_rand(static_cast<std::uint32_t>(seed ^ seed >> 32))};
     stream.random.discard(3);
-    Put(std::move(stream));
+    PushNext(std::move(stream));
   }
-  // Of the next request; Moment::max(): none is to come.
+  // Returns the time of the next request; Moment::max() if there is none.
   Moment Next() const { return streams_.empty() ? Moment::max() : streams_.front().next; }
-  // The next request, if it comes by `now`.
+  // Removes and returns the next request if it arrives by `now`.
   std::optional<Arrival> Take(Moment now) {
     if (Next() > now) return std::nullopt;
     std::pop_heap(streams_.begin(), streams_.end(), std::greater<>());
     Stream stream = std::move(streams_.back());
     streams_.pop_back();
     const Arrival arrival{stream.next, stream.partner};
-    Put(std::move(stream));
+    PushNext(std::move(stream));
     return arrival;
   }
-  // All processes go on at `other`.
+  // Moves all streams of requests to the clients of another gateway.
   void MoveTo(Clients* other) {
     for (Stream& stream : streams_) other->Push(std::move(stream));
     streams_.clear();
@@ -61,7 +62,8 @@
     bool operator>(const Stream& other) const { return next > other.next; }
   };
 
-  void Put(Stream stream) {
+  // Draws the stream's next arrival and pushes the stream, unless it has ended.
+  void PushNext(Stream stream) {
     const double gap = std::exponential_distribution<>(stream.per_s)(stream.random);
     stream.next += std::max(
         Moment(1), std::chrono::duration_cast<Moment>(std::chrono::duration<double>(std::min(gap, 1e6))));
@@ -72,7 +74,7 @@
     std::push_heap(streams_.begin(), streams_.end(), std::greater<>());
   }
 
-  std::vector<Stream> streams_;
+  std::vector<Stream> streams_;  // a heap with the earliest arrival in front
 };
 
 }  // namespace load_balancer::model::scale
--- a/model/quota/scale/fairness.h
+++ b/model/quota/scale/fairness.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How evenly a budget was shared among gateways.
+// Measures how evenly a budget was shared among gateways.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_FAIRNESS_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SCALE_FAIRNESS_H_
 
@@ -9,15 +9,15 @@
 
 namespace load_balancer::model::scale {
 
-// Max-min fair shares of `capacity`, none over its demand.
-inline std::vector<double> MaxMin(double capacity, const std::vector<double>& demands) {
+// Returns the max-min fair shares of `capacity`. No share exceeds its demand.
+inline std::vector<double> MaxMinShares(double capacity, const std::vector<double>& demands) {
   std::vector<double> sorted = demands;
   std::sort(sorted.begin(), sorted.end());
-  double level = 0, left = capacity;
+  double level = 0, remaining = capacity;
   for (std::size_t i = 0; i < sorted.size(); ++i) {
-    level = std::max(left, 0.0) / static_cast<double>(sorted.size() - i);
+    level = std::max(remaining, 0.0) / static_cast<double>(sorted.size() - i);
     if (sorted[i] >= level) break;
-    left -= sorted[i];
+    remaining -= sorted[i];
     level = sorted[i];
   }
   std::vector<double> shares;
@@ -25,18 +25,19 @@
   return shares;
 }
 
-// Jain's index of what each got against its max-min fair share of all that was got: 1 where all got the same
-// part of their share, 1 / n where one of n got all. Those without a share do not count; 1 if nobody counts.
-inline double JainIndex(const std::vector<double>& got, const std::vector<double>& demands) {
-  double all = 0;
-  for (const double one : got) all += one;
-  const std::vector<double> fair = MaxMin(all, demands);
+// Returns Jain's fairness index of the ratios of `received` to the max-min fair shares of the received total.
+// The index is 1 if all received the same fraction of their share, and 1 / n if one of n received everything.
+// Entries whose share is 0 do not count. Returns 1 if no entry counts.
+inline double JainIndex(const std::vector<double>& received, const std::vector<double>& demands) {
+  double total = 0;
+  for (const double amount : received) total += amount;
+  const std::vector<double> fair_shares = MaxMinShares(total, demands);
   double sum = 0, squares = 0, count = 0;
-  for (std::size_t i = 0; i < got.size(); ++i) {
-    if (fair[i] <= 0) continue;
-    const double part = got[i] / fair[i];
-    sum += part;
-    squares += part * part;
+  for (std::size_t i = 0; i < received.size(); ++i) {
+    if (fair_shares[i] <= 0) continue;
+    const double ratio = received[i] / fair_shares[i];
+    sum += ratio;
+    squares += ratio * ratio;
     ++count;
   }
   return squares > 0 ? sum * sum / (count * squares) : 1;
--- a/model/quota/scale/gateway_cluster.cpp
+++ b/model/quota/scale/gateway_cluster.cpp
@@ -12,20 +12,21 @@
 using nlohmann::json;
 
 constexpr std::size_t kLeaseBytes = 120;
-// Of a datagram beside the payload: sender, channel and IP and UDP headers.
-constexpr std::size_t kEnvelope = 120;
-constexpr std::uint64_t kTimedCharges = 16;  // one of so many is timed, as a clock costs as much as a charge
+// The bytes of a datagram beside its payload: sender, channel, and IP and UDP headers.
+constexpr std::size_t kDatagramOverheadBytes = 120;
+// One charge of this many is timed, because reading the clock costs as much as a charge.
+constexpr std::uint64_t kChargesPerTiming = 16;
 
-struct Wire {
+struct WireMessage {
   std::size_t allocator = 0;
   std::variant<quota::AllocationRequest, quota::AllocationResponse, fleet::LeaseMessage> message;
 };
 
 template <typename Message>
 std::size_t BytesOf(std::size_t allocator, const Message& message) {
-  return kEnvelope + json::to_msgpack(json{{quota::kAllocatorKey, allocator},
-                                           {quota::kRequestKey, quota::ToJson(message)}})
-                         .size();
+  return kDatagramOverheadBytes + json::to_msgpack(json{{quota::kAllocatorKey, allocator},
+                                                        {quota::kRequestKey, quota::ToJson(message)}})
+                                      .size();
 }
 std::size_t EntriesOf(const quota::AllocationRequest& request) {
   return request.grant_requests.size() + request.acks.size();
@@ -36,45 +37,46 @@
 
 }  // namespace
 
-class Crowd::Program final : public model::Program {
+class GatewayCluster::Program final : public model::Program {
  public:
-  Program(Crowd& all, Host& host, std::size_t number)
-      : all_(all),
+  Program(GatewayCluster& cluster, Host& host, std::size_t number)
+      : cluster_(cluster),
         host_(host),
         number_(number),
-        incarnation_(++all.incarnations_),
-        account_({SiteName(all.SiteOf(number)), all.options_.per_site, incarnation_, all.options_.allocators,
-                  all.options_.timings},
-                 all.budgets_, host.Now()) {
-    if (!all.candidate_[number]) return;
-    leases_.emplace(host, incarnation_, number, all.voters_, all.options_.allocators, all.options_.timings,
-                    all.holders_, [&host](const Endpoint& to, const fleet::LeaseMessage& message) {
-                      host.Send(to, Wire{0, message}, kLeaseBytes);
+        incarnation_(++cluster.last_incarnation_),
+        account_({SiteName(cluster.SiteOf(number)), cluster.options_.per_site, incarnation_,
+                  cluster.options_.allocators, cluster.options_.timings},
+                 cluster.budgets_, host.Now()) {
+    if (!cluster.is_candidate_[number]) return;
+    leases_.emplace(host, incarnation_, number, cluster.voters_, cluster.options_.allocators,
+                    cluster.options_.timings, cluster.holders_,
+                    [&host](const Endpoint& to, const fleet::LeaseMessage& message) {
+                      host.Send(to, WireMessage{0, message}, kLeaseBytes);
                     });
-    for (std::size_t i = 0; i < all.options_.allocators; ++i)
+    for (std::size_t i = 0; i < cluster.options_.allocators; ++i)
       allocators_.emplace_back(
-          quota::AllocatorOptions{i, all.options_.allocators, all.layout_, all.options_.timings},
-          all.budgets_);
+          quota::AllocatorOptions{i, cluster.options_.allocators, cluster.layout_, cluster.options_.timings},
+          cluster.budgets_);
   }
 
   void Receive(const Packet& packet) override {
     Serve();
-    const auto& wire = std::any_cast<const Wire&>(*packet.content);
+    const auto& wire = std::any_cast<const WireMessage&>(*packet.content);
     if (const auto* response = std::get_if<quota::AllocationResponse>(&wire.message)) {
-      const double begin = all_.Processor();
+      const double begin = cluster_.CpuSeconds();
       quota::AccountActions actions;
       account_.OnResponse(host_.Now(), wire.allocator, *response, &actions);
-      Act(actions);
-      all_.Timed(begin, &all_.gateway_costs_.rest_s);
+      Execute(actions);
+      cluster_.AddCpuTime(begin, &cluster_.gateway_costs_.other_cpu_s);
     } else if (const auto* request = std::get_if<quota::AllocationRequest>(&wire.message)) {
       const auto proof = leases_ ? leases_->ProveLease(wire.allocator) : std::nullopt;
       if (!proof) return;
-      const double begin = all_.Processor();
+      const double begin = cluster_.CpuSeconds();
       quota::AllocatorActions actions;
       allocators_[wire.allocator].OnRequest(
-          host_.Now(), *proof, all_.names_[all_.by_address_.at(packet.from)], *request, &actions);
-      Act(wire.allocator, actions);
-      all_.Timed(begin, &all_.allocator_costs_.rest_s);
+          host_.Now(), *proof, cluster_.names_[cluster_.by_address_.at(packet.from)], *request, &actions);
+      Execute(wire.allocator, actions);
+      cluster_.AddCpuTime(begin, &cluster_.allocator_costs_.other_cpu_s);
     } else if (leases_) {
       leases_->Receive(packet.from, std::get<fleet::LeaseMessage>(wire.message));
     }
@@ -86,26 +88,26 @@
     for (std::size_t i = 0; i < allocators_.size(); ++i) {
       const auto proof = allocators_[i].Next() <= now ? leases_->ProveLease(i) : std::nullopt;
       if (!proof) continue;
-      const double begin = all_.Processor();
+      const double begin = cluster_.CpuSeconds();
       quota::AllocatorActions actions;
       allocators_[i].Tick(now, *proof, &actions);
-      Act(i, actions);
-      all_.Timed(begin, &all_.allocator_costs_.rest_s);
+      Execute(i, actions);
+      cluster_.AddCpuTime(begin, &cluster_.allocator_costs_.other_cpu_s);
     }
     Serve();
     if (account_.Next() > now) return;
-    const double begin = all_.Processor();
+    const double begin = cluster_.CpuSeconds();
     quota::AccountActions actions;
     account_.Tick(now, &actions);
-    Act(actions);
-    all_.Timed(begin, &all_.gateway_costs_.rest_s);
+    Execute(actions);
+    cluster_.AddCpuTime(begin, &cluster_.gateway_costs_.other_cpu_s);
   }
 
   Time Next() const override {
     Time next = account_.Next();
     if (leases_) next = std::min(next, leases_->Next());
-    const Moment arrival = all_.clients_[number_].Next();
-    if (arrival != Moment::max()) next = std::min(next, all_.clocks_[number_].At(arrival));
+    const Moment arrival = cluster_.clients_[number_].Next();
+    if (arrival != Moment::max()) next = std::min(next, cluster_.clocks_[number_].At(arrival));
     for (std::size_t i = 0; i < allocators_.size(); ++i)
       if (leases_->ProveLease(i)) next = std::min(next, allocators_[i].Next());
     return next;
@@ -114,15 +116,17 @@
  private:
   void Serve() {
     const Moment true_now = host_.True();
-    while (const auto arrival = all_.clients_[number_].Take(true_now)) {
-      const Time at = all_.clocks_[number_].At(arrival->at);
-      const bool timed = ++all_.gateway_costs_.charges % kTimedCharges == 0;
-      const double begin = timed ? all_.Processor() : 0;
-      const quota::ChargeResult charged = account_.Charge(at, all_.partners_[arrival->partner], 1);
+    while (const auto arrival = cluster_.clients_[number_].Take(true_now)) {
+      const Time at = cluster_.clocks_[number_].At(arrival->at);
+      const bool timed = ++cluster_.gateway_costs_.charges % kChargesPerTiming == 0;
+      const double begin = timed ? cluster_.CpuSeconds() : 0;
+      const quota::ChargeResult charged = account_.Charge(at, cluster_.partners_[arrival->partner], 1);
       if (timed)
-        all_.gateway_costs_.charges_s += (all_.Processor() - begin) * static_cast<double>(kTimedCharges);
-      all_.offered_[arrival->partner].push_back({arrival->at, static_cast<std::uint32_t>(number_),
-                                                 charged.verdict == quota::ChargeVerdict::kWithinBudget});
+        cluster_.gateway_costs_.charge_cpu_s +=
+            (cluster_.CpuSeconds() - begin) * static_cast<double>(kChargesPerTiming);
+      cluster_.requests_[arrival->partner].push_back(
+          {arrival->at, static_cast<std::uint32_t>(number_),
+           charged.verdict == quota::ChargeVerdict::kWithinBudget});
     }
   }
 
@@ -132,42 +136,43 @@
     ++costs->messages;
     costs->bytes += bytes;
     costs->entries += EntriesOf(message);
-    host_.Send(all_.addresses_[to], Wire{allocator, message}, bytes);
+    host_.Send(cluster_.addresses_[to], WireMessage{allocator, message}, bytes);
   }
 
-  void Act(const quota::AccountActions& actions) {
+  void Execute(const quota::AccountActions& actions) {
     for (const quota::AccountAction& action : actions)
       if (const auto* send = std::get_if<quota::SendRequest>(&action))
-        if (const auto holder = all_.holders_.At(send->allocator, all_.world_.now()))
-          Send(*holder, send->allocator, send->request, &all_.gateway_costs_);
+        if (const auto holder = cluster_.holders_.HolderAt(send->allocator, cluster_.world_.now()))
+          Send(*holder, send->allocator, send->request, &cluster_.gateway_costs_);
   }
 
-  void Act(std::size_t allocator, const quota::AllocatorActions& actions) {
+  void Execute(std::size_t allocator, const quota::AllocatorActions& actions) {
     for (const quota::AllocatorAction& action : actions)
       if (const auto* send = std::get_if<quota::SendResponse>(&action))
-        Send(all_.by_name_.at(send->gateway), allocator, send->response, &all_.allocator_costs_);
+        Send(cluster_.by_name_.at(send->gateway), allocator, send->response, &cluster_.allocator_costs_);
   }
 
-  Crowd& all_;
+  GatewayCluster& cluster_;
   Host& host_;
   const std::size_t number_;
   const std::uint64_t incarnation_;
   quota::Account account_;
   std::vector<quota::Allocator> allocators_;
-  std::optional<LeaseMember> leases_;
+  std::optional<QuotaLeaseMember> leases_;
 };
 
-Crowd::Crowd(const CrowdOptions& options, std::shared_ptr<const quota::Budgets> budgets)
+GatewayCluster::GatewayCluster(const GatewayClusterOptions& options,
+                               std::shared_ptr<const quota::Budgets> budgets)
     : options_(options), budgets_(std::move(budgets)), world_(options.seed) {
   const std::size_t count = options.sites * options.per_site;
   constexpr int kTrials = 1000;
-  const double begin = Processor();
-  for (int i = 0; i < kTrials; ++i) Processor();
-  clock_s_ = (Processor() - begin) / (kTrials + 1);
+  const double begin = CpuSeconds();
+  for (int i = 0; i < kTrials; ++i) CpuSeconds();
+  clock_read_s_ = (CpuSeconds() - begin) / (kTrials + 1);
   for (const auto& [partner, budget] : budgets_->partners) partners_.push_back(partner);
-  offered_.resize(partners_.size());
+  requests_.resize(partners_.size());
   clients_.resize(count);
-  candidate_.resize(count);
+  is_candidate_.resize(count);
   for (std::size_t i = 0; i < count; ++i) {
     names_.push_back(std::string(1, 'g').append(std::to_string(i)));
     addresses_.emplace_back(boost::asio::ip::address_v4(static_cast<std::uint32_t>(0x0a000000 + i + 1)),
@@ -178,18 +183,19 @@
     world_.network().Place(i, SiteOf(i));
   }
   for (std::size_t i = 0; i < std::min(options.candidates, count); ++i)
-    candidate_[i % options.sites * options.per_site + i / options.sites] = true;
+    is_candidate_[i % options.sites * options.per_site + i / options.sites] = true;
   for (std::size_t site = 0; site < std::min<std::size_t>(options.sites, 5); ++site)
     voters_.push_back(addresses_[site * options.per_site]);
-  Link wide;
-  wide.least = options.wide_least;
-  wide.most = options.wide_most;
-  world_.network().SetWide(wide);
-  const double apart = options.clocks_apart * std::chrono::duration<double>(options.timings.clock_drift) /
-                       std::chrono::duration<double>(options.timings.lease_term);
+  Link intersite;
+  intersite.least = options.min_intersite_delay;
+  intersite.most = options.max_intersite_delay;
+  world_.network().SetWide(intersite);
+  const double max_rate_error = options.clock_error *
+                                std::chrono::duration<double>(options.timings.clock_drift) /
+                                std::chrono::duration<double>(options.timings.lease_term);
   for (std::size_t i = 0; i < count; ++i) {
     MachineClock clock;
-    clock.rate = 1 + apart * std::uniform_real_distribution<>(-1, 1)(world_.random());
+    clock.rate = 1 + max_rate_error * std::uniform_real_distribution<>(-1, 1)(world_.random());
     clock.offset = std::chrono::hours(1 + i % 7);
     clocks_.push_back(clock);
     world_.Add(
@@ -198,12 +204,12 @@
   }
 }
 
-Crowd::~Crowd() = default;
+GatewayCluster::~GatewayCluster() = default;
 
-// A stall of no length: the world asks again when the program is due.
-void Crowd::Wake(std::size_t gateway) { world_.Stall(gateway, Moment(0)); }
+// Uses a stall of zero length, after which the world calls Next of the program again.
+void GatewayCluster::Wake(std::size_t gateway) { world_.Stall(gateway, Moment(0)); }
 
-void Crowd::Crash(std::size_t gateway) {
+void GatewayCluster::Crash(std::size_t gateway) {
   world_.Crash(gateway);
   const std::size_t first = SiteOf(gateway) * options_.per_site;
   const std::size_t next = first + (gateway - first + 1) % options_.per_site;
@@ -211,14 +217,14 @@
   Wake(next);
 }
 
-std::vector<std::vector<Offered>> Crowd::TakeOffered() {
-  std::vector<std::vector<Offered>> taken(partners_.size());
-  taken.swap(offered_);
+std::vector<std::vector<ChargedRequest>> GatewayCluster::TakeRequests() {
+  std::vector<std::vector<ChargedRequest>> taken(partners_.size());
+  taken.swap(requests_);
   return taken;
 }
 
-std::optional<std::size_t> Crowd::Holder(std::size_t allocator) {
-  const auto holder = holders_.At(allocator, world_.now());
+std::optional<std::size_t> GatewayCluster::Holder(std::size_t allocator) {
+  const auto holder = holders_.HolderAt(allocator, world_.now());
   return holder && world_.program(*holder) ? holder : std::nullopt;
 }
 
--- a/model/quota/scale/gateway_cluster.h
+++ b/model/quota/scale/gateway_cluster.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Many gateways under many partners' clients, in virtual time: each with its account of quotas, and some that
-// may come to be allocators. What goes between them is packed as on the wire.
+// A cluster of many gateways with clients of many partners, in virtual time. Each gateway has its account of
+// quotas, and some can become holders of allocators' leases. The sizes of messages are those of the wire
+// format.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_GATEWAY_CLUSTER_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SCALE_GATEWAY_CLUSTER_H_
 
@@ -20,54 +21,57 @@
 
 namespace load_balancer::model::scale {
 
-struct CrowdOptions {
+// The size of a cluster, its clocks and its network.
+struct GatewayClusterOptions {
   std::uint64_t seed = 1;
-  std::size_t sites = 3, per_site = 3;
+  std::size_t sites = 3, per_site = 3;  // per_site: the number of gateways of a site
   std::size_t allocators = 4;
-  std::size_t candidates = 9;  // gateways that ask for the allocators' leases, one a site in turn
+  std::size_t candidates = 9;  // gateways that request the allocators' leases, spread over the sites
   quota::Timings timings;
-  double (*processor_s)() = nullptr;  // processor time of this thread so far; null: costs are not timed
-  double clocks_apart = 0.001;        // of what the drift allows
-  Moment wide_least = std::chrono::milliseconds(8),
-         wide_most = std::chrono::milliseconds(15);  // between sites
+  double (*cpu_seconds)() = nullptr;  // returns the CPU time of this thread; null: costs are not measured
+  double clock_error = 0.001;         // largest clock error as a fraction of the allowed drift
+  // The range of the network delay between sites, one way.
+  Moment min_intersite_delay = std::chrono::milliseconds(8),
+         max_intersite_delay = std::chrono::milliseconds(15);
 };
 
-// One request as it was offered and judged.
-struct Offered {
+// One request and whether its gateway admitted it.
+struct ChargedRequest {
   Moment at;
   std::uint32_t gateway = 0;
-  bool inside = false;
+  bool admitted = false;
 };
 
-// Of all gateways, or of all allocators, together.
+// The costs of all gateways or of all allocators.
 struct Costs {
-  std::uint64_t messages = 0, bytes = 0;  // sent
-  std::uint64_t entries = 0;  // grant requests, acks, grants, recalls and reserved minimums in them
+  std::uint64_t messages = 0, bytes = 0;  // messages sent and their total size
+  std::uint64_t entries = 0;  // grant requests, acks, grants, recalls and reserved minimums in the messages
   std::uint64_t charges = 0;
-  double charges_s = 0, rest_s = 0;  // processor time in the classes: charging; all else
+  double charge_cpu_s = 0, other_cpu_s = 0;  // CPU time of charges, and of all other calls
 };
 
-class Crowd {
+// The cluster and its virtual world.
+class GatewayCluster {
  public:
-  Crowd(const CrowdOptions& options, std::shared_ptr<const quota::Budgets> budgets);
-  ~Crowd();
+  GatewayCluster(const GatewayClusterOptions& options, std::shared_ptr<const quota::Budgets> budgets);
+  ~GatewayCluster();
 
   World& world() { return world_; }
-  const CrowdOptions& options() const { return options_; }
+  const GatewayClusterOptions& options() const { return options_; }
   std::size_t size() const { return names_.size(); }
   static std::string SiteName(std::size_t site) { return std::string(1, 's').append(std::to_string(site)); }
   std::size_t SiteOf(std::size_t gateway) const { return gateway / options_.per_site; }
   const std::string& partner(PartnerId id) const { return partners_[id]; }
 
   Clients& clients(std::size_t gateway) { return clients_[gateway]; }
-  // After its clients got a change that may come before what it waits for.
+  // Makes the gateway check again when it is due. Call it after a change of its clients.
   void Wake(std::size_t gateway);
-  // Its clients go to the next gateway of its site.
+  // Crashes the gateway. Its clients move to the next gateway of its site.
   void Crash(std::size_t gateway);
 
-  // Requests since the last call, of each partner, in order.
-  std::vector<std::vector<Offered>> TakeOffered();
-  // The machine that holds the duty as others see it, while it runs.
+  // Returns the requests since the last call, by partner, in the order of time.
+  std::vector<std::vector<ChargedRequest>> TakeRequests();
+  // Returns the machine that is known as the holder of the allocator's lease. Returns nothing if it is down.
   std::optional<std::size_t> Holder(std::size_t allocator);
 
   const Costs& gateways() const { return gateway_costs_; }
@@ -77,13 +81,13 @@
  private:
   class Program;
   friend class Program;
-  // A measurement's own cost is taken off.
-  void Timed(double begin, double* sum, double times = 1) const {
-    *sum += times * (Processor() - begin - clock_s_);
+  // Adds the CPU time since `begin` to `sum`, without the time that reading the CPU clock takes.
+  void AddCpuTime(double begin, double* sum, double times = 1) const {
+    *sum += times * (CpuSeconds() - begin - clock_read_s_);
   }
-  double Processor() const { return options_.processor_s ? options_.processor_s() : 0; }
+  double CpuSeconds() const { return options_.cpu_seconds ? options_.cpu_seconds() : 0; }
 
-  const CrowdOptions options_;
+  const GatewayClusterOptions options_;
   const std::shared_ptr<const quota::Budgets> budgets_;
   World world_;
   std::vector<std::string> names_, partners_;
@@ -93,13 +97,13 @@
   quota::SiteLayout layout_;
   std::vector<MachineClock> clocks_;
   std::vector<Endpoint> voters_;
-  std::vector<bool> candidate_;
-  Holders holders_;
-  std::vector<Clients> clients_;
-  std::vector<std::vector<Offered>> offered_;
+  std::vector<bool> is_candidate_;  // by gateway
+  RoleHolders holders_;
+  std::vector<Clients> clients_;                       // by gateway
+  std::vector<std::vector<ChargedRequest>> requests_;  // by partner
   Costs gateway_costs_, allocator_costs_;
-  double clock_s_ = 0;
-  std::uint64_t incarnations_ = 0;
+  double clock_read_s_ = 0;  // how long it takes to read the CPU clock
+  std::uint64_t last_incarnation_ = 0;
 };
 
 }  // namespace load_balancer::model::scale
--- a/model/quota/scale/run.cpp
+++ b/model/quota/scale/run.cpp
@@ -17,7 +17,8 @@
 using std::chrono::seconds;
 
 constexpr Moment kStep = milliseconds(100);
-constexpr Moment kShiftEvery = seconds(5), kSettles = seconds(2);
+constexpr Moment kShiftInterval = seconds(5);
+constexpr Moment kSettlingTime = seconds(2);  // after a shift; not measured
 
 std::string PartnerName(std::size_t number) { return std::string(1, 'p').append(std::to_string(number)); }
 
@@ -26,22 +27,24 @@
   budgets->revision = 1;
   for (std::size_t i = 0; i < options.partners; ++i) {
     quota::Budget& budget = budgets->partners[PartnerName(i)];
-    budget.rate = std::llround(options.per_s * static_cast<double>(options.active)) * kUnit;
+    budget.rate =
+        std::llround(options.rate_per_gateway * static_cast<double>(options.gateways_per_partner)) * kUnit;
     budget.burst = std::llround(static_cast<double>(budget.rate) * options.burst_s);
     const auto minimum = static_cast<MilliUnits>(
         static_cast<double>(budget.rate) * options.reserved_minimums / static_cast<double>(options.sites));
     std::map<std::string, MilliUnits> minimums;
-    for (std::size_t site = 0; site < options.sites; ++site) minimums[Crowd::SiteName(site)] = minimum;
+    for (std::size_t site = 0; site < options.sites; ++site)
+      minimums[GatewayCluster::SiteName(site)] = minimum;
     budget.reserved_minimums = minimums;
-    if (quota::ReservedMinimumOf(budget, Crowd::SiteName(0), options.per_site).depth < kUnit)
+    if (quota::ReservedMinimumOf(budget, GatewayCluster::SiteName(0), options.per_site).depth < kUnit)
       budget.reserved_minimums.clear();
   }
   return budgets;
 }
 
-// All that is kept of one partner.
-struct Kept {
-  Kept(const quota::Budget& budget, std::size_t gateways)
+// The limiters and counts of one partner.
+struct PartnerRecord {
+  PartnerRecord(const quota::Budget& budget, std::size_t gateways)
       : rate(budget.rate),
         exact(budget.rate, budget.burst),
         ideal(budget.rate, budget.burst),
@@ -49,195 +52,207 @@
         central(budget) {}
 
   struct Count {
-    double asked = 0;
-    std::array<double, kWays> got{};
+    double requests = 0;
+    std::array<double, kLimiterCount> admitted{};
   };
 
   MilliUnits rate;
-  Window exact, ideal;
+  ExactTokenBucket exact;  // charged with each admitted request, to find an excess
+  ExactTokenBucket ideal;
   StaticDivision divided;
   CentralCounter central;
-  bool counts = true;
+  bool is_measured = true;
   std::map<std::uint32_t, Count> by_gateway;
 };
 
-class Play {
+// One run.
+class Runner {
  public:
-  explicit Play(const RunOptions& options)
+  explicit Runner(const RunOptions& options)
       : options_(options),
         budgets_(BudgetsOf(options)),
-        crowd_(OptionsOf(options), budgets_),
+        cluster_(OptionsOf(options), budgets_),
         random_(options.seed * 7919 + 1) {
-    std::vector<std::uint32_t> all(crowd_.size());
+    std::vector<std::uint32_t> all(cluster_.size());
     std::iota(all.begin(), all.end(), 0u);
     for (PartnerId p = 0; p < options.partners; ++p) {
-      accounts_.emplace_back(budgets_->partners.at(crowd_.partner(p)), crowd_.size());
-      std::vector<std::uint32_t> at;
-      std::sample(all.begin(), all.end(), std::back_inserter(at), options.active, random_);
-      std::shuffle(at.begin(), at.end(), random_);
-      places_.push_back(std::move(at));
+      records_.emplace_back(budgets_->partners.at(cluster_.partner(p)), cluster_.size());
+      std::vector<std::uint32_t> gateways;
+      std::sample(all.begin(), all.end(), std::back_inserter(gateways), options.gateways_per_partner,
+                  random_);
+      std::shuffle(gateways.begin(), gateways.end(), random_);
+      gateways_of_.push_back(std::move(gateways));
     }
   }
 
-  Figures All() {
+  RunResult Run() {
     const bool moves = options_.scenario == Scenario::kMoving || options_.scenario == Scenario::kShifts;
-    if (!moves) Load(0, 1, Moment(0), options_.warm + 3 * options_.counted);
-    Until(options_.warm);
-    if (options_.scenario == Scenario::kDeath) {
-      Begin();
-      Until(options_.warm + options_.counted);
-      for (const Kept& kept : accounts_) {
-        if (!kept.counts) continue;
-        for (const auto& [gateway, count] : kept.by_gateway) {
-          figures_.spent_before += count.got[kProduct];
-          figures_.ideal_before += count.got[kIdeal];
+    if (!moves) AddLoad(0, 1, Moment(0), options_.warmup + 3 * options_.measured);
+    RunUntil(options_.warmup);
+    if (options_.scenario == Scenario::kHolderCrash) {
+      StartMeasuring();
+      RunUntil(options_.warmup + options_.measured);
+      for (const PartnerRecord& record : records_) {
+        if (!record.is_measured) continue;
+        for (const auto& [gateway, count] : record.by_gateway) {
+          result_.admitted_before += count.admitted[kProduct];
+          result_.ideal_before += count.admitted[kIdeal];
         }
       }
-      Kill();
+      CrashHolder();
     }
-    const Moment from = crowd_.world().now();
-    if (options_.scenario == Scenario::kPartition) Cut(from + options_.counted / 2);
-    Begin();
-    Until(from + options_.counted);
-    Sum();
-    figures_.gateways = crowd_.gateways();
-    figures_.allocators = crowd_.allocators();
-    figures_.seconds = std::chrono::duration<double>(options_.counted).count();
-    return figures_;
+    const Moment from = cluster_.world().now();
+    if (options_.scenario == Scenario::kPartition) PartitionSites(from + options_.measured / 2);
+    StartMeasuring();
+    RunUntil(from + options_.measured);
+    Summarize();
+    result_.gateways = cluster_.gateways();
+    result_.allocators = cluster_.allocators();
+    result_.seconds = std::chrono::duration<double>(options_.measured).count();
+    return result_;
   }
 
  private:
-  static CrowdOptions OptionsOf(const RunOptions& options) {
-    CrowdOptions crowd;
-    crowd.seed = options.seed;
-    crowd.sites = options.sites;
-    crowd.per_site = options.per_site;
-    crowd.allocators = options.allocators;
-    crowd.processor_s = options.processor_s;
-    return crowd;
+  static GatewayClusterOptions OptionsOf(const RunOptions& options) {
+    GatewayClusterOptions cluster;
+    cluster.seed = options.seed;
+    cluster.sites = options.sites;
+    cluster.per_site = options.per_site;
+    cluster.allocators = options.allocators;
+    cluster.cpu_seconds = options.cpu_seconds;
+    return cluster;
   }
 
-  // Each partner's demand at the gateways of its part `part` of `parts`, falling from the first to the last.
-  void Load(std::size_t part, std::size_t parts, Moment from, Moment until) {
+  // Divides each partner's gateways into `parts`, and puts the partner's demand on the gateways of one part.
+  // The demand decreases from the first gateway of the part to the last.
+  void AddLoad(std::size_t part, std::size_t parts, Moment from, Moment until) {
     for (PartnerId p = 0; p < options_.partners; ++p) {
-      const std::vector<std::uint32_t>& all = places_[p];
-      std::vector<std::uint32_t> at;
+      const std::vector<std::uint32_t>& all = gateways_of_[p];
+      std::vector<std::uint32_t> selected;
       for (std::size_t i = 0; i < all.size(); ++i)
-        if (i % parts == part % parts) at.push_back(all[i]);
+        if (i % parts == part % parts) selected.push_back(all[i]);
       double weights = 0;
-      for (std::size_t i = 0; i < at.size(); ++i) weights += Weight(i);
-      const double demand = options_.demand[p % 2] * static_cast<double>(accounts_[p].rate) / kUnit;
-      for (std::size_t i = 0; i < at.size(); ++i)
-        crowd_.clients(at[i]).Add(p, demand * Weight(i) / weights, from, until, random_());
+      for (std::size_t i = 0; i < selected.size(); ++i) weights += Weight(i);
+      const double demand = options_.demand[p % 2] * static_cast<double>(records_[p].rate) / kUnit;
+      for (std::size_t i = 0; i < selected.size(); ++i)
+        cluster_.clients(selected[i]).Add(p, demand * Weight(i) / weights, from, until, random_());
     }
-    for (std::size_t gateway = 0; gateway < crowd_.size(); ++gateway) crowd_.Wake(gateway);
+    for (std::size_t gateway = 0; gateway < cluster_.size(); ++gateway) cluster_.Wake(gateway);
   }
   static double Weight(std::size_t rank) { return 1 / std::sqrt(static_cast<double>(rank + 1)); }
 
-  void Until(Moment end) {
-    while (crowd_.world().now() < end) {
-      const Moment now = crowd_.world().now();
+  void RunUntil(Moment end) {
+    while (cluster_.world().now() < end) {
+      const Moment now = cluster_.world().now();
       if (options_.scenario == Scenario::kMoving && now % seconds(1) == Moment(0))
-        Load(static_cast<std::size_t>(now / seconds(1)), 3, now, now + seconds(1));
-      if (options_.scenario == Scenario::kShifts && now % kShiftEvery == Moment(0))
-        Load(static_cast<std::size_t>(now / kShiftEvery), 3, now, now + kShiftEvery);
+        AddLoad(static_cast<std::size_t>(now / seconds(1)), 3, now, now + seconds(1));
+      if (options_.scenario == Scenario::kShifts && now % kShiftInterval == Moment(0))
+        AddLoad(static_cast<std::size_t>(now / kShiftInterval), 3, now, now + kShiftInterval);
       std::vector<std::optional<std::size_t>> holders;
-      for (std::size_t i = 0; i < options_.allocators; ++i) holders.push_back(crowd_.Holder(i));
-      crowd_.world().RunUntil(now + kStep);
-      const bool settling = options_.scenario == Scenario::kShifts && now % kShiftEvery < kSettles;
-      const auto offered = crowd_.TakeOffered();
-      for (PartnerId p = 0; p < offered.size(); ++p)
-        Judge(accounts_[p], offered[p], holders[quota::AllocatorOf(crowd_.partner(p), options_.allocators)],
-              counting_ && !settling);
+      for (std::size_t i = 0; i < options_.allocators; ++i) holders.push_back(cluster_.Holder(i));
+      cluster_.world().RunUntil(now + kStep);
+      const bool is_settling = options_.scenario == Scenario::kShifts && now % kShiftInterval < kSettlingTime;
+      const auto requests = cluster_.TakeRequests();
+      for (PartnerId p = 0; p < requests.size(); ++p)
+        Evaluate(records_[p], requests[p],
+                 holders[quota::AllocatorOf(cluster_.partner(p), options_.allocators)],
+                 is_measuring_ && !is_settling);
     }
   }
 
-  void Judge(Kept& kept, const std::vector<Offered>& offered, const std::optional<std::size_t>& holder,
-             bool counting) {
-    for (const Offered& one : offered) {
-      const bool reached =
-          holder && (*holder == one.gateway || crowd_.world().network().Connected(one.gateway, *holder));
-      std::array<bool, kWays> through{};
-      through[kProduct] = one.inside;
-      through[kStatic] = kept.divided.Offer(one.gateway, one.at);
-      through[kCentral] = kept.central.Offer(one.at, reached ? holder : std::nullopt);
-      through[kIdeal] = kept.ideal.Offer({one.at, kUnit});
-      if (one.inside) figures_.over = std::max(figures_.over, kept.exact.Admit({one.at, kUnit}));
-      if (!counting || !kept.counts) continue;
-      Kept::Count& count = kept.by_gateway[one.gateway];
-      ++count.asked;
-      for (std::size_t way = 0; way < kWays; ++way) {
-        count.got[way] += through[way];
-        figures_.refused_in_error[way] += through[kIdeal] && !through[way];
+  // Applies all limiters to the requests of a partner. Counts the results if `measure` is true.
+  void Evaluate(PartnerRecord& record, const std::vector<ChargedRequest>& requests,
+                const std::optional<std::size_t>& holder, bool measure) {
+    for (const ChargedRequest& request : requests) {
+      const bool is_reachable = holder && (*holder == request.gateway ||
+                                           cluster_.world().network().Connected(request.gateway, *holder));
+      std::array<bool, kLimiterCount> admitted{};
+      admitted[kProduct] = request.admitted;
+      admitted[kStatic] = record.divided.TryCharge(request.gateway, request.at);
+      admitted[kCentral] = record.central.TryCharge(request.at, is_reachable ? holder : std::nullopt);
+      admitted[kIdeal] = record.ideal.TryCharge({request.at, kUnit});
+      if (request.admitted)
+        result_.excess = std::max(result_.excess, record.exact.ForceCharge({request.at, kUnit}));
+      if (!measure || !record.is_measured) continue;
+      PartnerRecord::Count& count = record.by_gateway[request.gateway];
+      ++count.requests;
+      for (std::size_t limiter = 0; limiter < kLimiterCount; ++limiter) {
+        count.admitted[limiter] += admitted[limiter];
+        result_.wrongly_rejected[limiter] += admitted[kIdeal] && !admitted[limiter];
       }
-      if (!reached) {
-        ++figures_.unanswered;
-      } else if (crowd_.SiteOf(*holder) != crowd_.SiteOf(one.gateway)) {
-        const CrowdOptions& wide = crowd_.options();
-        figures_.way_ms +=
-            std::chrono::duration<double, std::milli>(wide.wide_least + wide.wide_most).count();
+      if (!is_reachable) {
+        ++result_.central_unreachable;
+      } else if (cluster_.SiteOf(*holder) != cluster_.SiteOf(request.gateway)) {
+        const GatewayClusterOptions& cluster = cluster_.options();
+        result_.central_delay_ms += std::chrono::duration<double, std::milli>(cluster.min_intersite_delay +
+                                                                              cluster.max_intersite_delay)
+                                        .count();
       }
     }
   }
 
-  void Begin() {
-    counting_ = true;
-    for (Kept& kept : accounts_) kept.by_gateway.clear();
-    figures_.refused_in_error = {};
-    figures_.way_ms = figures_.unanswered = 0;
-    crowd_.ClearCosts();
+  void StartMeasuring() {
+    is_measuring_ = true;
+    for (PartnerRecord& record : records_) record.by_gateway.clear();
+    result_.wrongly_rejected = {};
+    result_.central_delay_ms = result_.central_unreachable = 0;
+    cluster_.ClearCosts();
   }
 
-  void Sum() {
+  // Adds the counts of all measured partners to the result.
+  void Summarize() {
     double weights = 0;
-    for (const Kept& kept : accounts_) {
-      if (!kept.counts) continue;
-      figures_.budget += static_cast<double>(kept.rate) / kUnit;
+    for (const PartnerRecord& record : records_) {
+      if (!record.is_measured) continue;
+      result_.budget += static_cast<double>(record.rate) / kUnit;
       std::vector<double> demands;
-      for (const auto& [gateway, count] : kept.by_gateway) demands.push_back(count.asked);
-      const double asked = std::accumulate(demands.begin(), demands.end(), 0.0);
-      figures_.asked += asked;
-      weights += asked;
-      for (std::size_t way = 0; way < kWays; ++way) {
-        std::vector<double> got;
-        for (const auto& [gateway, count] : kept.by_gateway) got.push_back(count.got[way]);
-        figures_.spent[way] += std::accumulate(got.begin(), got.end(), 0.0);
-        figures_.fairness[way] += asked * JainIndex(got, demands);
+      for (const auto& [gateway, count] : record.by_gateway) demands.push_back(count.requests);
+      const double requests = std::accumulate(demands.begin(), demands.end(), 0.0);
+      result_.requests += requests;
+      weights += requests;
+      for (std::size_t limiter = 0; limiter < kLimiterCount; ++limiter) {
+        std::vector<double> admitted;
+        for (const auto& [gateway, count] : record.by_gateway) admitted.push_back(count.admitted[limiter]);
+        result_.admitted[limiter] += std::accumulate(admitted.begin(), admitted.end(), 0.0);
+        result_.fairness[limiter] += requests * JainIndex(admitted, demands);
       }
     }
-    for (double& fairness : figures_.fairness) fairness /= std::max(weights, 1.0);
-    figures_.way_ms /= std::max(figures_.asked - figures_.unanswered, 1.0);
+    for (double& fairness : result_.fairness) fairness /= std::max(weights, 1.0);
+    result_.central_delay_ms /= std::max(result_.requests - result_.central_unreachable, 1.0);
   }
 
-  // The holder of the first partner's duty; only the partners of its duties count from now on.
-  void Kill() {
-    const auto dead = crowd_.Holder(quota::AllocatorOf(crowd_.partner(0), options_.allocators));
-    if (!dead) return;
+  // Crashes the holder of the first partner's lease. From now on only the partners of its leases are
+  // measured.
+  void CrashHolder() {
+    const auto crashed = cluster_.Holder(quota::AllocatorOf(cluster_.partner(0), options_.allocators));
+    if (!crashed) return;
     for (PartnerId p = 0; p < options_.partners; ++p)
-      accounts_[p].counts = crowd_.Holder(quota::AllocatorOf(crowd_.partner(p), options_.allocators)) == dead;
-    crowd_.Crash(*dead);
+      records_[p].is_measured =
+          cluster_.Holder(quota::AllocatorOf(cluster_.partner(p), options_.allocators)) == crashed;
+    cluster_.Crash(*crashed);
   }
 
-  void Cut(Moment until) {
+  // Cuts the last third of the sites off from the others until `until`.
+  void PartitionSites(Moment until) {
     Network::Machines others, last;
-    for (std::size_t i = 0; i < crowd_.size(); ++i)
-      (crowd_.SiteOf(i) >= options_.sites - options_.sites / 3 ? last : others).push_back(i);
-    const Network::Id cut = crowd_.world().network().Partition({others, last});
-    crowd_.world().At(until, [this, cut] { crowd_.world().network().End(cut); });
+    for (std::size_t i = 0; i < cluster_.size(); ++i)
+      (cluster_.SiteOf(i) >= options_.sites - options_.sites / 3 ? last : others).push_back(i);
+    const Network::Id cut = cluster_.world().network().Partition({others, last});
+    cluster_.world().At(until, [this, cut] { cluster_.world().network().End(cut); });
   }
 
   const RunOptions options_;
   const std::shared_ptr<const quota::Budgets> budgets_;
-  Crowd crowd_;
+  GatewayCluster cluster_;
   std::mt19937_64 random_;
-  std::vector<Kept> accounts_;
-  std::vector<std::vector<std::uint32_t>> places_;  // of each partner
-  Figures figures_;
-  bool counting_ = false;
+  std::vector<PartnerRecord> records_;
+  std::vector<std::vector<std::uint32_t>> gateways_of_;  // the gateways with traffic, by partner
+  RunResult result_;
+  bool is_measuring_ = false;
 };
 
 }  // namespace
 
-Figures Run(const RunOptions& options) { return Play(options).All(); }
+RunResult Run(const RunOptions& options) { return Runner(options).Run(); }
 
 }  // namespace load_balancer::model::scale
--- a/model/quota/scale/run.h
+++ b/model/quota/scale/run.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One run of many gateways and partners, and how quotas fared in it beside the other ways to keep a budget.
+// Runs many gateways and partners, and compares quotas with the other limiters.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_RUN_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SCALE_RUN_H_
 
@@ -11,46 +11,55 @@
 
 namespace load_balancer::model::scale {
 
+// How demand or the cluster changes during a run.
 enum class Scenario {
-  kSteady,     // uneven, and the same all the time
-  kMoving,     // each second all of a partner's demand goes to another third of its gateways
-  kShifts,     // the same each 5 s, counted from 2 s after each
-  kDeath,      // the holder of a duty dies; of the partners of its duties
-  kPartition,  // the last third of the sites is cut off from the others for the first half
+  kSteady,       // demand is uneven and constant
+  kMoving,       // each second, all demand of a partner moves to another third of its gateways
+  kShifts,       // the same every 5 s; the first 2 s after each shift are not measured
+  kHolderCrash,  // the holder of a lease crashes; only the partners of its leases are measured
+  kPartition,    // the last third of the sites is cut off from the others during the first half
 };
 
+// The options of a run.
 struct RunOptions {
   Scenario scenario = Scenario::kSteady;
   std::size_t sites = 3, per_site = 3, partners = 3, allocators = 4;
-  std::size_t active = 9;                  // gateways that a partner has traffic at
-  double per_s = 20;                       // of a partner's budget for each of these
-  double burst_s = 2;                      // of the budget's rate
-  double reserved_minimums = 0.3;          // of the budget, where a gateway's part is one request or more
-  std::array<double, 2> demand{1.5, 0.7};  // of the budget, of every other partner
-  Moment warm = std::chrono::seconds(12);
-  Moment counted = std::chrono::seconds(20);
+  std::size_t gateways_per_partner = 9;  // gateways at which a partner has traffic
+  double rate_per_gateway = 20;          // a partner's budget per second, for each of these gateways
+  double burst_s = 2;                    // the burst, in seconds of the budget's rate
+  // Fraction of the budget that is reserved, if a gateway's part has a depth of at least one request.
+  double reserved_minimums = 0.3;
+  std::array<double, 2> demand{1.5,
+                               0.7};  // as a fraction of the budget, of partners with even and odd numbers
+  Moment warmup = std::chrono::seconds(12);
+  Moment measured = std::chrono::seconds(20);
   std::uint64_t seed = 1;
-  double (*processor_s)() = nullptr;  // as of Crowd
+  double (*cpu_seconds)() = nullptr;  // see GatewayClusterOptions
 };
 
-// By the product, the static division, the central counter and the all-knowing gate.
-enum Way : std::size_t { kProduct, kStatic, kCentral, kIdeal, kWays };
-
-struct Figures {
-  double over = 0;  // requests of the worst partner over rate x window + burst, all windows from the start on
-  double asked = 0;
-  std::array<double, kWays> spent{};             // requests let through
-  std::array<double, kWays> refused_in_error{};  // refused, and the all-knowing gate lets them through
-  std::array<double, kWays> fairness{};          // Jain's index, mean of partners by their demand
-  double budget = 0;                             // a second, of all partners that count
-  double spent_before = 0, ideal_before = 0;     // in as much time before the count began
-  double way_ms = 0;                             // that the central counter adds to a request, mean
-  double unanswered = 0;                         // requests that found no central counter
-  Costs gateways, allocators;                    // in the count's time
-  double seconds = 0;                            // of the count
+// The limiters that are compared: the product, the static division, the central counter and the ideal
+// limiter.
+enum Limiter : std::size_t { kProduct, kStatic, kCentral, kIdeal, kLimiterCount };
+
+// The measurements of a run.
+struct RunResult {
+  // The largest excess of a partner over rate x window + burst, in requests, of all windows since the start.
+  double excess = 0;
+  double requests = 0;                                   // number of requests
+  std::array<double, kLimiterCount> admitted{};          // admitted requests, by limiter
+  std::array<double, kLimiterCount> wrongly_rejected{};  // rejected, though the ideal limiter admits them
+  std::array<double, kLimiterCount> fairness{};          // Jain's index, mean of partners weighted by demand
+  double budget = 0;                                     // per second, of all measured partners
+  double admitted_before = 0,
+         ideal_before = 0;         // requests admitted in a period of equal length before the crash
+  double central_delay_ms = 0;     // mean delay that the central counter adds to a request
+  double central_unreachable = 0;  // requests that could not reach the central counter
+  Costs gateways, allocators;      // during the measured time
+  double seconds = 0;              // the measured time
 };
 
-Figures Run(const RunOptions& options);
+// Runs a scenario and returns the measurements.
+RunResult Run(const RunOptions& options);
 
 }  // namespace load_balancer::model::scale
 
--- a/model/quota/search.h
+++ b/model/quota/search.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A search for a run in which gateways together admit more than a partner's budget.
+// Searches for a run in which the gateways together admit more than a partner's budget.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SEARCH_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SEARCH_H_
 
@@ -13,22 +13,27 @@
 
 namespace load_balancer::model {
 
-// A scenario is a function of its seed (model/quota/scenario.h): small bursts, clients that spend all that an
-// account lets through and save up before, demand that moves, clocks at the ends of what the drift allows,
-// grants up to as long as a lease may be, credits, messages that come late and twice, leases and addresses
-// given away, and faults. In two of five the budgets change in service, gateway by gateway, and no process
-// restarts; in another fifth all gateways restart at once.
+// The seed determines the scenario of a run (model/quota/scenario.h). Bursts are small, clients let accounts
+// fill and then spend all that these admit, and demand moves between gateways. Clocks err by up to the
+// allowed drift, grants last up to as long as a lease allows, and some charges are credited. Messages are
+// delayed and duplicated, leases and addresses are handed excess, and faults occur. In two of five seeds the
+// budgets are reloaded, gateway by gateway, and no process restarts. In another fifth of the seeds all
+// gateways restart at once.
+
+// An overspent budget.
 struct QuotaFinding {
   std::uint64_t seed = 0;
   std::string partner;
-  double over = 0;   // units over the bound
-  std::string text;  // of the window
+  double excess = 0;  // units in excess of the budget
+  std::string text;   // a description of the time window
 };
 
-std::vector<Fault> QuotaFaults(std::uint64_t seed);
+// Returns the faults of the seed's scenario.
+std::vector<Fault> DrawQuotaFaults(std::uint64_t seed);
 
-// Plays 20 s of the seed's scenario with these faults. Every window of every length is checked.
-std::optional<QuotaFinding> PlayQuota(std::uint64_t seed, const std::vector<Fault>& faults);
+// Runs the seed's scenario for 20 s with the given faults, and checks all windows of all lengths. Returns the
+// first overspent budget, or nothing.
+std::optional<QuotaFinding> RunQuotaScenario(std::uint64_t seed, const std::vector<Fault>& faults);
 
 }  // namespace load_balancer::model
 
--- a/model/quota/spender.h
+++ b/model/quota/spender.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The worst clients that a gateway can have: they spend whatever an account lets through as soon as it does,
-// or save it up and spend it at once, so that nothing given too much stays unspent.
+// The worst-case clients of a gateway. They spend all that an account admits as soon as it admits it, or they
+// let the account fill and then spend it at once. Every excess allocation therefore becomes an overspend.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SPENDER_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SPENDER_H_
 
@@ -15,25 +15,28 @@
 
 namespace load_balancer::model {
 
-struct Greed {
-  bool on = false;
-  Span step = std::chrono::milliseconds(4);       // between two looks at an account
-  double cost = 0.5;                              // units of a request; then an eighth of it for what is left
-  double probe = 1;                               // of one more that is refused and so tells demand
-  double credited = 0;                            // share of what is let through that proves not to have run
-  Span proven = std::chrono::milliseconds(1500);  // by then
+// The behaviour of a spender.
+struct SpenderOptions {
+  bool enabled = false;
+  Span interval = std::chrono::milliseconds(4);  // between two series of charges
+  double request_cost = 0.5;     // units of a request; the rest of an account is spent in eighths of that
+  double probe_cost = 1;         // units of the last request of a series, whose rejection signals demand
+  double credited_fraction = 0;  // fraction of admitted requests that prove not to have run
+  Span max_proof_delay = std::chrono::milliseconds(1500);  // the longest time from a charge to its credit
 };
 
-// At one gateway's process. Moments are of its clock.
+// The clients of one gateway's process. All times are readings of its clock.
 class Spender {
  public:
-  // Of each charge: its partner and units, whether it was inside, and whether it ran.
-  using Tell = std::function<void(const std::string& partner, double units, bool inside, bool ran)>;
+  // Called for each charge with its partner, its cost, whether it was admitted, and whether the request ran.
+  using ChargeCallback =
+      std::function<void(const std::string& partner, double units, bool admitted, bool ran)>;
 
-  Spender(const Greed& greed, std::uint64_t seed, Time now, Tell tell)
-      : greed_(greed), random_(seed), next_(now), tell_(std::move(tell)) {}
+  Spender(const SpenderOptions& options, std::uint64_t seed, Time now, ChargeCallback on_charge)
+      : options_(options), random_(seed), next_(now), on_charge_(std::move(on_charge)) {}
 
-  // Spends of each partner at each account, unless they save; gives back what proved not to have run.
+  // Credits the requests that are now proven not to have run. Unless `saving`, spends all that each account
+  // admits for each partner.
   void Serve(Time now, const std::vector<quota::Account*>& accounts, const std::vector<std::string>& partners,
              bool saving);
   Time Next() const { return next_; }
@@ -41,16 +44,17 @@
  private:
   bool Spend(Time now, quota::Account& account, const std::string& partner, double units);
 
-  struct Unproven {
-    Time at;
+  // A charge of a request that did not run, to be credited at `credit_at`.
+  struct PendingCredit {
+    Time credit_at;
     quota::Account* account;
     quota::ChargeReceipt receipt;
   };
-  const Greed greed_;
+  const SpenderOptions options_;
   std::mt19937_64 random_;
   Time next_;
-  const Tell tell_;
-  std::vector<Unproven> unproven_;
+  const ChargeCallback on_charge_;
+  std::vector<PendingCredit> pending_credits_;
 };
 
 }  // namespace load_balancer::model
