--- a/tests/quota/account_test.cpp
+++ b/tests/quota/account_test.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::uint64_t kIncarnation = 77;
 
-// 60 requests a second for all, a sixth of them one gateway's reserved minimum; clocks are taken to be exact.
-std::shared_ptr<Budgets> Sample(std::uint64_t revision = 1, MilliUnits minimum = 20 * kUnit) {
+// A budget of 60 requests per second. A sixth of it is the reserved minimum of one gateway.
+std::shared_ptr<Budgets> SampleBudgets(std::uint64_t revision = 1, MilliUnits minimum = 20 * kUnit) {
   auto budgets = std::make_shared<Budgets>();
   budgets->revision = revision;
   budgets->partners["isar"] = {
@@ -25,9 +25,9 @@
 class AccountTest : public testing::Test {
  protected:
   static constexpr MilliUnits kMinimum = 10 * kUnit;
-  AccountTest() : account_({"muc", 2, kIncarnation, 1, TimingsOf()}, Sample(), At(0)) {}
+  AccountTest() : account_({"muc", 2, kIncarnation, 1, ExactClockTimings()}, SampleBudgets(), At(0)) {}
 
-  static Timings TimingsOf() {
+  static Timings ExactClockTimings() {
     Timings timings;
     timings.clock_drift = milliseconds(0);
     return timings;
@@ -35,11 +35,11 @@
   static Time At(int ms) { return Time(milliseconds(1'000'000 + ms)); }
 
   ChargeVerdict Charge(int ms) { return account_.Charge(At(ms), "isar", 1).verdict; }
-  // How many fit at once.
-  int Level(int ms) {
-    int fit = 0;
-    while (Charge(ms) == ChargeVerdict::kWithinBudget) ++fit;
-    return fit;
+  // Charges as many requests as fit at once and returns their number.
+  int ChargeAll(int ms) {
+    int charged = 0;
+    while (Charge(ms) == ChargeVerdict::kWithinBudget) ++charged;
+    return charged;
   }
   std::vector<AllocationRequest> Tick(int ms) {
     AccountActions actions;
@@ -62,7 +62,7 @@
     return {kIncarnation, 1, token, false, {{"isar", request_number, number, {rate, 2 * rate}, 2000}},
             {},           {}};
   }
-  // Makes the account request a grant at `ms`. Returns the number of the request.
+  // Makes the account request a grant at `ms` and returns the request's number.
   std::uint64_t RequestGrant(int ms) {
     Charge(ms);
     const auto requests = Tick(ms);
@@ -73,58 +73,58 @@
   Account account_;
 };
 
-TEST_F(AccountTest, ANewIncarnationHasNoReservedMinimumUntilALentOneIsBack) {
-  EXPECT_EQ(Level(1999), 0);
+TEST_F(AccountTest, UsesNoReservedMinimumWhileAnEarlierIncarnationMayHaveLentIt) {
+  EXPECT_EQ(ChargeAll(1999), 0);
   EXPECT_EQ(account_.Charge(At(1999), "isar", 1).retry_after, milliseconds(101));
-  EXPECT_EQ(Level(2500), 5);
+  EXPECT_EQ(ChargeAll(2500), 5);
   EXPECT_EQ(account_.Charge(At(2500), "isar", 1).retry_after, milliseconds(100));
-  EXPECT_EQ(Level(60'000), 20);  // the reserved minimum's portion of the burst
+  EXPECT_EQ(ChargeAll(60'000), 20);  // the depth of the reserved minimum
   EXPECT_EQ(account_.Charge(At(0), "lech", 1).verdict, ChargeVerdict::kNoBudget);
 }
 
-TEST_F(AccountTest, AGrantCountsFromItsRequestAndLendsTheReservedMinimumUntilItsExpiry) {
-  Level(3000);  // more than the reserved minimum is enough for
+TEST_F(AccountTest, CountsTheLifetimeOfAGrantFromItsRequestAndLendsTheReservedMinimumUntilItsExpiry) {
+  ChargeAll(3000);  // empties the bucket, so that demand exceeds the reserved minimum
   const std::uint64_t request_number = RequestGrant(3000);
-  Level(3500);
+  ChargeAll(3500);
   const auto acks = OnResponse(3500, GrantOf(request_number, 1, 2 * kUnit));
   ASSERT_EQ(acks.size(), 1u);
   EXPECT_EQ(acks[0].acks.at(0).grant, (GrantId{1, 1}));
   EXPECT_EQ(acks[0].acks.at(0).lent_ms, 1500u);
-  EXPECT_EQ(Level(4500), 2);
-  EXPECT_EQ(Level(4999), 0);  // 2 a second since, which is not yet one
-  // The reserved minimum since 5000: one more by it, and one by the grant's last half second.
-  EXPECT_EQ(Level(5101), 2);
+  EXPECT_EQ(ChargeAll(4500), 2);
+  EXPECT_EQ(ChargeAll(4999), 0);  // the grant of 2 per second has not filled one unit
+  // One unit comes from the grant's last half second, and one from the reserved minimum since 5000 ms.
+  EXPECT_EQ(ChargeAll(5101), 2);
 }
 
-TEST_F(AccountTest, OldRepeatedLateAndForeignGrantsChangeNothing) {
+TEST_F(AccountTest, IgnoresOldRepeatedLateAndForeignGrants) {
   const std::uint64_t request_number = RequestGrant(0);
   ASSERT_EQ(OnResponse(10, GrantOf(request_number, 5, 30 * kUnit)).size(), 1u);
-  EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 5, 60 * kUnit)).empty());      // a repeat
-  EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 4, 60 * kUnit)).empty());      // overtaken
-  EXPECT_TRUE(OnResponse(10, GrantOf(request_number + 1, 6, 60 * kUnit)).empty());  // of no request
+  EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 5, 60 * kUnit)).empty());  // repeated
+  EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 4, 60 * kUnit)).empty());  // older than the one in force
+  EXPECT_TRUE(OnResponse(10, GrantOf(request_number + 1, 6, 60 * kUnit)).empty());  // for an unknown request
   AllocationResponse foreign = GrantOf(request_number, 7, 60 * kUnit);
   foreign.incarnation = kIncarnation + 1;
   EXPECT_TRUE(OnResponse(10, foreign).empty());
   AllocationResponse newer = GrantOf(request_number, 8, 60 * kUnit);
   newer.revision = 2;
   EXPECT_TRUE(OnResponse(10, newer).empty());
-  EXPECT_EQ(Level(1010), 30);
-  EXPECT_TRUE(OnResponse(2000, GrantOf(request_number, 9, 60 * kUnit)).empty());  // its time is over
-  // A newer allocator counts anew.
+  EXPECT_EQ(ChargeAll(1010), 30);
+  EXPECT_TRUE(OnResponse(2000, GrantOf(request_number, 9, 60 * kUnit)).empty());  // expired
+  // A newer fencing token starts the numbers of grants again.
   EXPECT_EQ(OnResponse(1020, GrantOf(request_number, 1, 60 * kUnit, 2)).size(), 1u);
 }
 
-TEST_F(AccountTest, RequestsAtOnceWhereDemandShiftsAndNotAtAllWithoutAny) {
+TEST_F(AccountTest, RequestsAGrantAtOnceWhenDemandShiftsAndNoneWithoutDemand) {
   std::vector<int> requested_at;
   std::uint64_t last = 0;
-  // 50 a second for 2 s, then nothing.
+  // 50 requests per second for 2 s, then none.
   for (int ms = 0; ms < 6000; ms += 10) {
     if (ms < 2000 && ms % 20 == 0) Charge(ms);
     if (account_.Next() > At(ms)) continue;
     for (const AllocationRequest& request : Tick(ms)) {
       requested_at.push_back(ms);
       last = request.number;
-      EXPECT_EQ(request.grant_requests.at(0).held.partner, "isar");
+      EXPECT_EQ(request.grant_requests.at(0).held_grant.partner, "isar");
       OnResponse(ms, GrantOf(request.number, request.number, 60 * kUnit));
       EXPECT_TRUE(ms <= 2000 || request.grant_requests[0].demand == 0);
     }
@@ -133,16 +133,16 @@
   EXPECT_EQ(requested_at[0], 0);
   EXPECT_LE(requested_at.size(), 10u);
   EXPECT_GE(requested_at.back(), 2000);
-  EXPECT_LE(requested_at.back(), 2250);  // gives back at once
+  EXPECT_LE(requested_at.back(), 2250);  // reports the end of demand at once
   EXPECT_EQ(account_.Next(), Time::max());
-  // A recall alone makes it request again.
+  // A recall without demand makes the account request again.
   OnResponse(6000, {0, 1, 1, false, {}, {"isar"}, {}});
   EXPECT_EQ(Tick(6000).size(), 1u);
   EXPECT_GT(last, 0u);
 }
 
-TEST_F(AccountTest, RenewsAGrantOfLessThanItsDemand) {
-  // A tenth of the demand, for 10 s: each renewal well before the end, and not each 250 ms.
+TEST_F(AccountTest, RenewsAGrantThatIsSmallerThanTheDemand) {
+  // Grants of a tenth of the demand, for 10 s. Each is renewed well before it expires, but not every 250 ms.
   int answered = 0, unanswered = 0;
   for (int ms = 0; ms < 10'000; ms += 10) {
     if (ms % 50 == 0) Charge(ms);
@@ -154,37 +154,37 @@
     }
   }
   EXPECT_LE(answered, 6000 / 500);
-  EXPECT_GE(unanswered, 6);  // each 250 ms from the renewal on that was not answered
+  EXPECT_GE(unanswered, 6);  // every 250 ms after the first renewal without a response
 }
 
-TEST_F(AccountTest, ACreditComesBackOnlyWhereItWasCharged) {
+TEST_F(AccountTest, CreditsOnlyRequestsThatWereCharged) {
   const ChargeResult charged = account_.Charge(At(2500), "isar", 3);
   ASSERT_EQ(charged.verdict, ChargeVerdict::kWithinBudget);
   account_.Credit(At(2600), charged.receipt);
-  EXPECT_EQ(Level(2600), 6);
+  EXPECT_EQ(ChargeAll(2600), 6);
   const ChargeResult over = account_.Charge(At(2600), "isar", 1);
   account_.Credit(At(2601), over.receipt);
-  EXPECT_EQ(Level(2601), 0);
+  EXPECT_EQ(ChargeAll(2601), 0);
 }
 
-TEST_F(AccountTest, ARaisedReservedMinimumCountsOnceAllGatewaysHaveIt) {
+TEST_F(AccountTest, UsesARaisedReservedMinimumOnceAllGatewaysHaveIt) {
   AccountActions actions;
-  account_.UpdateBudgets(At(30'000), Sample(2, 40 * kUnit), &actions);
-  ASSERT_EQ(Requests(actions).size(),
-            1u);  // tells the new revision, though there is nothing to request_number for
+  account_.UpdateBudgets(At(30'000), SampleBudgets(2, 40 * kUnit), &actions);
+  // The account reports the new revision although it has no grant to request.
+  ASSERT_EQ(Requests(actions).size(), 1u);
   EXPECT_EQ(Requests(actions)[0].revision, 2u);
-  EXPECT_EQ(Level(60'000), 20);
+  EXPECT_EQ(ChargeAll(60'000), 20);
   AllocationResponse agreed{0, 2, 1, true, {}, {}, {}};
   OnResponse(60'000, agreed);
-  EXPECT_EQ(Level(120'000), 40);
-  // A cut counts at once, and before the file is read here where an allocator has it.
+  EXPECT_EQ(ChargeAll(120'000), 40);
+  // A lower minimum applies at once. Here an allocator reports it before this gateway has read the file.
   OnResponse(120'000, {0, 3, 1, false, {}, {}, {{"isar", {kUnit, 2 * kUnit}}}});
-  EXPECT_EQ(Level(180'000), 2);
+  EXPECT_EQ(ChargeAll(180'000), 2);
 }
 
-TEST_F(AccountTest, AfterItRetiredItHasNoReservedMinimumAndRequestsNothing) {
+TEST_F(AccountTest, HasNoReservedMinimumAndRequestsNothingAfterRetiring) {
   account_.Retire(At(5000));
-  EXPECT_EQ(Level(60'000), 0);
+  EXPECT_EQ(ChargeAll(60'000), 0);
   EXPECT_TRUE(Tick(60'000).empty());
 }
 
--- a/tests/quota/bucket_test.cpp
+++ b/tests/quota/bucket_test.cpp
@@ -17,19 +17,19 @@
 
 Time At(std::int64_t ns) { return Time(nanoseconds(ns)); }
 
-TEST(Bucket, StartsEmptyAndFitsFromTheNanosecondOn) {
+TEST(Bucket, StartsEmptyAndAdmitsAChargeFromTheExactNanosecondOn) {
   Bucket bucket(At(0));
-  bucket.SetAllocation(At(0), {3 * kUnit, 2 * kUnit});  // a request each 333,333,333 1/3 ns
+  bucket.SetAllocation(At(0), {3 * kUnit, 2 * kUnit});  // one request per 333,333,333 1/3 ns
   EXPECT_FALSE(bucket.Charge(At(333'333'333), kUnit));
   EXPECT_EQ(bucket.TimeUntilAvailable(At(333'333'333), kUnit), nanoseconds(1));
   EXPECT_TRUE(bucket.Charge(At(333'333'334), kUnit));
-  EXPECT_EQ(bucket.TimeUntilAvailable(At(333'333'334), 3 * kUnit), std::nullopt);  // deeper than it is
+  EXPECT_EQ(bucket.TimeUntilAvailable(At(333'333'334), 3 * kUnit), std::nullopt);  // more than the depth
   EXPECT_TRUE(bucket.Charge(At(10'000'000'000), 2 * kUnit));
   EXPECT_FALSE(bucket.Charge(At(10'000'000'000), 1));
-  EXPECT_FALSE(bucket.Charge(At(0), 1));  // no time gained by an older moment
+  EXPECT_FALSE(bucket.Charge(At(0), 1));  // an earlier time adds nothing
 }
 
-TEST(Bucket, LosesWhatIsOverANewDepth) {
+TEST(Bucket, LosesTokensThatExceedANewDepth) {
   Bucket bucket(At(0));
   bucket.SetAllocation(At(0), {100 * kUnit, 50 * kUnit});
   bucket.SetAllocation(At(1'000'000'000), {1 * kUnit, 5 * kUnit});
@@ -38,27 +38,27 @@
   EXPECT_TRUE(bucket.Charge(At(1'000'000'000), 5 * kUnit));
 }
 
-struct Admitted {
-  std::int64_t at;
+struct AdmittedRequest {
+  std::int64_t at_ns;
   MilliUnits cost;
   bool credited = false;
 };
 
-// In each window that begins and ends with an admission, no more than the allocations that were in force
-// allow. Credits, changes and charges are drawn at random; what was credited does not count.
-TEST(Bucket, NeverLetsAWindowOverItsRateAndDepthWhateverIsCreditedAndChanged) {
+// Charges, credits and changes of the allocation are drawn at random. In every window that begins and ends
+// with an admission, the admitted costs must stay within rate x window + depth. Credited requests do not
+// count.
+TEST(Bucket, KeepsEveryWindowWithinRateAndDepthDespiteCreditsAndChanges) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
     const auto draw = [&](std::int64_t low, std::int64_t high) {
       return std::uniform_int_distribution<std::int64_t>(low, high)(random);
     };
-    // All allocations are of one budget, so depth over rate is the same and the larger allocation bounds the
-    // window.
+    // All allocations have the same ratio of depth to rate, so the largest allocation bounds each window.
     const Allocation allocation{draw(1, 50) * kUnit, draw(1, 20) * kUnit};
     std::int64_t now = 0;
     Bucket bucket(At(0));
     bucket.SetAllocation(At(0), allocation);
-    std::vector<Admitted> admitted;
+    std::vector<AdmittedRequest> admitted;
     for (int i = 0; i < 400; ++i) {
       now += draw(0, 1) ? draw(0, 200'000'000) : draw(0, 2'000'000);
       const MilliUnits cost = draw(1, 3) * kUnit;
@@ -68,10 +68,10 @@
       }
       if (bucket.Charge(At(now), cost)) admitted.push_back({now, cost});
       if (!admitted.empty() && draw(0, 3) == 0) {
-        const auto back = std::min<std::int64_t>(draw(1, 10), std::ssize(admitted));
-        Admitted& one = admitted[admitted.size() - static_cast<std::size_t>(back)];
-        if (!one.credited) bucket.Credit(At(now), At(one.at), one.cost);
-        one.credited = true;
+        const auto distance = std::min<std::int64_t>(draw(1, 10), std::ssize(admitted));
+        AdmittedRequest& target = admitted[admitted.size() - static_cast<std::size_t>(distance)];
+        if (!target.credited) bucket.Credit(At(now), At(target.at_ns), target.cost);
+        target.credited = true;
       }
     }
     for (std::size_t i = 0; i < admitted.size(); ++i) {
@@ -79,14 +79,14 @@
       for (std::size_t j = i; j < admitted.size(); ++j) {
         if (!admitted[j].credited) sum += admitted[j].cost;
         const std::int64_t bound =
-            allocation.rate * (admitted[j].at - admitted[i].at) + allocation.depth * 1'000'000'000;
+            allocation.rate * (admitted[j].at_ns - admitted[i].at_ns) + allocation.depth * 1'000'000'000;
         ASSERT_LE(sum * 1'000'000'000, bound) << "seed " << seed;
       }
     }
   }
 }
 
-TEST(Bucket, TakesBackWhatABusyBucketWasCharged) {
+TEST(Bucket, ReturnsTheWholeChargeToABucketThatWasNeverFull) {
   Bucket bucket(At(0));
   bucket.SetAllocation(At(0), {10 * kUnit, 100 * kUnit});
   ASSERT_TRUE(bucket.Charge(At(1'000'000'000), 10 * kUnit));
@@ -94,7 +94,7 @@
   EXPECT_TRUE(bucket.Charge(At(1'100'000'000), 11 * kUnit));
 }
 
-TEST(Amounts, AllocationsOfABudgetNeverAddUpToMoreThanIt) {
+TEST(Amounts, AllocationsOfABudgetAddUpToNoMoreThanTheBudget) {
   Budget budget{7 * kUnit, 5 * kUnit, Unit::kRequests, OverLimitAction::kMark, {{"muc", 2 * kUnit}}};
   Allocation sum;
   for (int i = 0; i < 3; ++i) sum = sum + AllocationForRate(budget, budget.rate / 3);
@@ -102,11 +102,11 @@
   EXPECT_LE(sum.depth, budget.burst);
   EXPECT_EQ(ReservedMinimumOf(budget, "muc", 3).rate, 666);
   EXPECT_EQ(ReservedMinimumOf(budget, "aug", 3), Allocation{});
-  EXPECT_EQ(SlowedRate(6000, Timings{}), 5806);  // 3000 of 3100, rounded down
+  EXPECT_EQ(SlowedRate(6000, Timings{}), 5806);  // 6000 * 3000 / 3100, rounded down
 }
 
-// By steady Poisson traffic the estimate is near; a shift shows within 200 ms.
-TEST(DemandEstimator, IsQuietWhileSteadyAndNoticesAShiftWithin200Ms) {
+// The estimate of steady Poisson traffic is close to its rate, and follows a shift within 200 ms.
+TEST(DemandEstimator, IsCloseForSteadyTrafficAndFollowsAShiftWithin200Ms) {
   for (const auto& [before, after] : std::vector<std::pair<int, int>>{{200, 1000}, {1000, 0}, {1000, 300}}) {
     std::mt19937_64 random(7);
     DemandEstimator demand;
--- a/tests/quota/commitments_test.cpp
+++ b/tests/quota/commitments_test.cpp
@@ -10,11 +10,11 @@
 
 using std::chrono::milliseconds;
 
-// The totals of many gateways are those of each slot by itself, whatever grants, incarnations and lent
-// minimums there are.
-TEST(Commitments, TotalEachSlotAsItIs) {
+// TotalsBySlot computes the totals of all slots in one pass. They must equal the sums that are computed slot
+// by slot with At, for random grants, incarnations and lent minimums.
+TEST(Commitments, TotalsBySlotEqualTheSumsOfEachSlot) {
   std::mt19937_64 random(1);
-  const auto draw = [&](int least, int most) { return std::uniform_int_distribution<>(least, most)(random); };
+  const auto draw = [&](int low, int high) { return std::uniform_int_distribution<>(low, high)(random); };
   SiteLayout layout;
   for (int i = 0; i < 5; ++i) {
     layout["muc"].insert(std::string(1, 'm').append(std::to_string(i)));
@@ -41,10 +41,10 @@
     const std::vector<Allocation> totals = commitments.TotalsBySlot(now, now + milliseconds(2200), minimums);
     Time begin = commitments.SlotBegin(now);
     for (const Allocation& total : totals) {
-      Allocation each;
+      Allocation sum;
       for (GatewayId gateway = 0; gateway < gateways.size(); ++gateway)
-        each = each + commitments.At(gateway, begin, minimums.Of(gateway));
-      EXPECT_EQ(total, each) << "round " << round;
+        sum = sum + commitments.At(gateway, begin, minimums.Of(gateway));
+      EXPECT_EQ(total, sum) << "round " << round;
       begin += commitments.slot();
     }
     EXPECT_GE(begin, now + milliseconds(2200));
--- a/tests/quota/messages_test.cpp
+++ b/tests/quota/messages_test.cpp
@@ -20,7 +20,7 @@
   return {7, 3, 5, true, {{"isar", 12, 10, {20'000, 40'000}, 2000}}, {"lech"}, {{"lech", {100, 200}}}};
 }
 
-TEST(QuotaMessages, ComeBackAsTheyWere) {
+TEST(QuotaMessages, AreUnchangedAfterEncodingAndDecoding) {
   const json request = ToJson(SampleRequest()), response = ToJson(SampleResponse());
   const auto decoded = AllocationRequestFromJson(request, "a");
   ASSERT_TRUE(decoded) << decoded.error().Text();
@@ -31,8 +31,8 @@
   EXPECT_EQ(ToJson(*decoded_response), response);
 }
 
-// Each of these, put at its place in a message that is right, makes it one that is rejected.
-TEST(QuotaMessages, RejectWhateverIsMalformed) {
+// Each of these values makes a valid message invalid when it is put at the given place.
+TEST(QuotaMessages, AreRejectedIfMalformed) {
   const std::vector<std::pair<const char*, json>> requests{{"/l", -1},
                                                            {"/r", 1.5},
                                                            {"/i", "1"},
@@ -70,15 +70,15 @@
   EXPECT_FALSE(AllocationRequestFromJson(json::array(), "a"));
 }
 
-TEST(QuotaMessages, AreSplitToFitADatagramAndLoseNothing) {
+TEST(QuotaMessages, AreSplitIntoDatagramsWithoutLosingEntries) {
   AllocationRequest request = SampleRequest();
   AllocationResponse response = SampleResponse();
   for (int i = 0; i < 100; ++i) {
     const std::string partner = std::string(static_cast<std::size_t>(i % 60), '"') + std::to_string(i);
-    const std::uint64_t most = UINT64_MAX;
-    request.grant_requests.push_back({{partner, {most, most}, 600'000}, kMaxRate, kMaxBurst});
-    request.acks.push_back({partner, {most, most}, 600'000});
-    response.grants.push_back({partner, most, most, {kMaxRate, kMaxBurst}, 600'000});
+    const std::uint64_t largest = UINT64_MAX;
+    request.grant_requests.push_back({{partner, {largest, largest}, 600'000}, kMaxRate, kMaxBurst});
+    request.acks.push_back({partner, {largest, largest}, 600'000});
+    response.grants.push_back({partner, largest, largest, {kMaxRate, kMaxBurst}, 600'000});
     response.recalls.push_back(partner);
   }
   request.incarnation = request.revision = request.number = response.incarnation = response.revision =
@@ -102,7 +102,7 @@
   EXPECT_TRUE(Split(AllocationRequest{}).empty());
 }
 
-TEST(QuotaMessages, CarryManyPartnersOfUsualFigures) {
+TEST(QuotaMessages, HoldManyPartnersOfUsualValues) {
   AllocationRequest request{1'234'567, 3, 1200, {}, {}};
   for (int i = 0; i < 100; ++i)
     request.grant_requests.push_back({{"partner-" + std::to_string(i), {3, 123'456}, 1875}, 20'000, 1000});
--- a/tests/quota/scale_test.cpp
+++ b/tests/quota/scale_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The bounds of docs/quota.md with many gateways and partners, on the model.
+// Checks the bounds of docs/quota.md in the model, with many gateways and partners.
 #include <gtest/gtest.h>
 
 #include "model/quota/scale/run.h"
@@ -14,31 +14,32 @@
   RunOptions options;
   options.sites = 5;
   options.per_site = 6;
-  options.counted = seconds(4);
+  options.measured = seconds(4);
   return options;
 }
 
-// Small partners, each at few gateways: their noise must not cost their budgets, nor a message each.
-TEST(QuotaScale, SpendsWhatSmallPartnersHaveAndPutsManyIntoAMessage) {
+// Each of many small partners has sparse traffic at a few gateways. The noise of the estimated demand must
+// not leave budget unspent, and the gateways must not send a message per partner.
+TEST(QuotaScale, SpendsTheBudgetsOfSmallPartnersAndBatchesTheirEntries) {
   RunOptions options = Options();
   options.partners = 300;
-  options.active = 3;
-  options.per_s = 2;
-  const Figures figures = scale::Run(options);
-  EXPECT_EQ(figures.over, 0);
-  EXPECT_GE(figures.spent[kProduct], 0.88 * figures.spent[kIdeal]);
-  const double gateway_seconds = 30 * figures.seconds;
-  EXPECT_LT(static_cast<double>(figures.gateways.messages), 30 * gateway_seconds);
-  EXPECT_GT(figures.gateways.entries, 3 * figures.gateways.messages);
+  options.gateways_per_partner = 3;
+  options.rate_per_gateway = 2;
+  const RunResult result = scale::Run(options);
+  EXPECT_EQ(result.excess, 0);
+  EXPECT_GE(result.admitted[kProduct], 0.88 * result.admitted[kIdeal]);
+  const double gateway_seconds = 30 * result.seconds;
+  EXPECT_LT(static_cast<double>(result.gateways.messages), 30 * gateway_seconds);
+  EXPECT_GT(result.gateways.entries, 3 * result.gateways.messages);
 }
 
-TEST(QuotaScale, SpendsAndDividesWhatIsWantedEverywhere) {
+TEST(QuotaScale, SpendsAndDividesBudgetsFairlyWithDemandAtAllGateways) {
   RunOptions options = Options();
-  options.active = 30;
-  const Figures figures = scale::Run(options);
-  EXPECT_EQ(figures.over, 0);
-  EXPECT_GE(figures.spent[kProduct], 0.95 * figures.spent[kIdeal]);
-  EXPECT_GE(figures.fairness[kProduct], 0.97);
+  options.gateways_per_partner = 30;
+  const RunResult result = scale::Run(options);
+  EXPECT_EQ(result.excess, 0);
+  EXPECT_GE(result.admitted[kProduct], 0.95 * result.admitted[kIdeal]);
+  EXPECT_GE(result.fairness[kProduct], 0.97);
 }
 
 }  // namespace
--- a/tests/quota/search.cpp
+++ b/tests/quota/search.cpp
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Plays the seeds FROM to FROM + COUNT - 1 of the search for an overspent budget. Prints the first one that
-// is found, shrunk to the faults that it needs, and ends with 1; says that none was found and ends with 0.
+// Runs the search for an overspent budget with the seeds FROM to FROM + COUNT - 1. If a seed overspends,
+// prints the first one with the faults reduced to those that it needs, and exits with 1. Otherwise prints
+// that there is none and exits with 0.
 #include "model/quota/search.h"
 
 #include <cstdio>
@@ -16,11 +17,11 @@
   if (argc != 3) return std::fprintf(stderr, "usage: quota_search FROM COUNT\n"), 2;
   const std::uint64_t from = std::strtoull(argv[1], nullptr, 10), count = std::strtoull(argv[2], nullptr, 10);
   for (std::uint64_t seed = from; seed < from + count; ++seed) {
-    const auto faults = QuotaFaults(seed);
-    if (!PlayQuota(seed, faults)) continue;
-    const auto needed =
-        Shrink(faults, [&](const std::vector<Fault>& some) { return PlayQuota(seed, some).has_value(); });
-    std::printf("%s\n%s", PlayQuota(seed, needed)->text.c_str(), Write({seed, needed}).c_str());
+    const auto faults = DrawQuotaFaults(seed);
+    if (!RunQuotaScenario(seed, faults)) continue;
+    const auto needed = Shrink(
+        faults, [&](const std::vector<Fault>& subset) { return RunQuotaScenario(seed, subset).has_value(); });
+    std::printf("%s\n%s", RunQuotaScenario(seed, needed)->text.c_str(), Write({seed, needed}).c_str());
     return 1;
   }
   std::printf("none of %llu seeds overspends\n", static_cast<unsigned long long>(count));
--- a/tests/quota/section_test.cpp
+++ b/tests/quota/section_test.cpp
@@ -13,7 +13,7 @@
 
 const SiteLayout kSites{{"muc", {"muc-1", "muc-2"}}, {"aug", {"aug-1"}}};
 
-json Sample() {
+json SampleFile() {
   return {{"quota",
            {{"revision", 7},
             {"treasurers", 4},
@@ -37,8 +37,8 @@
 
 TEST(QuotaSection, ReadsBudgets) {
   std::vector<std::string> faults;
-  const QuotaSection quota = ReadQuota(Sample(), &faults);
-  EXPECT_TRUE(FaultsOf(Sample()).empty());
+  const QuotaSection quota = ReadQuota(SampleFile(), &faults);
+  EXPECT_TRUE(FaultsOf(SampleFile()).empty());
   EXPECT_TRUE(quota.on);
   EXPECT_EQ(quota.budgets.revision, 7u);
   const Budget& budget = quota.budgets.partners.at("isar");
@@ -49,7 +49,7 @@
   EXPECT_TRUE(faults.empty());
 }
 
-TEST(QuotaSection, FindsEachFault) {
+TEST(QuotaSection, ReportsEachFault) {
   const std::vector<std::tuple<const char*, json, const char*>> cases{
       {"/quota/x", 1, "quota.x is no known key"},
       {"/quota/draw_ms", 900, "quota.draw_ms is under 4 times ask_ms"},
@@ -68,7 +68,7 @@
        {{"per_s", 1}, {"burst", 1}},
        "quota.partners.lech is no tenant of the settings"}};
   for (const auto& [place, value, fault] : cases) {
-    json root = Sample();
+    json root = SampleFile();
     root[json::json_pointer(place)] = value;
     const auto faults = FaultsOf(root);
     EXPECT_EQ(std::count(faults.begin(), faults.end(), fault), 1)
@@ -76,8 +76,8 @@
   }
 }
 
-TEST(QuotaSection, ReadsPresentAndFormerKeysAlike) {
-  json root = Sample();
+TEST(QuotaSection, ReadsCurrentAndFormerKeysAlike) {
+  json root = SampleFile();
   root["quota"]["treasurers"] = 3;
   root["quota"]["draw_ms"] = 1500;
   const json present = WithPresentKeys(root);
@@ -96,7 +96,7 @@
   EXPECT_EQ(WithPresentKeys({{"quota", 3}}), json({{"quota", 3}}));
 }
 
-TEST(QuotaSection, NamesPresentKeysInFaults) {
+TEST(QuotaSection, NamesCurrentKeysInFaults) {
   const std::vector<std::tuple<const char*, json, const char*>> cases{
       {"/quota/allocators", 0, "quota.allocators is out of range 1 to 64"},
       {"/quota/grant_lifetime_ms", 900, "quota.grant_lifetime_ms is under 4 times ask_ms"},
@@ -107,20 +107,20 @@
       {"/quota/partners/isar/reserved_minimums/ulm", 1,
        "quota.partners.isar.reserved_minimums.ulm is no site"}};
   for (const auto& [place, value, fault] : cases) {
-    json root = WithPresentKeys(Sample());
+    json root = WithPresentKeys(SampleFile());
     root[json::json_pointer(place)] = value;
     EXPECT_EQ(FaultsOf(root), std::vector<std::string>{fault}) << place;
   }
 }
 
-TEST(QuotaSection, RefusesAKeyGivenByBothItsNames) {
+TEST(QuotaSection, RejectsAKeyGivenByBothNames) {
   const std::vector<std::tuple<const char*, json, const char*>> cases{
       {"/quota/allocators", 4, "quota.allocators is given by its former name treasurers, too"},
       {"/quota/grant_lifetime_ms", 2000, "quota.grant_lifetime_ms is given by its former name draw_ms, too"},
       {"/quota/partners/isar/reserved_minimums", json::object(),
        "quota.partners.isar.reserved_minimums is given by its former name floors, too"}};
   for (const auto& [place, value, fault] : cases) {
-    json root = Sample();
+    json root = SampleFile();
     root[json::json_pointer(place)] = value;
     EXPECT_EQ(FaultsOf(root), std::vector<std::string>{fault}) << place;
   }
--- a/tests/quota/use_test.cpp
+++ b/tests/quota/use_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// How much of a budget is spent where there is demand for it, on the model.
+// Checks in the model how much of a budget is spent when there is demand for it.
 #include <gtest/gtest.h>
 
 #include "model/quota/gateways.h"
@@ -12,80 +12,85 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr double kPerS = 300;
-constexpr Moment kWarm = seconds(12);  // voters that are new keep silent for a term
+constexpr double kRequestsPerSecond = 300;
+constexpr Moment kWarmup = seconds(12);  // new voters do not vote for a lease term
 
-std::shared_ptr<quota::Budgets> Sample(double minimums) {
+// Returns a budget of which the fraction `minimums` is reserved, in equal parts for the sites.
+std::shared_ptr<quota::Budgets> SampleBudgets(double minimums) {
   auto budgets = std::make_shared<quota::Budgets>();
   budgets->revision = 1;
   quota::Budget& budget = budgets->partners["isar"];
-  budget.rate = static_cast<quota::MilliUnits>(kPerS) * kUnit;
+  budget.rate = static_cast<quota::MilliUnits>(kRequestsPerSecond) * kUnit;
   budget.burst = 2 * budget.rate;
   for (const char* site : {"s0", "s1", "s2"})
-    budget.reserved_minimums[site] = static_cast<quota::MilliUnits>(minimums * kPerS / 3) * kUnit;
+    budget.reserved_minimums[site] =
+        static_cast<quota::MilliUnits>(minimums * kRequestsPerSecond / 3) * kUnit;
   return budgets;
 }
 
 GatewaysOptions Options(std::uint64_t seed) {
   GatewaysOptions options;
   options.seed = seed;
-  // Clocks as real ones are: the bound holds for 100 ms over 3 s, of which a thirtieth of the budget is kept.
-  options.clocks_apart = 0.001;
+  // Clocks are as exact as real ones. The allowed drift of 100 ms in 3 s leaves a thirtieth of the budget
+  // unused.
+  options.clock_error = 0.001;
   return options;
 }
 
-void Wide(Gateways& gateways) {
-  Link wide;
-  wide.least = milliseconds(8);
-  wide.most = milliseconds(15);
-  gateways.world().network().SetWide(wide);
+// Sets the network delay between sites.
+void SetIntersiteDelay(Gateways& gateways) {
+  Link link;
+  link.least = milliseconds(8);
+  link.most = milliseconds(15);
+  gateways.world().network().SetWide(link);
 }
 
-// Of the budget, over a span.
-double SpentOver(Gateways& gateways, Moment span) {
+// Runs for `span` and returns the fraction of the budget that was spent.
+double SpentFraction(Gateways& gateways, Moment span) {
   gateways.ClearTallies();
   gateways.world().RunUntil(gateways.world().now() + span);
-  return static_cast<double>(gateways.tallies().at("isar").spent) / kUnit / kPerS /
+  return static_cast<double>(gateways.tallies().at("isar").spent) / kUnit / kRequestsPerSecond /
          std::chrono::duration<double>(span).count();
 }
 
-// All demand moves from one gateway to one of another site, with no reserved minimums, some and many.
+// All demand moves from one gateway to another. The reserved minimums are none, some or most of the budget.
 TEST(QuotaUse, Spends95PercentFrom2SecondsAfterAShift) {
   for (const double minimums : {0.0, 0.4, 0.9})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
-      Gateways gateways(Options(seed), Sample(minimums));
-      Wide(gateways);
-      gateways.SetLoad(0, "isar", 3 * kPerS);
-      gateways.world().RunUntil(kWarm);
+      Gateways gateways(Options(seed), SampleBudgets(minimums));
+      SetIntersiteDelay(gateways);
+      gateways.SetLoad(0, "isar", 3 * kRequestsPerSecond);
+      gateways.world().RunUntil(kWarmup);
       for (const std::size_t to : {4, 8, 1}) {
         for (std::size_t i = 0; i < gateways.size(); ++i)
-          gateways.SetLoad(i, "isar", i == to ? 3 * kPerS : 0);
+          gateways.SetLoad(i, "isar", i == to ? 3 * kRequestsPerSecond : 0);
         gateways.world().RunUntil(gateways.world().now() + seconds(2));
-        EXPECT_GE(SpentOver(gateways, seconds(4)), 0.95) << "minimums " << minimums << " seed " << seed;
+        EXPECT_GE(SpentFraction(gateways, seconds(4)), 0.95) << "minimums " << minimums << " seed " << seed;
       }
     }
 }
 
-TEST(QuotaUse, HasTheReservedMinimumsWithoutAnAllocator) {
-  Gateways gateways(Options(1), Sample(0.6));
-  for (std::size_t i = 0; i < gateways.size(); ++i) gateways.SetLoad(i, "isar", kPerS);
+TEST(QuotaUse, SpendsTheReservedMinimumsWithoutAnAllocator) {
+  Gateways gateways(Options(1), SampleBudgets(0.6));
+  for (std::size_t i = 0; i < gateways.size(); ++i) gateways.SetLoad(i, "isar", kRequestsPerSecond);
   gateways.world().network().SetDefault({1.0});
   gateways.world().RunUntil(milliseconds(2200));
-  EXPECT_NEAR(SpentOver(gateways, seconds(4)), 0.6 * 3000 / 3100, 0.02);
+  EXPECT_NEAR(SpentFraction(gateways, seconds(4)), 0.6 * 3000 / 3100, 0.02);
 }
 
-// Of a minute in which the holder dies and does not come back, against a minute without.
-TEST(QuotaUse, LosesLessThan5PercentOfAMinuteWithAnAllocator) {
+// The holder of the lease crashes and does not restart. The spent fraction of the next minute may be at most
+// 5 percentage points below that of the time before.
+TEST(QuotaUse, LosesLessThan5PercentOfAMinuteWhenTheAllocatorCrashes) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-    Gateways gateways(Options(seed), Sample(0));
-    Wide(gateways);
-    for (const std::size_t i : {1, 4, 7}) gateways.SetLoad(i, "isar", kPerS);
-    gateways.world().RunUntil(kWarm);
-    const double before = SpentOver(gateways, seconds(20));
+    Gateways gateways(Options(seed), SampleBudgets(0));
+    SetIntersiteDelay(gateways);
+    for (const std::size_t i : {1, 4, 7}) gateways.SetLoad(i, "isar", kRequestsPerSecond);
+    gateways.world().RunUntil(kWarmup);
+    const double before = SpentFraction(gateways, seconds(20));
     const auto holder = gateways.Holder(quota::AllocatorOf("isar", 2));
     ASSERT_TRUE(holder);
     gateways.world().Crash(*holder);
-    EXPECT_GE(SpentOver(gateways, seconds(60)), before - 0.05) << "seed " << seed;
+    EXPECT_GE(SpentFraction(gateways, seconds(60)), before - 0.05) << "seed " << seed;
     EXPECT_GE(before, 0.95);
   }
 }
