--- a/model/quota/gateways.cpp
+++ b/model/quota/gateways.cpp
@@ -252,7 +252,7 @@
   budgets_.assign(count, budgets);
   loads_.resize(count);
   for (const auto& [partner, budget] : budgets->partners) {
-    Tally& tally = tallies_[partner];
+    PartnerTally& tally = tallies_[partner];
     tally.requests_by_gateway.resize(count);
     tally.admitted_by_gateway.resize(count);
     ideal_limiters_.emplace(partner, ExactTokenBucket(budget.rate, budget.burst));
@@ -305,7 +305,7 @@
 void Gateways::ClearTallies() {
   const std::size_t count = size();
   for (auto& [partner, tally] : tallies_) {
-    tally = Tally{};
+    tally = PartnerTally{};
     tally.requests_by_gateway.resize(count);
     tally.admitted_by_gateway.resize(count);
   }
@@ -313,7 +313,7 @@
 
 void Gateways::CountRequest(std::size_t gateway, const std::string& partner, Moment at,
                             quota::MilliUnits cost, bool admitted, bool ran) {
-  Tally& tally = tallies_.at(partner);
+  PartnerTally& tally = tallies_.at(partner);
   ++tally.requests_by_gateway[gateway];
   const bool ideal_admits = ideal_limiters_.at(partner).TryCharge({at, cost});
   if (ideal_admits) {
--- a/model/quota/gateways.h
+++ b/model/quota/gateways.h
@@ -36,7 +36,7 @@
 };
 
 // Counts of one partner's requests. The ideal limiter sees the requests of all gateways at once.
-struct Tally {
+struct PartnerTally {
   std::vector<Admission> admissions;               // in the order of time, without credited requests
   std::vector<std::uint64_t> requests_by_gateway;  // by gateway
   std::vector<std::uint64_t> admitted_by_gateway;  // by gateway, without credited requests
@@ -71,7 +71,7 @@
     return holders_.HolderAt(allocator, world_.now());
   }
 
-  const std::map<std::string, Tally>& tallies() const { return tallies_; }
+  const std::map<std::string, PartnerTally>& tallies() const { return tallies_; }
   void ClearTallies();  // discards the counts so far
 
  private:
@@ -91,7 +91,7 @@
   std::vector<std::map<std::string, double>> loads_;            // by gateway and partner, requests per second
   std::vector<Endpoint> voters_;
   RoleHolders holders_;
-  std::map<std::string, Tally> tallies_;
+  std::map<std::string, PartnerTally> tallies_;
   std::map<std::string, ExactTokenBucket> ideal_limiters_;  // by partner
   std::uint64_t last_incarnation_ = 0;
   bool saving_ = false;
--- a/model/quota/scale/run.h
+++ b/model/quota/scale/run.h
@@ -29,8 +29,8 @@
   double burst_s = 2;                    // the burst, in seconds of the budget's rate
   // Fraction of the budget that is reserved, if a gateway's part has a depth of at least one request.
   double reserved_minimums = 0.3;
-  std::array<double, 2> demand{1.5,
-                               0.7};  // as a fraction of the budget, of partners with even and odd numbers
+  // The demand of partners with even and of partners with odd numbers, as a fraction of the budget.
+  std::array<double, 2> demand{1.5, 0.7};
   Moment warmup = std::chrono::seconds(12);
   Moment measured = std::chrono::seconds(20);
   std::uint64_t seed = 1;
@@ -50,8 +50,8 @@
   std::array<double, kLimiterCount> wrongly_rejected{};  // rejected, though the ideal limiter admits them
   std::array<double, kLimiterCount> fairness{};          // Jain's index, mean of partners weighted by demand
   double budget = 0;                                     // per second, of all measured partners
-  double admitted_before = 0,
-         ideal_before = 0;         // requests admitted in a period of equal length before the crash
+  // Requests admitted by the product and by the ideal limiter, in a period of equal length before the crash.
+  double admitted_before = 0, ideal_before = 0;
   double central_delay_ms = 0;     // mean delay that the central counter adds to a request
   double central_unreachable = 0;  // requests that could not reach the central counter
   Costs gateways, allocators;      // during the measured time
--- a/model/quota/search.h
+++ b/model/quota/search.h
@@ -16,7 +16,7 @@
 // The seed determines the scenario of a run (model/quota/scenario.h). Bursts are small, clients let accounts
 // fill and then spend all that these admit, and demand moves between gateways. Clocks err by up to the
 // allowed drift, grants last up to as long as a lease allows, and some charges are credited. Messages are
-// delayed and duplicated, leases and addresses are handed excess, and faults occur. In two of five seeds the
+// delayed and duplicated, leases and addresses are handed over, and faults occur. In two of five seeds the
 // budgets are reloaded, gateway by gateway, and no process restarts. In another fifth of the seeds all
 // gateways restart at once.
 
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -48,7 +48,8 @@
   return {incarnation, revisions_.current->revision, last_grant_.token, is_agreed, {}, {}, {}};
 }
 
-// Needs no state of earlier holders: their grants have expired with their leases.
+// Begins a term if the token of the lease is new. The grants of earlier holders have expired with their
+// leases.
 void Allocator::BeginTerm(const fleet::LeaseProof& proof, AllocatorActions* actions) {
   if (proof.token() == last_grant_.token) return;
   last_grant_.token = proof.token();
--- a/src/quota/bucket.h
+++ b/src/quota/bucket.h
@@ -28,9 +28,9 @@
   /// Takes `cost`, which must be above 0, if the bucket holds that much at `now`. Returns whether it did.
   bool Charge(Time now, MilliUnits cost);
 
-  /// Returns to the bucket a charge of `cost` that was made at `charged_at`. Adds at most as much as the
-  /// bucket would hold in addition if the charge had never been made: tokens that would have overflowed since
-  /// then are lost. May add less than that, and adds nothing after about 2 s.
+  /// Returns to the bucket a charge of `cost` that was made at `charged_at`. The bucket
+  /// then holds no more than if the charge had never been made: tokens that would have overflowed since then
+  /// are lost. May return less than possible, and returns nothing after about 2 s.
   void Credit(Time now, Time charged_at, MilliUnits cost);
 
   /// Returns the time from `now` until the bucket holds `cost`, provided that it is neither charged nor
--- a/src/quota/demand_estimator.h
+++ b/src/quota/demand_estimator.h
@@ -42,7 +42,8 @@
   // Lengths of the windows in complete bins. Each window also contains the current bin.
   static constexpr int kLongWindow = 20;
   static constexpr int kShortWindow = 3;
-  // Added to bin numbers, which may be negative, before the modulo. Larger than the absolute value of each.
+  // Added to bin numbers before the modulo, because they may be negative. It is larger than the absolute
+  // value of any bin number.
   static constexpr std::int64_t kBinOffset = std::int64_t{1} << 40;
   static constexpr Span kCoarseBinWidth = 8 * kBinWidth;
   // The fine scale is used if it contains at least this many charges of the largest cost.
--- a/src/quota/section.cpp
+++ b/src/quota/section.cpp
@@ -71,18 +71,18 @@
   return budget;
 }
 
-void CheckBudget(const Budget& budget, const std::string& place, const std::string& minimums_key,
+void CheckBudget(const Budget& budget, const std::string& partner_path, const std::string& minimums_key,
                  const SiteLayout& sites, std::vector<std::string>* faults) {
   for (const auto& [site, minimum] : budget.reserved_minimums) {
-    const std::string at = place + "." + minimums_key + "." + site;
+    const std::string minimum_path = partner_path + "." + minimums_key + "." + site;
     const auto gateways = sites.find(site);
     if (gateways == sites.end()) {
-      faults->push_back(at + " is no site");
+      faults->push_back(minimum_path + " is no site");
       continue;
     }
     if (minimum <= 0 || budget.unit != Unit::kRequests) continue;
     if (ReservedMinimumOf(budget, site, gateways->second.size()).depth < kUnit)
-      faults->push_back(at + " gives a gateway too little burst for one request");
+      faults->push_back(minimum_path + " gives a gateway too little burst for one request");
   }
 }
 
@@ -139,9 +139,9 @@
                       " is not under sites.lease_term_ms less twice sites.lease_drift_ms");
   CheckGatewayNames(sites, faults);
   for (const auto& [partner, budget] : quota.budgets.partners) {
-    const std::string place = "quota.partners." + partner;
-    if (!tenants.contains(partner)) faults->push_back(place + " is no tenant of the settings");
-    CheckBudget(budget, place, names.reserved_minimums.at(partner), sites, faults);
+    const std::string partner_path = "quota.partners." + partner;
+    if (!tenants.contains(partner)) faults->push_back(partner_path + " is no tenant of the settings");
+    CheckBudget(budget, partner_path, names.reserved_minimums.at(partner), sites, faults);
   }
 }
 
