--- a/model/quota/search.cpp
+++ b/model/quota/search.cpp
@@ -52,7 +52,9 @@
     return Check(seed, partner, later, {budget->second.rate, budget->second.burst});
   if (later.empty()) return std::nullopt;
   return QuotaFinding{seed, partner, 0,
-                      partner + " overspent by all after it was dropped, seed " + std::to_string(seed)};
+                      partner +
+                          " overspent by all its requests after it was removed from the budgets, seed " +
+                          std::to_string(seed)};
 }
 
 }  // namespace
--- a/src/quota/demand_ledger.cpp
+++ b/src/quota/demand_ledger.cpp
@@ -16,12 +16,13 @@
 
 // Throws json::exception or std::invalid_argument if anything is malformed.
 std::vector<DemandLedgerEntry> ReadEntries(const json& ledger) {
-  if (ledger.at(kVersionKey).get<int>() != kLedgerVersion) throw std::invalid_argument("version");
+  if (ledger.at(kVersionKey).get<int>() != kLedgerVersion)
+    throw std::invalid_argument("the version of the ledger is not 1");
   std::vector<DemandLedgerEntry> entries;
   for (const auto& [partner, gateways] : ledger.at(kPartnersKey).get_ref<const json::object_t&>())
     for (const auto& [gateway, demand] : gateways.get_ref<const json::object_t&>()) {
       if (!demand.is_number_unsigned() || demand.get<std::uint64_t>() > kMaxRate)
-        throw std::invalid_argument("demand");
+        throw std::invalid_argument("a demand is not an unsigned integer or is out of range");
       entries.push_back({partner, gateway, demand.get<MilliUnits>()});
     }
   return entries;
--- a/src/quota/failures.h
+++ b/src/quota/failures.h
@@ -12,16 +12,17 @@
 namespace load_balancer::quota {
 
 inline constexpr FailureKind kBadMessage{"QUOTA-1", "a quota message is malformed and was dropped",
-                                         "look for gateways of another version"};
+                                         "check whether all gateways run the same version"};
 inline constexpr FailureKind kOtherRevision{
-    "QUOTA-2", "a gateway has budgets of another revision than the allocator and gets no grants",
-    "bring the same file to all gateways and send each SIGHUP"};
+    "QUOTA-2", "a gateway has budgets of a different revision than the allocator and gets no grants",
+    "distribute the same configuration file to all gateways and send SIGHUP to each"};
 inline constexpr FailureKind kBadLedger{
     "QUOTA-3", "the allocator's demand ledger cannot be read and is ignored",
-    "nothing needs doing, as demand is learnt anew from the gateways' requests within a second"};
+    "no action is needed, as the allocator learns the demand from the gateways' requests within a second"};
 inline constexpr FailureKind kNoAllocator{
-    "QUOTA-4", "no allocator responds, and the gateway is down to its reserved minimums",
-    "see by LEASES who holds treasurer/N, and whether a majority of sites.voters can be reached"};
+    "QUOTA-4", "no allocator responds, so the gateway has only its reserved minimums",
+    "check with LEASES which gateway holds treasurer/N, and whether a majority of sites.voters can be "
+    "reached"};
 inline constexpr FailureKind kUnknownGateway{"QUOTA-5",
                                              "a gateway that is not configured requests grants and gets none",
                                              "list it under sites.gateways of all gateways, or stop it"};
--- a/src/quota/message_codec.cpp
+++ b/src/quota/message_codec.cpp
@@ -43,13 +43,13 @@
 // The functions below throw json::exception or std::invalid_argument if a value is malformed.
 
 std::uint64_t ReadUnsigned(const json& value) {
-  if (!value.is_number_unsigned()) throw std::invalid_argument("figure");
+  if (!value.is_number_unsigned()) throw std::invalid_argument("a value is not an unsigned integer");
   return value.get<std::uint64_t>();
 }
 
 std::uint64_t ReadUnsigned(const json& value, std::uint64_t max) {
   const std::uint64_t number = ReadUnsigned(value);
-  if (number > max) throw std::invalid_argument("figure out of range");
+  if (number > max) throw std::invalid_argument("a number is out of range");
   return number;
 }
 
@@ -59,18 +59,23 @@
 
 std::string ReadPartner(const json& value) {
   auto name = value.get<std::string>();
-  if (name.empty() || name.size() > kMaxPartnerNameBytes) throw std::invalid_argument("name");
+  if (name.empty() || name.size() > kMaxPartnerNameBytes)
+    throw std::invalid_argument("a partner's name is empty or too long");
   return name;
 }
 
 void CheckEntry(const json& value, std::size_t fields) {
-  if (!value.is_array() || value.size() != fields) throw std::invalid_argument("entry");
+  if (!value.is_array() || value.size() != fields)
+    throw std::invalid_argument(std::string("entry") + " is not an array of " + std::to_string(fields) +
+                                " fields");
 }
 
 template <typename Entry, typename Read>
 std::vector<Entry> ReadList(const json& root, const char* key, Read read) {
   const json& list = root.at(key);
-  if (!list.is_array() || list.size() > kMaxListEntries) throw std::invalid_argument("list");
+  if (!list.is_array() || list.size() > kMaxListEntries)
+    throw std::invalid_argument(std::string("list") + " '" + key +
+                                "' is not an array or has too many entries");
   std::vector<Entry> entries;
   entries.reserve(list.size());
   for (const json& entry : list) entries.push_back(read(entry));
@@ -111,7 +116,8 @@
 template <typename Message, typename Read>
 Result<Message> ReadMessage(const json& root, std::size_t keys, const std::string& from, Read read) {
   try {
-    if (!root.is_object() || root.size() != keys) throw std::invalid_argument("keys");
+    if (!root.is_object() || root.size() != keys)
+      throw std::invalid_argument("the message is not an object or has the wrong number of keys");
     return read();
   } catch (const json::exception& error) {
     return tl::unexpected(Failure(kBadMessage, from, error.what()));
--- a/src/quota/section.cpp
+++ b/src/quota/section.cpp
@@ -19,7 +19,7 @@
 const char* KeyInUse(Section& section, const KeyAlias& alias) {
   if (!section.Find(alias.former)) return alias.key;
   if (!section.Find(alias.key)) return alias.former;
-  section.Fault(alias.key, std::string("is given by its former name ") + alias.former + ", too");
+  section.Fault(alias.key, std::string("is also given by its former name ") + alias.former);
   return alias.key;
 }
 
@@ -31,14 +31,14 @@
   MilliUnits sum = 0;
   for (const auto& [site, value] : minimums->items()) {
     if (!value.is_number() || !(value.get<double>() >= 0) || value.get<double>() > per_s) {
-      section.Fault(key + "." + site, "is no figure from 0 to per_s");
+      section.Fault(key + "." + site, "is not a number from 0 to per_s");
       continue;
     }
     const MilliUnits minimum = ToMilliUnits(value.get<double>());
     budget->reserved_minimums[site] = minimum;
     sum += minimum;
   }
-  if (sum > budget->rate) section.Fault(key, "are more than per_s together");
+  if (sum > budget->rate) section.Fault(key, "add up to more than per_s");
 }
 
 // Reads a partner's budget. Sets `reserved_minimums_key` to the name that the file uses for that key.
@@ -77,7 +77,7 @@
     const std::string minimum_path = partner_path + "." + minimums_key + "." + site;
     const auto gateways = sites.find(site);
     if (gateways == sites.end()) {
-      faults->push_back(minimum_path + " is no site");
+      faults->push_back(minimum_path + " is not a site");
       continue;
     }
     if (minimum <= 0 || budget.unit != Unit::kRequests) continue;
@@ -114,7 +114,7 @@
   if (!quota.on) return quota;
   if (!section.Find("revision")) section.Fault("revision", "is missing");
   if (quota.max_grant_lifetime < 4 * quota.request_interval)
-    section.Fault(names.grant_lifetime, "is under 4 times ask_ms");
+    section.Fault(names.grant_lifetime, "is less than 4 times ask_ms");
   const json* partners = section.Find("partners");
   if (!partners || !partners->is_object()) {
     section.Fault("partners", "is no object");
@@ -122,7 +122,7 @@
   }
   for (const auto& [name, value] : partners->items()) {
     if (name.empty() || name.size() > kMaxPartnerNameBytes || !value.is_object())
-      section.Fault("partners." + name, "is no partner");
+      section.Fault("partners." + name, "is not an object or has a name that is empty or too long");
     else
       quota.budgets.partners[name] = ReadBudget(*partners, name, &names.reserved_minimums[name], faults);
   }
@@ -136,7 +136,7 @@
   const QuotaKeyNames& names = quota.key_names;
   if (quota.max_grant_lifetime >= lease_term - 2 * lease_drift)
     faults->push_back("quota." + names.grant_lifetime +
-                      " is not under sites.lease_term_ms less twice sites.lease_drift_ms");
+                      " is not less than sites.lease_term_ms minus twice sites.lease_drift_ms");
   CheckGatewayNames(sites, faults);
   for (const auto& [partner, budget] : quota.budgets.partners) {
     const std::string partner_path = "quota.partners." + partner;
--- a/tests/quota/section_test.cpp
+++ b/tests/quota/section_test.cpp
@@ -52,18 +52,19 @@
 TEST(QuotaSection, ReportsEachFault) {
   const std::vector<std::tuple<const char*, json, const char*>> cases{
       {"/quota/x", 1, "quota.x is no known key"},
-      {"/quota/draw_ms", 900, "quota.draw_ms is under 4 times ask_ms"},
+      {"/quota/draw_ms", 900, "quota.draw_ms is less than 4 times ask_ms"},
       {"/quota/draw_ms", 2800,
-       "quota.draw_ms is not under sites.lease_term_ms less twice sites.lease_drift_ms"},
+       "quota.draw_ms is not less than sites.lease_term_ms minus twice sites.lease_drift_ms"},
       {"/quota/partners", 3, "quota.partners is no object"},
       {"/quota/partners/isar/per_s", 0, "quota.partners.isar.per_s is out of range 0.001 to 1000000.0"},
       {"/quota/partners/isar/unit", "x", "quota.partners.isar.unit is neither requests nor work"},
       {"/quota/partners/isar/over", "x", "quota.partners.isar.over is neither mark nor refuse"},
-      {"/quota/partners/isar/floors/muc", 190, "quota.partners.isar.floors are more than per_s together"},
-      {"/quota/partners/isar/floors/muc", -1, "quota.partners.isar.floors.muc is no figure from 0 to per_s"},
+      {"/quota/partners/isar/floors/muc", 190, "quota.partners.isar.floors add up to more than per_s"},
+      {"/quota/partners/isar/floors/muc", -1,
+       "quota.partners.isar.floors.muc is not a number from 0 to per_s"},
       {"/quota/partners/isar/floors/muc", 0.5,
        "quota.partners.isar.floors.muc gives a gateway too little burst for one request"},
-      {"/quota/partners/isar/floors/ulm", 1, "quota.partners.isar.floors.ulm is no site"},
+      {"/quota/partners/isar/floors/ulm", 1, "quota.partners.isar.floors.ulm is not a site"},
       {"/quota/partners/lech",
        {{"per_s", 1}, {"burst", 1}},
        "quota.partners.lech is no tenant of the settings"}};
@@ -99,13 +100,13 @@
 TEST(QuotaSection, NamesCurrentKeysInFaults) {
   const std::vector<std::tuple<const char*, json, const char*>> cases{
       {"/quota/allocators", 0, "quota.allocators is out of range 1 to 64"},
-      {"/quota/grant_lifetime_ms", 900, "quota.grant_lifetime_ms is under 4 times ask_ms"},
+      {"/quota/grant_lifetime_ms", 900, "quota.grant_lifetime_ms is less than 4 times ask_ms"},
       {"/quota/grant_lifetime_ms", 2800,
-       "quota.grant_lifetime_ms is not under sites.lease_term_ms less twice sites.lease_drift_ms"},
+       "quota.grant_lifetime_ms is not less than sites.lease_term_ms minus twice sites.lease_drift_ms"},
       {"/quota/partners/isar/reserved_minimums/muc", 190,
-       "quota.partners.isar.reserved_minimums are more than per_s together"},
+       "quota.partners.isar.reserved_minimums add up to more than per_s"},
       {"/quota/partners/isar/reserved_minimums/ulm", 1,
-       "quota.partners.isar.reserved_minimums.ulm is no site"}};
+       "quota.partners.isar.reserved_minimums.ulm is not a site"}};
   for (const auto& [place, value, fault] : cases) {
     json root = WithPresentKeys(SampleFile());
     root[json::json_pointer(place)] = value;
@@ -115,10 +116,10 @@
 
 TEST(QuotaSection, RejectsAKeyGivenByBothNames) {
   const std::vector<std::tuple<const char*, json, const char*>> cases{
-      {"/quota/allocators", 4, "quota.allocators is given by its former name treasurers, too"},
-      {"/quota/grant_lifetime_ms", 2000, "quota.grant_lifetime_ms is given by its former name draw_ms, too"},
+      {"/quota/allocators", 4, "quota.allocators is also given by its former name treasurers"},
+      {"/quota/grant_lifetime_ms", 2000, "quota.grant_lifetime_ms is also given by its former name draw_ms"},
       {"/quota/partners/isar/reserved_minimums", json::object(),
-       "quota.partners.isar.reserved_minimums is given by its former name floors, too"}};
+       "quota.partners.isar.reserved_minimums is also given by its former name floors"}};
   for (const auto& [place, value, fault] : cases) {
     json root = SampleFile();
     root[json::json_pointer(place)] = value;
