--- a/model/quota/mutants/credits_all.bucket.sed
+++ b/model/quota/mutants/credits_all.bucket.sed
@@ -1,2 +1,2 @@
-# A credit returns all of its charge.
+# A credit returns its whole charge, including tokens that would have overflowed.
 s/credit = std::min(credit, MinHeadroom(period));//
--- a/model/quota/mutants/forgets_early.commitments.sed
+++ b/model/quota/mutants/forgets_early.commitments.sed
@@ -1,2 +1,2 @@
-# A grant is forgotten a slot before it has expired.
+# The allocator forgets a grant one slot before it has expired.
 s/grant\.expires_at <= now;/grant.expires_at <= now + slot_;/
--- a/model/quota/mutants/keeps_over_depth.bucket.sed
+++ b/model/quota/mutants/keeps_over_depth.bucket.sed
@@ -1,2 +1,2 @@
-# What a bucket holds over a smaller depth stays.
+# A bucket keeps tokens that exceed its new, smaller depth.
 /^  level_ = std::min(level_, depth_);/d
--- a/model/quota/mutants/minimum_back_early.partner_account.sed
+++ b/model/quota/mutants/minimum_back_early.partner_account.sed
@@ -1,2 +1,2 @@
-# The reserved minimum is used again when the grant has expired, though a longer one was acknowledged.
+# The gateway uses its reserved minimum once the grant in force has expired, although it acknowledged a longer grant before.
 s/^  LendReservedMinimum(expires_at);/  minimum_.available_from = expires_at;/
--- a/model/quota/mutants/no_margin.partner_allocator.sed
+++ b/model/quota/mutants/no_margin.partner_allocator.sed
@@ -1,2 +1,2 @@
-# A grant has expired when its lifetime is over by the allocator's clock.
+# The allocator counts a grant as expired after its lifetime by its own clock, without a margin for the difference of the clocks.
 s/expires_at = received + lifetime + margin/expires_at = received + lifetime/
--- a/model/quota/mutants/nothing_out.commitments.sed
+++ b/model/quota/mutants/nothing_out.commitments.sed
@@ -1,2 +1,2 @@
-# No grant is outstanding when the lease is to be released.
+# No grant counts as outstanding when the lease is to be released.
 /^Time Commitments::LastExpiry/,/^}/{/commitment\.grants)/d;/gateway, commitment/d}
--- a/model/quota/mutants/one_slot.grant_planner.sed
+++ b/model/quota/mutants/one_slot.grant_planner.sed
@@ -1,2 +1,2 @@
-# Only the first slot of a grant is checked.
+# The planner checks only the first slot of a grant.
 s/if (begin >= max_end) break;/if (begin > first_slot_) break;/
--- a/model/quota/mutants/proof_not_checked.allocator.sed
+++ b/model/quota/mutants/proof_not_checked.allocator.sed
@@ -1,2 +1,2 @@
-# The proof is not checked.
+# The allocator does not check the proof of its lease.
 s/^  if (!proof\.IsValid(now)) return;//
--- a/model/quota/mutants/raises_at_once.partner_accounts.sed
+++ b/model/quota/mutants/raises_at_once.partner_accounts.sed
@@ -1,2 +1,2 @@
-# A reserved minimum that a new file raises is used at once.
+# A gateway uses a reserved minimum that new budgets raise at once.
 s/usable = ElementwiseMin(account\.reserved_minimum()\.usable, configured);/usable = configured;/
--- a/model/quota/mutants/starts_full.bucket.sed
+++ b/model/quota/mutants/starts_full.bucket.sed
@@ -1,2 +1,2 @@
-# A bucket that had no depth is full as soon as it has one.
+# A bucket without depth is full as soon as it gets a depth.
 s/^  depth_ = allocation\.depth \* kFineUnits;/  if (depth_ == 0) level_ = allocation.depth * kFineUnits;\n&/
