--- a/bench/quota_scale.cpp
+++ b/bench/quota_scale.cpp
@@ -23,7 +23,7 @@
   Scenario scenario;
 };
 constexpr std::array kScenarios{Named{"steady", Scenario::kSteady}, Named{"moving", Scenario::kMoving},
-                                Named{"shifts", Scenario::kShifts}, Named{"death", Scenario::kDeath},
+                                Named{"shifts", Scenario::kShifts}, Named{"death", Scenario::kHolderCrash},
                                 Named{"partition", Scenario::kPartition}};
 
 // Sites of about the same size, as many of them as there are gateways at one, up to 20.
@@ -45,11 +45,11 @@
   std::size_t gateways, partners;
   const char* name;
   RunOptions options;
-  Figures figures;
+  RunResult figures;
   double took_s = 0;
 };
 
-std::string Ratios(const std::array<double, kWays>& values, double of, double scale) {
+std::string Ratios(const std::array<double, kLimiterCount>& values, double of, double scale) {
   char text[96];
   std::snprintf(text, sizeof text, "%.3f / %.3f / %.3f", scale * values[kProduct] / of,
                 scale * values[kStatic] / of, scale * values[kCentral] / of);
@@ -64,16 +64,17 @@
       "| central: way, ms | central: no answer |\n"
       "| --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const auto& [gateways, partners, name, options, figures, took] : rows) {
-    const double ideal = std::max(figures.spent[kIdeal], 1.0);
-    const double before = figures.spent_before / std::max(figures.ideal_before, 1.0);
+    const double ideal = std::max(figures.admitted[kIdeal], 1.0);
+    const double before = figures.admitted_before / std::max(figures.ideal_before, 1.0);
     const std::string lost =
         figures.ideal_before > 0
-            ? std::to_string((before * ideal - figures.spent[kProduct]) / figures.budget).substr(0, 5)
+            ? std::to_string((before * ideal - figures.admitted[kProduct]) / figures.budget).substr(0, 5)
             : "";
     std::printf("| %zu | %zu | %s | %.3f | %s | %s | %s | %s | %.1f | %.3f |\n", gateways, partners, name,
-                figures.over, Ratios(figures.spent, ideal, 1).c_str(), Ratios(figures.fairness, 1, 1).c_str(),
-                Ratios(figures.refused_in_error, ideal, 1).c_str(), lost.c_str(), figures.way_ms,
-                figures.unanswered / std::max(figures.asked, 1.0));
+                figures.excess, Ratios(figures.admitted, ideal, 1).c_str(),
+                Ratios(figures.fairness, 1, 1).c_str(), Ratios(figures.wrongly_rejected, ideal, 1).c_str(),
+                lost.c_str(), figures.central_delay_ms,
+                figures.central_unreachable / std::max(figures.requests, 1.0));
   }
 }
 
@@ -94,12 +95,12 @@
     const Costs &g = figures.gateways, &t = figures.allocators;
     std::printf(
         "| %zu | %zu | %s | %.1f | %.2f | %.2f | %.0f | %.1f | %.2f | %.0f | %.0f | %.3f | %.2f | %.1f |\n",
-        gateways, partners, name, figures.asked / all, static_cast<double>(g.messages) / all,
+        gateways, partners, name, figures.requests / all, static_cast<double>(g.messages) / all,
         each(g.entries, g.messages), static_cast<double>(g.bytes) / all,
         static_cast<double>(t.messages) / duties, each(t.entries, t.messages),
         static_cast<double>(t.bytes) / duties,
-        1e9 * g.charges_s / std::max(static_cast<double>(g.charges), 1.0), 1e3 * g.rest_s / all,
-        1e3 * t.rest_s / duties, took);
+        1e9 * g.charge_cpu_s / std::max(static_cast<double>(g.charges), 1.0), 1e3 * g.other_cpu_s / all,
+        1e3 * t.other_cpu_s / duties, took);
   }
 }
 
@@ -129,15 +130,15 @@
         options.per_site = gateway_count / options.sites;
         options.partners = partner_count;
         // Many partners are small ones, each at few gateways.
-        options.active = std::min<std::size_t>(gateway_count, partner_count <= 3     ? gateway_count
-                                                              : partner_count <= 100 ? 30
-                                                                                     : 3);
-        options.per_s = partner_count <= 100 ? 20 : 2;
-        options.counted = std::chrono::seconds(seconds);
+        options.gateways_per_partner = std::min<std::size_t>(gateway_count, partner_count <= 3 ? gateway_count
+                                                                            : partner_count <= 100 ? 30
+                                                                                                   : 3);
+        options.rate_per_gateway = partner_count <= 100 ? 20 : 2;
+        options.measured = std::chrono::seconds(seconds);
         options.seed = seed;
-        options.processor_s = ProcessorSeconds;
+        options.cpu_seconds = ProcessorSeconds;
         const double began = ProcessorSeconds();
-        const Figures figures = Run(options);
+        const RunResult figures = Run(options);
         rows.push_back(
             {gateway_count, partner_count, named.name, options, figures, ProcessorSeconds() - began});
       }
--- a/model/system/checks.cpp
+++ b/model/system/checks.cpp
@@ -145,7 +145,7 @@
     }
     const quota::Budget& budget = wiring_.budgets->partners.at(partner);
     if (const auto over = FindOverspend(counted, budget.rate, budget.burst))
-      Break(partner + " overspent by " + std::to_string(over->over) + " from" + At(over->from) + " to" +
+      Break(partner + " overspent by " + std::to_string(over->excess) + " from" + At(over->from) + " to" +
             At(over->to));
   }
   for (const Try& one : over_budget_)
--- a/model/system/wiring.h
+++ b/model/system/wiring.h
@@ -30,7 +30,7 @@
   std::vector<std::string> tenants;  // by the settings' numbers
 
   static std::string AmbassadorOf(const std::string& site) { return "ambassador/" + site; }
-  static std::string AllocatorOf(std::size_t number) { return quota::AllocatorDuty(number); }
+  static std::string AllocatorOf(std::size_t number) { return quota::AllocatorRoleName(number); }
 };
 
 }  // namespace load_balancer::model
--- a/src/proxy/federation/quota_service.cpp
+++ b/src/proxy/federation/quota_service.cpp
@@ -61,7 +61,7 @@
 std::vector<std::string> QuotaService::Duties(const quota::QuotaSection& section) {
   std::vector<std::string> duties;
   for (std::size_t i = 0; section.on && i < section.allocators; ++i)
-    duties.push_back(quota::AllocatorDuty(i));
+    duties.push_back(quota::AllocatorRoleName(i));
   return duties;
 }
 
@@ -175,7 +175,7 @@
 
 // The right to issue grants.
 std::optional<fleet::LeaseProof> QuotaService::ProveLease(std::size_t allocator) const {
-  return paused_ || stopped_ ? std::nullopt : pool_.ProveLease(quota::AllocatorDuty(allocator));
+  return paused_ || stopped_ ? std::nullopt : pool_.ProveLease(quota::AllocatorRoleName(allocator));
 }
 
 void QuotaService::TakeRequest(std::size_t allocator, const std::string& gateway,
@@ -243,7 +243,7 @@
 }
 
 void QuotaService::Do(const quota::SendRequest& action) {
-  Send(pool_.HolderOf(quota::AllocatorDuty(action.allocator)),
+  Send(pool_.HolderOf(quota::AllocatorRoleName(action.allocator)),
        {{kAllocatorKey, action.allocator}, {kRequestKey, quota::ToJson(action.request)}});
 }
 
@@ -258,7 +258,7 @@
 void QuotaService::Do(std::size_t allocator, const quota::AllocatorActions& actions) {
   for (const auto& action : actions) {
     if (const auto* begun = std::get_if<quota::TermBegan>(&action))
-      log::Info("quota", fmt::format("duty={} token={} hands out draws", quota::AllocatorDuty(allocator),
+      log::Info("quota", fmt::format("duty={} token={} hands out draws", quota::AllocatorRoleName(allocator),
                                      begun->token));
     else if (const auto* warning = std::get_if<quota::LogWarning>(&action))
       log::Warn("quota", warning->failure);
@@ -284,7 +284,7 @@
   for (std::size_t i = 0; i < allocators_.size(); ++i) {
     if (!ProveLease(i)) continue;
     for (const auto& each : allocators_[i].Statuses(now))
-      line += fmt::format(", {} {} per_s={:.3f} committed={:.3f} asking={}", quota::AllocatorDuty(i),
+      line += fmt::format(", {} {} per_s={:.3f} committed={:.3f} asking={}", quota::AllocatorRoleName(i),
                           each.partner, Units(each.rate), Units(each.committed), each.demand.size());
   }
   return line;
--- a/tests/compatibility/names.cpp
+++ b/tests/compatibility/names.cpp
@@ -31,8 +31,8 @@
     std::ostringstream lines;
     lines << fleet::kDiscoveryDuty << '\n'
           << fleet::kMaintenanceDuty << '\n'
-          << quota::AllocatorDuty(0) << '\n'
-          << quota::AllocatorDuty(63) << '\n'
+          << quota::AllocatorRoleName(0) << '\n'
+          << quota::AllocatorRoleName(63) << '\n'
           << proxy::SpillService::DutyOf("MUC") << '\n';
     return BytesOf(lines.str());
   };
--- a/tests/compatibility/quota_messages.cpp
+++ b/tests/compatibility/quota_messages.cpp
@@ -20,7 +20,7 @@
 }
 
 json FieldsOf(const quota::GrantRequest& request) {
-  return {{"held", FieldsOf(request.held)}, {"demand", request.demand}, {"least", request.min_depth}};
+  return {{"held", FieldsOf(request.held_grant)}, {"demand", request.demand}, {"least", request.min_depth}};
 }
 
 json FieldsOf(const quota::Allocation& allocation) {
