--- a/src/quota/demand_ledger.cpp
+++ b/src/quota/demand_ledger.cpp
@@ -14,14 +14,15 @@
 constexpr const char* kVersionKey = "v";
 constexpr const char* kPartnersKey = "partners";
 
-// Throws json::exception or std::invalid_argument on anything malformed.
+// Throws json::exception or std::invalid_argument if anything is malformed.
 std::vector<DemandLedgerEntry> ReadEntries(const json& ledger) {
-  if (ledger.at(kVersionKey).get<int>() != kLedgerVersion) throw std::invalid_argument("version");
+  if (ledger.at(kVersionKey).get<int>() != kLedgerVersion)
+    throw std::invalid_argument("the version of the ledger is not 1");
   std::vector<DemandLedgerEntry> entries;
   for (const auto& [partner, gateways] : ledger.at(kPartnersKey).get_ref<const json::object_t&>())
     for (const auto& [gateway, demand] : gateways.get_ref<const json::object_t&>()) {
       if (!demand.is_number_unsigned() || demand.get<std::uint64_t>() > kMaxRate)
-        throw std::invalid_argument("demand");
+        throw std::invalid_argument("a demand is not an unsigned integer or is out of range");
       entries.push_back({partner, gateway, demand.get<MilliUnits>()});
     }
   return entries;
@@ -36,13 +37,13 @@
   return {{kVersionKey, kLedgerVersion}, {kPartnersKey, std::move(partners)}};
 }
 
-Result<std::vector<DemandLedgerEntry>> DemandLedgerFromJson(const json& ledger, const std::string& place) {
+Result<std::vector<DemandLedgerEntry>> DemandLedgerFromJson(const json& ledger, const std::string& subject) {
   try {
     return ReadEntries(ledger);
   } catch (const json::exception& error) {
-    return tl::unexpected(Failure(kBadLedger, place, error.what()));
+    return tl::unexpected(Failure(kBadLedger, subject, error.what()));
   } catch (const std::invalid_argument& error) {
-    return tl::unexpected(Failure(kBadLedger, place, error.what()));
+    return tl::unexpected(Failure(kBadLedger, subject, error.what()));
   }
 }
 
--- a/src/quota/message_codec.cpp
+++ b/src/quota/message_codec.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-// The keys on the wire. They abbreviate earlier names of the fields and must not change.
+// The keys on the wire. They abbreviate former names of the fields and must not change.
 constexpr const char* kIncarnationKey = "l";
 constexpr const char* kRevisionKey = "r";
 constexpr const char* kNumberKey = "i";
@@ -22,7 +22,7 @@
 constexpr const char* kRecallsKey = "c";
 constexpr const char* kReservedMinimumsKey = "f";
 
-// Numbers of keys of each message and of fields of each entry.
+// The number of keys of each message and the number of fields of each list entry.
 constexpr std::size_t kRequestKeys = 5;
 constexpr std::size_t kResponseKeys = 7;
 constexpr std::size_t kGrantRequestFields = 6;
@@ -40,16 +40,16 @@
   return list;
 }
 
-// The functions below throw json::exception or std::invalid_argument on anything malformed.
+// The functions below throw json::exception or std::invalid_argument if a value is malformed.
 
 std::uint64_t ReadUnsigned(const json& value) {
-  if (!value.is_number_unsigned()) throw std::invalid_argument("figure");
+  if (!value.is_number_unsigned()) throw std::invalid_argument("a value is not an unsigned integer");
   return value.get<std::uint64_t>();
 }
 
 std::uint64_t ReadUnsigned(const json& value, std::uint64_t max) {
   const std::uint64_t number = ReadUnsigned(value);
-  if (number > max) throw std::invalid_argument("figure out of range");
+  if (number > max) throw std::invalid_argument("a number is out of range");
   return number;
 }
 
@@ -59,25 +59,30 @@
 
 std::string ReadPartner(const json& value) {
   auto name = value.get<std::string>();
-  if (name.empty() || name.size() > kMaxPartnerNameBytes) throw std::invalid_argument("name");
+  if (name.empty() || name.size() > kMaxPartnerNameBytes)
+    throw std::invalid_argument("a partner's name is empty or too long");
   return name;
 }
 
 void CheckEntry(const json& value, std::size_t fields) {
-  if (!value.is_array() || value.size() != fields) throw std::invalid_argument("entry");
+  if (!value.is_array() || value.size() != fields)
+    throw std::invalid_argument(std::string("entry") + " is not an array of " + std::to_string(fields) +
+                                " fields");
 }
 
 template <typename Entry, typename Read>
 std::vector<Entry> ReadList(const json& root, const char* key, Read read) {
   const json& list = root.at(key);
-  if (!list.is_array() || list.size() > kMaxListEntries) throw std::invalid_argument("list");
+  if (!list.is_array() || list.size() > kMaxListEntries)
+    throw std::invalid_argument(std::string("list") + " '" + key +
+                                "' is not an array or has too many entries");
   std::vector<Entry> entries;
   entries.reserve(list.size());
   for (const json& entry : list) entries.push_back(read(entry));
   return entries;
 }
 
-// The first fields of a grant request are those of an acknowledgement.
+// Reads the fields of an acknowledgement, which are also the first fields of a grant request.
 GrantAck ReadAckFields(const json& value) {
   return {ReadPartner(value[0]),
           {ReadUnsigned(value[1]), ReadUnsigned(value[2])},
@@ -111,7 +116,8 @@
 template <typename Message, typename Read>
 Result<Message> ReadMessage(const json& root, std::size_t keys, const std::string& from, Read read) {
   try {
-    if (!root.is_object() || root.size() != keys) throw std::invalid_argument("keys");
+    if (!root.is_object() || root.size() != keys)
+      throw std::invalid_argument("the message is not an object or has the wrong number of keys");
     return read();
   } catch (const json::exception& error) {
     return tl::unexpected(Failure(kBadMessage, from, error.what()));
@@ -123,10 +129,10 @@
 }  // namespace
 
 json EntryToJson(const GrantRequest& request) {
-  return {request.held.partner,
-          request.held.grant.token,
-          request.held.grant.number,
-          request.held.lent_ms,
+  return {request.held_grant.partner,
+          request.held_grant.grant.token,
+          request.held_grant.grant.number,
+          request.held_grant.lent_ms,
           static_cast<std::uint64_t>(request.demand),
           static_cast<std::uint64_t>(request.min_depth)};
 }
