--- a/bench/spill_gossip.cpp
+++ b/bench/spill_gossip.cpp
@@ -16,7 +16,7 @@
 
 #include "fleet/state/state.h"
 #include "fleet/wire/codec.h"
-#include "spill/estimate.h"
+#include "overflow/estimate.h"
 
 namespace {
 
--- a/bench/spill_model.cpp
+++ b/bench/spill_model.cpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-#include "model/spill/federation.h"
+#include "model/overflow/federation.h"
 
 namespace {
 
--- a/model/spill/federation.cpp
+++ b/model/overflow/federation.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "model/spill/federation.h"
+#include "model/overflow/federation.h"
 
-#include "model/spill/gateway.h"
+#include "model/overflow/gateway.h"
 
 namespace load_balancer::model {
 
--- a/model/spill/federation.h
+++ b/model/overflow/federation.h
@@ -3,8 +3,8 @@
 // Sites that spill to each other, in virtual time: each gateway runs the real Spill and, at its site's
 // ambassador, the real Ambassador, over the world's network. Leases and gossip are stood in for: the holder
 // of the duty is set by the scenario, and estimates go to each gateway in one message.
-#ifndef LOAD_BALANCER_MODEL_SPILL_FEDERATION_H_
-#define LOAD_BALANCER_MODEL_SPILL_FEDERATION_H_
+#ifndef LOAD_BALANCER_MODEL_OVERFLOW_FEDERATION_H_
+#define LOAD_BALANCER_MODEL_OVERFLOW_FEDERATION_H_
 
 #include <cstddef>
 #include <cstdint>
@@ -14,11 +14,11 @@
 #include <string>
 #include <vector>
 
-#include "model/spill/servers.h"
-#include "model/spill/traffic.h"
+#include "model/overflow/servers.h"
+#include "model/overflow/traffic.h"
 #include "model/world.h"
-#include "spill/options.h"
-#include "spill/price.h"
+#include "overflow/admission_threshold.h"
+#include "overflow/options.h"
 
 namespace load_balancer::model {
 
@@ -113,4 +113,4 @@
 
 }  // namespace load_balancer::model
 
-#endif  // LOAD_BALANCER_MODEL_SPILL_FEDERATION_H_
+#endif  // LOAD_BALANCER_MODEL_OVERFLOW_FEDERATION_H_
--- a/model/spill/gateway.cpp
+++ b/model/overflow/gateway.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "model/spill/gateway.h"
+#include "model/overflow/gateway.h"
 
 #include <algorithm>
 
-#include "model/spill/federation.h"
+#include "model/overflow/federation.h"
 
 namespace load_balancer::model {
 namespace {
--- a/model/spill/gateway.h
+++ b/model/overflow/gateway.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A gateway of the model: its clients, its site's servers, and what it hands on.
-#ifndef LOAD_BALANCER_MODEL_SPILL_GATEWAY_H_
-#define LOAD_BALANCER_MODEL_SPILL_GATEWAY_H_
+#ifndef LOAD_BALANCER_MODEL_OVERFLOW_GATEWAY_H_
+#define LOAD_BALANCER_MODEL_OVERFLOW_GATEWAY_H_
 
 #include <map>
 #include <optional>
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
+#include "model/overflow/meter.h"
+#include "model/overflow/traffic.h"
 #include "model/program.h"
-#include "model/spill/meter.h"
-#include "model/spill/traffic.h"
-#include "spill/ambassador.h"
-#include "spill/spill.h"
+#include "overflow/estimate_publisher.h"
+#include "overflow/overflow_router.h"
 
 namespace load_balancer::model {
 
@@ -74,4 +74,4 @@
 
 }  // namespace load_balancer::model
 
-#endif  // LOAD_BALANCER_MODEL_SPILL_GATEWAY_H_
+#endif  // LOAD_BALANCER_MODEL_OVERFLOW_GATEWAY_H_
--- a/model/spill/meter.h
+++ b/model/overflow/meter.h
@@ -2,15 +2,15 @@
 //
 // Stands for the module's query of its spare: this gateway's part of the servers' capacity, less the own work
 // that it admits, as an exponentially weighted mean.
-#ifndef LOAD_BALANCER_MODEL_SPILL_METER_H_
-#define LOAD_BALANCER_MODEL_SPILL_METER_H_
+#ifndef LOAD_BALANCER_MODEL_OVERFLOW_METER_H_
+#define LOAD_BALANCER_MODEL_OVERFLOW_METER_H_
 
 #include <algorithm>
 #include <chrono>
 #include <cmath>
 
 #include "base/time.h"
-#include "spill/ambassador.h"
+#include "overflow/estimate_publisher.h"
 
 namespace load_balancer::model {
 
@@ -57,4 +57,4 @@
 
 }  // namespace load_balancer::model
 
-#endif  // LOAD_BALANCER_MODEL_SPILL_METER_H_
+#endif  // LOAD_BALANCER_MODEL_OVERFLOW_METER_H_
--- a/model/spill/servers.cpp
+++ b/model/overflow/servers.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "model/spill/servers.h"
+#include "model/overflow/servers.h"
 
 #include <algorithm>
 
--- a/model/spill/servers.h
+++ b/model/overflow/servers.h
@@ -4,16 +4,16 @@
 // is taken only if it can go at once, and only as far as a part of what own traffic leaves free. A request
 // under way is not broken off, so a spilled one may still make an own one wait; that is what the model is to
 // show.
-#ifndef LOAD_BALANCER_MODEL_SPILL_SERVERS_H_
-#define LOAD_BALANCER_MODEL_SPILL_SERVERS_H_
+#ifndef LOAD_BALANCER_MODEL_OVERFLOW_SERVERS_H_
+#define LOAD_BALANCER_MODEL_OVERFLOW_SERVERS_H_
 
 #include <deque>
 #include <functional>
 #include <utility>
 
-#include "model/spill/meter.h"
+#include "model/overflow/meter.h"
 #include "model/world.h"
-#include "spill/share.h"
+#include "overflow/token_bucket.h"
 
 namespace load_balancer::model {
 
@@ -58,4 +58,4 @@
 
 }  // namespace load_balancer::model
 
-#endif  // LOAD_BALANCER_MODEL_SPILL_SERVERS_H_
+#endif  // LOAD_BALANCER_MODEL_OVERFLOW_SERVERS_H_
--- a/model/spill/traffic.h
+++ b/model/overflow/traffic.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What clients ask of the gateways of the model, and what is counted of it.
-#ifndef LOAD_BALANCER_MODEL_SPILL_TRAFFIC_H_
-#define LOAD_BALANCER_MODEL_SPILL_TRAFFIC_H_
+#ifndef LOAD_BALANCER_MODEL_OVERFLOW_TRAFFIC_H_
+#define LOAD_BALANCER_MODEL_OVERFLOW_TRAFFIC_H_
 
 #include <array>
 #include <chrono>
@@ -12,7 +12,7 @@
 
 #include "load_balancer/balancer.h"
 #include "model/program.h"
-#include "spill/rules.h"
+#include "overflow/rules.h"
 
 namespace load_balancer::model {
 
@@ -87,4 +87,4 @@
 
 }  // namespace load_balancer::model
 
-#endif  // LOAD_BALANCER_MODEL_SPILL_TRAFFIC_H_
+#endif  // LOAD_BALANCER_MODEL_OVERFLOW_TRAFFIC_H_
--- a/model/system/spill_side.cpp
+++ b/model/system/spill_side.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "spill/incoming.h"
+#include "overflow/incoming.h"
 
 namespace load_balancer::model {
 namespace {
--- a/model/system/spill_side.h
+++ b/model/system/spill_side.h
@@ -14,8 +14,8 @@
 #include "model/site/traffic.h"
 #include "model/system/checks.h"
 #include "model/system/wiring.h"
-#include "spill/ambassador.h"
-#include "spill/spill.h"
+#include "overflow/estimate_publisher.h"
+#include "overflow/overflow_router.h"
 
 namespace load_balancer::model {
 
--- a/model/system/wiring.h
+++ b/model/system/wiring.h
@@ -12,9 +12,9 @@
 #include <vector>
 
 #include "model/program.h"
+#include "overflow/options.h"
 #include "quota/budget.h"
 #include "quota/duty.h"
-#include "spill/options.h"
 
 namespace load_balancer::model {
 
--- a/src/spill/price.h
+++ b/src/overflow/admission_threshold.h
@@ -3,8 +3,8 @@
 // What a spilled request must be worth while neighbours offer less than is asked of them: the demand of the
 // last seconds, by worth per work, against what is offered. Higher worth goes first; the class at the margin
 // goes by chance, as far as the offer reaches.
-#ifndef LOAD_BALANCER_SPILL_PRICE_H_
-#define LOAD_BALANCER_SPILL_PRICE_H_
+#ifndef LOAD_BALANCER_OVERFLOW_ADMISSION_THRESHOLD_H_
+#define LOAD_BALANCER_OVERFLOW_ADMISSION_THRESHOLD_H_
 
 #include <algorithm>
 #include <chrono>
@@ -58,4 +58,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_PRICE_H_
+#endif  // LOAD_BALANCER_OVERFLOW_ADMISSION_THRESHOLD_H_
--- a/src/spill/estimate.cpp
+++ b/src/overflow/estimate.cpp
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/estimate.h"
+#include "overflow/estimate.h"
 
 #include <algorithm>
 #include <stdexcept>
 
-#include "spill/failures.h"
+#include "overflow/failures.h"
 
 namespace load_balancer::spill {
 namespace {
--- a/src/spill/estimate.h
+++ b/src/overflow/estimate.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What a site could still take, as its ambassador makes it known, and what is held of it elsewhere.
-#ifndef LOAD_BALANCER_SPILL_ESTIMATE_H_
-#define LOAD_BALANCER_SPILL_ESTIMATE_H_
+#ifndef LOAD_BALANCER_OVERFLOW_ESTIMATE_H_
+#define LOAD_BALANCER_OVERFLOW_ESTIMATE_H_
 
 #include <cstdint>
 #include <map>
@@ -11,7 +11,7 @@
 
 #include "base/error/failure.h"
 #include "base/time.h"
-#include "spill/options.h"
+#include "overflow/options.h"
 
 namespace load_balancer::spill {
 
@@ -84,4 +84,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_ESTIMATE_H_
+#endif  // LOAD_BALANCER_OVERFLOW_ESTIMATE_H_
--- a/src/spill/ambassador.cpp
+++ b/src/overflow/estimate_publisher.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/ambassador.h"
+#include "overflow/estimate_publisher.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/spill/ambassador.h
+++ b/src/overflow/estimate_publisher.h
@@ -2,8 +2,8 @@
 //
 // The site's ambassador: sums what the members could still take and makes the site's estimate. Exclusive: an
 // estimate is made under a lease proof only, and carries its token.
-#ifndef LOAD_BALANCER_SPILL_AMBASSADOR_H_
-#define LOAD_BALANCER_SPILL_AMBASSADOR_H_
+#ifndef LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
+#define LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
 
 #include <concepts>
 #include <cstdint>
@@ -12,9 +12,9 @@
 #include <string>
 
 #include "base/time.h"
-#include "spill/estimate.h"
-#include "spill/hysteresis.h"
-#include "spill/options.h"
+#include "overflow/estimate.h"
+#include "overflow/hysteresis.h"
+#include "overflow/options.h"
 
 namespace load_balancer::spill {
 
@@ -70,4 +70,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_AMBASSADOR_H_
+#endif  // LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
--- a/src/spill/failures.h
+++ b/src/overflow/failures.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What can go wrong between sites that spill to each other.
-#ifndef LOAD_BALANCER_SPILL_FAILURES_H_
-#define LOAD_BALANCER_SPILL_FAILURES_H_
+#ifndef LOAD_BALANCER_OVERFLOW_FAILURES_H_
+#define LOAD_BALANCER_OVERFLOW_FAILURES_H_
 
 #include <array>
 
@@ -38,4 +38,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_FAILURES_H_
+#endif  // LOAD_BALANCER_OVERFLOW_FAILURES_H_
--- a/src/spill/hysteresis.h
+++ b/src/overflow/hysteresis.h
@@ -2,8 +2,8 @@
 //
 // Whether a site is over capacity: it becomes so only after its spare has been zero for a while without a
 // break, and ceases only after there has been some for a while.
-#ifndef LOAD_BALANCER_SPILL_HYSTERESIS_H_
-#define LOAD_BALANCER_SPILL_HYSTERESIS_H_
+#ifndef LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
+#define LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
 
 #include <optional>
 
@@ -46,4 +46,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_HYSTERESIS_H_
+#endif  // LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
--- a/src/spill/incoming.h
+++ b/src/overflow/incoming.h
@@ -3,17 +3,17 @@
 // Whether a request that comes in is a spilled one. The mark `Spilled-From: <site>/<gateway>` counts only
 // from an address of that gateway; from anybody else it is to be removed and the request handled as a
 // client's.
-#ifndef LOAD_BALANCER_SPILL_INCOMING_H_
-#define LOAD_BALANCER_SPILL_INCOMING_H_
+#ifndef LOAD_BALANCER_OVERFLOW_INCOMING_H_
+#define LOAD_BALANCER_OVERFLOW_INCOMING_H_
 
 #include <boost/asio/ip/address.hpp>
 #include <string>
 #include <string_view>
 
 #include "base/error/failure.h"
-#include "spill/failures.h"
-#include "spill/neighbours.h"
-#include "spill/options.h"
+#include "overflow/failures.h"
+#include "overflow/options.h"
+#include "overflow/remote_gateways.h"
 
 namespace load_balancer::spill {
 
@@ -45,4 +45,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_INCOMING_H_
+#endif  // LOAD_BALANCER_OVERFLOW_INCOMING_H_
--- a/src/spill/sticky.h
+++ b/src/overflow/key_affinity.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Keys stay with the neighbour that served them while they are warm there.
-#ifndef LOAD_BALANCER_SPILL_STICKY_H_
-#define LOAD_BALANCER_SPILL_STICKY_H_
+#ifndef LOAD_BALANCER_OVERFLOW_KEY_AFFINITY_H_
+#define LOAD_BALANCER_OVERFLOW_KEY_AFFINITY_H_
 
 #include <cstdint>
 #include <map>
@@ -10,7 +10,7 @@
 #include <utility>
 
 #include "base/time.h"
-#include "spill/neighbours.h"
+#include "overflow/remote_gateways.h"
 
 namespace load_balancer::spill {
 
@@ -49,4 +49,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_STICKY_H_
+#endif  // LOAD_BALANCER_OVERFLOW_KEY_AFFINITY_H_
--- a/src/spill/options.h
+++ b/src/overflow/options.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What spilling is set to, and who may take part in it.
-#ifndef LOAD_BALANCER_SPILL_OPTIONS_H_
-#define LOAD_BALANCER_SPILL_OPTIONS_H_
+#ifndef LOAD_BALANCER_OVERFLOW_OPTIONS_H_
+#define LOAD_BALANCER_OVERFLOW_OPTIONS_H_
 
 #include <algorithm>
 #include <boost/asio/ip/tcp.hpp>
@@ -46,4 +46,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_OPTIONS_H_
+#endif  // LOAD_BALANCER_OVERFLOW_OPTIONS_H_
--- a/src/spill/spill.cpp
+++ b/src/overflow/overflow_router.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/spill.h"
+#include "overflow/overflow_router.h"
 
 #include <algorithm>
 #include <boost/random/uniform_01.hpp>
 #include <boost/random/uniform_int_distribution.hpp>
 #include <utility>
 
-#include "spill/failures.h"
+#include "overflow/failures.h"
 
 namespace load_balancer::spill {
 namespace {
--- a/src/spill/spill.h
+++ b/src/overflow/overflow_router.h
@@ -2,8 +2,8 @@
 //
 // Spill: whether a request that this site cannot serve goes to a gateway of a neighbour site, and to which.
 // A function of its events and its seed: no clock, no socket, no threads. State and rules: docs/spill.md.
-#ifndef LOAD_BALANCER_SPILL_SPILL_H_
-#define LOAD_BALANCER_SPILL_SPILL_H_
+#ifndef LOAD_BALANCER_OVERFLOW_OVERFLOW_ROUTER_H_
+#define LOAD_BALANCER_OVERFLOW_OVERFLOW_ROUTER_H_
 
 #include <array>
 #include <cstdint>
@@ -17,13 +17,13 @@
 
 #include "base/error/failure.h"
 #include "base/time.h"
-#include "spill/estimate.h"
-#include "spill/neighbours.h"
-#include "spill/options.h"
-#include "spill/price.h"
-#include "spill/rules.h"
-#include "spill/share.h"
-#include "spill/sticky.h"
+#include "overflow/admission_threshold.h"
+#include "overflow/estimate.h"
+#include "overflow/key_affinity.h"
+#include "overflow/options.h"
+#include "overflow/remote_gateways.h"
+#include "overflow/rules.h"
+#include "overflow/token_bucket.h"
 
 namespace load_balancer::spill {
 
@@ -168,4 +168,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_SPILL_H_
+#endif  // LOAD_BALANCER_OVERFLOW_OVERFLOW_ROUTER_H_
--- a/src/spill/neighbours.cpp
+++ b/src/overflow/remote_gateways.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/neighbours.h"
+#include "overflow/remote_gateways.h"
 
 #include <algorithm>
 #include <boost/random/uniform_int_distribution.hpp>
--- a/src/spill/neighbours.h
+++ b/src/overflow/remote_gateways.h
@@ -3,8 +3,8 @@
 // The neighbours' gateways: which are present, and which are left for a while because they refuse or fail, by
 // gRFC A50's failure percentage with its multiplied ejection time. All of them may be left at once: a spilled
 // request is a chance, and nobody depends on it.
-#ifndef LOAD_BALANCER_SPILL_NEIGHBOURS_H_
-#define LOAD_BALANCER_SPILL_NEIGHBOURS_H_
+#ifndef LOAD_BALANCER_OVERFLOW_REMOTE_GATEWAYS_H_
+#define LOAD_BALANCER_OVERFLOW_REMOTE_GATEWAYS_H_
 
 #include <compare>
 #include <map>
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "base/time.h"
-#include "spill/options.h"
+#include "overflow/options.h"
 
 namespace load_balancer::spill {
 
@@ -61,4 +61,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_NEIGHBOURS_H_
+#endif  // LOAD_BALANCER_OVERFLOW_REMOTE_GATEWAYS_H_
--- a/src/spill/rules.cpp
+++ b/src/overflow/rules.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/rules.h"
+#include "overflow/rules.h"
 
 #include <array>
 
--- a/src/spill/rules.h
+++ b/src/overflow/rules.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Which requests may be spilled at all.
-#ifndef LOAD_BALANCER_SPILL_RULES_H_
-#define LOAD_BALANCER_SPILL_RULES_H_
+#ifndef LOAD_BALANCER_OVERFLOW_RULES_H_
+#define LOAD_BALANCER_OVERFLOW_RULES_H_
 
 #include <cstdint>
 #include <optional>
@@ -10,7 +10,7 @@
 
 #include "base/time.h"
 #include "load_balancer/balancer.h"
-#include "spill/options.h"
+#include "overflow/options.h"
 
 namespace load_balancer::spill {
 
@@ -57,4 +57,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_RULES_H_
+#endif  // LOAD_BALANCER_OVERFLOW_RULES_H_
--- a/src/spill/section.cpp
+++ b/src/overflow/section.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/section.h"
+#include "overflow/section.h"
 
 #include <algorithm>
 
--- a/src/spill/section.h
+++ b/src/overflow/section.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The configuration's section `spill`.
-#ifndef LOAD_BALANCER_SPILL_SECTION_H_
-#define LOAD_BALANCER_SPILL_SECTION_H_
+#ifndef LOAD_BALANCER_OVERFLOW_SECTION_H_
+#define LOAD_BALANCER_OVERFLOW_SECTION_H_
 
 #include <nlohmann/json_fwd.hpp>
 #include <string>
 #include <vector>
 
-#include "spill/options.h"
+#include "overflow/options.h"
 
 namespace load_balancer::spill {
 
@@ -28,4 +28,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_SECTION_H_
+#endif  // LOAD_BALANCER_OVERFLOW_SECTION_H_
--- a/src/spill/share.h
+++ b/src/overflow/token_bucket.h
@@ -2,8 +2,8 @@
 //
 // This gateway's share of what a neighbour site offers: a token bucket of hinted work (ms). Over any window W
 // it lets through at most rate x W + depth + the largest request.
-#ifndef LOAD_BALANCER_SPILL_SHARE_H_
-#define LOAD_BALANCER_SPILL_SHARE_H_
+#ifndef LOAD_BALANCER_OVERFLOW_TOKEN_BUCKET_H_
+#define LOAD_BALANCER_OVERFLOW_TOKEN_BUCKET_H_
 
 #include <algorithm>
 #include <chrono>
@@ -54,4 +54,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_SPILL_SHARE_H_
+#endif  // LOAD_BALANCER_OVERFLOW_TOKEN_BUCKET_H_
--- a/src/proxy/client/session.cpp
+++ b/src/proxy/client/session.cpp
@@ -10,7 +10,7 @@
 
 #include "client/peer_end.h"
 #include "client/replies.h"
-#include "spill/incoming.h"
+#include "overflow/incoming.h"
 
 namespace load_balancer::proxy {
 namespace {
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -19,8 +19,8 @@
 #include "fleet/section.h"
 #include "load_balancer/balancer.h"
 #include "members.h"
+#include "overflow/section.h"
 #include "quota/section.h"
-#include "spill/section.h"
 #include "state/section.h"
 
 namespace load_balancer::proxy {
--- a/src/proxy/failure_kinds.cpp
+++ b/src/proxy/failure_kinds.cpp
@@ -3,9 +3,9 @@
 
 #include "fleet/failures.h"
 #include "fleet/lease/failures.h"
+#include "overflow/failures.h"
 #include "proxy/failures.h"
 #include "quota/failures.h"
-#include "spill/failures.h"
 #include "state/failures.h"
 
 namespace load_balancer::proxy {
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -8,8 +8,8 @@
 
 #include "base/log.h"
 #include "base/wall_clock.h"
+#include "overflow/incoming.h"
 #include "proxy/failures.h"
-#include "spill/incoming.h"
 
 namespace load_balancer::proxy {
 namespace {
--- a/src/proxy/federation/spill_service.h
+++ b/src/proxy/federation/spill_service.h
@@ -21,10 +21,10 @@
 #include "fleet/federation/section.h"
 #include "fleet/node/node.h"
 #include "load_balancer/balancer.h"
+#include "overflow/estimate_publisher.h"
+#include "overflow/overflow_router.h"
+#include "overflow/section.h"
 #include "request.h"
-#include "spill/ambassador.h"
-#include "spill/section.h"
-#include "spill/spill.h"
 
 namespace load_balancer::proxy {
 
--- a/tests/compatibility/estimate_messages.cpp
+++ b/tests/compatibility/estimate_messages.cpp
@@ -4,7 +4,7 @@
 #include <stdexcept>
 
 #include "golden_case.h"
-#include "spill/estimate.h"
+#include "overflow/estimate.h"
 
 namespace load_balancer::testing {
 namespace {
--- a/tests/compatibility/names.cpp
+++ b/tests/compatibility/names.cpp
@@ -9,9 +9,9 @@
 #include "fleet/node/node.h"
 #include "golden_case.h"
 #include "members.h"
+#include "overflow/estimate.h"
+#include "overflow/incoming.h"
 #include "quota/duty.h"
-#include "spill/estimate.h"
-#include "spill/incoming.h"
 
 namespace load_balancer::testing {
 namespace {
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -9,7 +9,7 @@
 #include "base/wall_clock.h"
 #include "gateways.h"
 #include "loopback.h"
-#include "spill/incoming.h"
+#include "overflow/incoming.h"
 
 namespace load_balancer::testing::federation {
 namespace {
--- a/tests/spill/estimate_test.cpp
+++ b/tests/overflow/estimate_test.cpp
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/estimate.h"
+#include "overflow/estimate.h"
 
 #include <gtest/gtest.h>
 
 #include <set>
 
-#include "bed.h"
-#include "spill/ambassador.h"
-#include "spill/failures.h"
-#include "spill/section.h"
+#include "fixture.h"
+#include "overflow/estimate_publisher.h"
+#include "overflow/failures.h"
+#include "overflow/section.h"
 
 namespace load_balancer::spill {
 namespace {
--- a/tests/spill/bed.h
+++ b/tests/overflow/fixture.h
@@ -1,15 +1,15 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // What the tests of spilling share: sites with loopback addresses, estimates, and a Spill with its clock.
-#ifndef LOAD_BALANCER_TESTS_SPILL_BED_H_
-#define LOAD_BALANCER_TESTS_SPILL_BED_H_
+#ifndef LOAD_BALANCER_TESTS_OVERFLOW_FIXTURE_H_
+#define LOAD_BALANCER_TESTS_OVERFLOW_FIXTURE_H_
 
 #include <optional>
 #include <string>
 #include <variant>
 #include <vector>
 
-#include "spill/spill.h"
+#include "overflow/overflow_router.h"
 
 namespace load_balancer::spill {
 
@@ -92,4 +92,4 @@
 
 }  // namespace load_balancer::spill
 
-#endif  // LOAD_BALANCER_TESTS_SPILL_BED_H_
+#endif  // LOAD_BALANCER_TESTS_OVERFLOW_FIXTURE_H_
--- a/tests/spill/herd_test.cpp
+++ b/tests/overflow/herd_test.cpp
@@ -7,8 +7,8 @@
 #include <memory>
 #include <queue>
 
-#include "bed.h"
-#include "spill/ambassador.h"
+#include "fixture.h"
+#include "overflow/estimate_publisher.h"
 
 namespace load_balancer::spill {
 namespace {
--- a/tests/spill/incoming_test.cpp
+++ b/tests/overflow/incoming_test.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/incoming.h"
+#include "overflow/incoming.h"
 
 #include <gtest/gtest.h>
 
-#include "bed.h"
+#include "fixture.h"
 
 namespace load_balancer::spill {
 namespace {
--- a/tests/spill/model_test.cpp
+++ b/tests/overflow/model_test.cpp
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "model/spill/federation.h"
+#include "model/overflow/federation.h"
 
 namespace load_balancer::model {
 namespace {
--- a/tests/spill/spill_test.cpp
+++ b/tests/overflow/overflow_router_test.cpp
@@ -1,12 +1,12 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/spill.h"
+#include "overflow/overflow_router.h"
 
 #include <gtest/gtest.h>
 
 #include <functional>
 
-#include "bed.h"
-#include "spill/failures.h"
+#include "fixture.h"
+#include "overflow/failures.h"
 
 namespace load_balancer::spill {
 namespace {
--- a/tests/spill/neighbours_test.cpp
+++ b/tests/overflow/remote_gateways_test.cpp
@@ -1,11 +1,11 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "spill/neighbours.h"
+#include "overflow/remote_gateways.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "bed.h"
-#include "spill/share.h"
+#include "fixture.h"
+#include "overflow/token_bucket.h"
 
 namespace load_balancer::spill {
 namespace {
