--- a/bench/spill_gossip.cpp
+++ b/bench/spill_gossip.cpp
@@ -92,7 +92,7 @@
 
  private:
   void Make(std::size_t site, UnixMs now) {
-    spill::Estimate estimate{
+    overflow::Estimate estimate{
         "site-" + std::to_string(site), 41, now, 123456, 98765, 17, gateways_, false, 3600000};
     const std::string duty = "ambassador/site";
     members_[site * gateways_].state.Write(
--- a/bench/spill_model.cpp
+++ b/bench/spill_model.cpp
@@ -70,10 +70,10 @@
 }
 
 void PrintCauses(const Tally& sum) {
-  for (int i = 0; i < load_balancer::spill::kWhys; ++i)
+  for (int i = 0; i < load_balancer::overflow::kWhys; ++i)
     if (const double lost = sum.lost.at(static_cast<std::size_t>(i)) / sum.offered; lost > 0)
       std::printf("    %.4f %s\n", lost,
-                  std::string(Name(static_cast<load_balancer::spill::Why>(i))).c_str());
+                  std::string(Name(static_cast<load_balancer::overflow::Why>(i))).c_str());
   std::printf("    %.4f answered past its aim\n", sum.late / sum.offered);
 }
 
--- a/model/overflow/federation.cpp
+++ b/model/overflow/federation.cpp
@@ -98,7 +98,7 @@
   (elsewhere ? tally.elsewhere : tally.own) += ask.demand->priority_weight;
 }
 
-void SpillFederation::GivenUp(const Ask& ask, std::optional<spill::Why> why) {
+void SpillFederation::GivenUp(const Ask& ask, std::optional<overflow::Why> why) {
   if (!Final(ask)) return;
   Tally& tally = tallies_[ask.site];
   ++tally.given_up;
--- a/model/overflow/federation.h
+++ b/model/overflow/federation.h
@@ -36,7 +36,7 @@
   int cores = 10;                       // of each site
   Strategy strategy = Strategy::kOff;
   std::uint64_t seed = 1;
-  spill::Options spill;
+  overflow::Options spill;
   std::chrono::milliseconds estimate_delay{0};  // of estimates between sites, beyond the network's
 };
 
@@ -46,7 +46,7 @@
 
   World& world() { return world_; }
   const SpillFederationOptions& options() const { return options_; }
-  const spill::Directory& directory() const { return directory_; }
+  const overflow::Directory& directory() const { return directory_; }
   Servers& servers(std::size_t site) { return servers_.at(site); }
 
   // Own traffic from now on, in parts of the site's capacity at the start.
@@ -89,7 +89,7 @@
   void Ran(const Ask& ask);
   // Its final answer: from servers (worth counts if in time), or a refusal.
   void Answered(const Ask& ask, bool elsewhere);
-  void GivenUp(const Ask& ask, std::optional<spill::Why> why = std::nullopt);
+  void GivenUp(const Ask& ask, std::optional<overflow::Why> why = std::nullopt);
   void CountSpilled(const Ask& ask);
 
  private:
@@ -97,7 +97,7 @@
 
   const SpillFederationOptions options_;
   World world_;
-  spill::Directory directory_;
+  overflow::Directory directory_;
   std::deque<Servers> servers_;
   std::vector<double> load_;
   std::vector<int> coming_;
@@ -107,7 +107,7 @@
   Moment count_from_{0};
   std::map<std::uint64_t, int> unsafe_runs_;
   std::vector<bool> final_;  // by id
-  spill::Price price_;
+  overflow::Price price_;
   std::uint64_t ran_twice_ = 0, answered_twice_ = 0;
 };
 
--- a/model/overflow/gateway.cpp
+++ b/model/overflow/gateway.cpp
@@ -8,21 +8,21 @@
 namespace load_balancer::model {
 namespace {
 
-using spill::SpillOutcome;
+using overflow::SpillOutcome;
 
 struct SpareTold {
   std::string member;
-  spill::MemberSpare spare;
+  overflow::MemberSpare spare;
 };
 struct Spilled {
   Ask ask;
-  spill::Neighbour from;
+  overflow::Neighbour from;
 };
 struct Answer {
   std::uint64_t id = 0;
-  spill::Neighbour from;
+  overflow::Neighbour from;
   bool ok = false;
-  std::optional<spill::Estimate> estimate;
+  std::optional<overflow::Estimate> estimate;
 };
 
 constexpr std::size_t kRequestBytes = 600, kStateBytes = 120;
@@ -111,7 +111,7 @@
   if (strategy == Strategy::kInformed)
     return federation_.WorthIt(ask) ? SendInformed(ask, {}) : federation_.GivenUp(ask);
   if (strategy == Strategy::kRandom) return HandOn({ask, {}, host_.Now() + demand.deadline, {}});
-  spill::Refused refused;
+  overflow::Refused refused;
   refused.request = ask.id;
   refused.idempotency = demand.idempotency;
   refused.latency_objective_left = demand.latency_objective;
@@ -122,19 +122,19 @@
   Handle(refused, ask);
 }
 
-void SpillGateway::Handle(const spill::Event& event, const Ask& ask) {
-  std::vector<spill::Action> actions;
+void SpillGateway::Handle(const overflow::Event& event, const Ask& ask) {
+  std::vector<overflow::Action> actions;
   spill_.Handle(host_.Now(), event, &actions);
-  for (const spill::Action& action : actions) {
-    if (const auto* send = std::get_if<spill::SendTo>(&action))
+  for (const overflow::Action& action : actions) {
+    if (const auto* send = std::get_if<overflow::SendTo>(&action))
       Send({ask, send->neighbour, host_.Now() + send->timeout, {}});
-    else if (const auto* given = std::get_if<spill::GiveUp>(&action))
+    else if (const auto* given = std::get_if<overflow::GiveUp>(&action))
       federation_.GivenUp(ask, given->why);
   }
 }
 
-std::optional<spill::Neighbour> SpillGateway::PickRandom(const std::set<std::string>& tried) {
-  std::vector<spill::Neighbour> others;
+std::optional<overflow::Neighbour> SpillGateway::PickRandom(const std::set<std::string>& tried) {
+  std::vector<overflow::Neighbour> others;
   for (const auto& [site, gateways] : federation_.directory()) {
     if (site == self_.site || tried.contains(site)) continue;
     for (const auto& [gateway, addresses] : gateways) others.push_back({site, gateway});
@@ -164,7 +164,7 @@
 }
 
 void SpillGateway::SendInformed(const Ask& ask, std::set<std::size_t> tried) {
-  const auto most = static_cast<std::size_t>(spill::MostAttempts(ask.demand->idempotency));
+  const auto most = static_cast<std::size_t>(overflow::MostAttempts(ask.demand->idempotency));
   std::size_t best = site_;
   for (std::size_t s = 0; s < federation_.options().sites && tried.size() < most; ++s) {
     if (s == site_ || tried.contains(s) || federation_.servers(s).Offer() == 0) continue;
@@ -187,9 +187,9 @@
 }
 
 void SpillGateway::HandOn(Pending pending) {
-  const bool may =
-      pending.tried.size() < static_cast<std::size_t>(spill::MostAttempts(pending.ask.demand->idempotency));
-  std::optional<spill::Neighbour> to;
+  const bool may = pending.tried.size() <
+                   static_cast<std::size_t>(overflow::MostAttempts(pending.ask.demand->idempotency));
+  std::optional<overflow::Neighbour> to;
   if (may) to = PickRandom(pending.tried);
   if (!to) return federation_.GivenUp(pending.ask);
   pending.at = *to;
@@ -206,7 +206,7 @@
   pending_[id] = std::move(pending);
 }
 
-void SpillGateway::Ended(spill::SpillAnswered answer) {
+void SpillGateway::Ended(overflow::SpillAnswered answer) {
   const auto found = pending_.find(answer.request);
   if (found == pending_.end()) return;
   Pending pending = std::move(found->second);
@@ -225,12 +225,12 @@
 void SpillGateway::Receive(const Packet& packet) {
   if (const auto* told = std::any_cast<SpareTold>(packet.content.get())) {
     if (ambassador_) ambassador_->Heard(host_.Now(), told->member, told->spare);
-  } else if (const auto* estimate = std::any_cast<spill::Estimate>(packet.content.get())) {
-    Handle(spill::EstimateHeard{*estimate, host_.Wall()}, {});
+  } else if (const auto* estimate = std::any_cast<overflow::Estimate>(packet.content.get())) {
+    Handle(overflow::EstimateHeard{*estimate, host_.Wall()}, {});
   } else if (const auto* answer = std::any_cast<Answer>(packet.content.get())) {
-    spill::SpillAnswered ended{
+    overflow::SpillAnswered ended{
         answer->id, answer->from, answer->ok ? SpillOutcome::kOk : SpillOutcome::kRefused, {}, {}};
-    if (answer->estimate) ended.estimate = spill::EstimateHeard{*answer->estimate, host_.Wall()};
+    if (answer->estimate) ended.estimate = overflow::EstimateHeard{*answer->estimate, host_.Wall()};
     Ended(std::move(ended));
   } else if (const auto* spilled = std::any_cast<Spilled>(packet.content.get())) {
     Answer reply{spilled->ask.id, self_, true, {}};
@@ -256,7 +256,7 @@
     token_ = holder->token;
   }
   Servers& servers = federation_.servers(site_);
-  const auto wait = std::chrono::duration_cast<spill::Milliseconds>(servers.Wait());
+  const auto wait = std::chrono::duration_cast<overflow::Milliseconds>(servers.Wait());
   const double capacity = servers.capacity() / static_cast<double>(federation_.options().gateways);
   const SpareTold told{self_.gateway, meter_.Spare(now, capacity, wait)};
   if (ambassador_) {
@@ -266,15 +266,15 @@
     const auto& at = federation_.directory().at(self_.site).at("gateway-" + std::to_string(holder->gateway));
     host_.Send(at.pool, told, kStateBytes);
   }
-  Handle(spill::Tick{}, {});
+  Handle(overflow::Tick{}, {});
 }
 
 void SpillGateway::TellEstimate() {
   const auto made = ambassador_->Make(host_.Now(), host_.Wall(), Lease(true, token_));
-  Handle(spill::EstimateHeard{*made, host_.Wall()}, {});
+  Handle(overflow::EstimateHeard{*made, host_.Wall()}, {});
   for (const auto& [site, gateways] : federation_.directory())
     for (const auto& [gateway, addresses] : gateways) {
-      if (spill::Neighbour{site, gateway} == self_) continue;
+      if (overflow::Neighbour{site, gateway} == self_) continue;
       const auto late =
           site == self_.site ? std::chrono::milliseconds(0) : federation_.options().estimate_delay;
       federation_.world().At(host_.True() + late, [&host = host_, to = addresses.pool, estimate = *made] {
--- a/model/overflow/gateway.h
+++ b/model/overflow/gateway.h
@@ -30,13 +30,13 @@
   void Tick() override;
   Time Next() const override;
 
-  const spill::Spill& spill() const { return spill_; }
+  const overflow::Spill& spill() const { return spill_; }
 
  private:
   // A request handed on, until its answer or its time-out.
   struct Pending {
     Ask ask;
-    spill::Neighbour at;
+    overflow::Neighbour at;
     Time timeout{};
     std::set<std::string> tried;  // without estimates
   };
@@ -45,14 +45,14 @@
   void Refuse(const Ask& ask);
   // Without estimates: sends it to some neighbour that it has not been to, or gives it up.
   void HandOn(Pending pending);
-  std::optional<spill::Neighbour> PickRandom(const std::set<std::string>& tried);
+  std::optional<overflow::Neighbour> PickRandom(const std::set<std::string>& tried);
   // Without a network: it arrives after the way, at whichever neighbour has the most room at that moment.
   void SendKnowing(const Ask& ask);
   // The same, to whichever has the most room now of those that it has not been to.
   void SendInformed(const Ask& ask, std::set<std::size_t> tried);
   void Send(Pending pending);
-  void Handle(const spill::Event& event, const Ask& ask);
-  void Ended(spill::SpillAnswered answer);
+  void Handle(const overflow::Event& event, const Ask& ask);
+  void Ended(overflow::SpillAnswered answer);
   void Report();
   void TellEstimate();
   std::size_t Below(std::size_t bound) { return static_cast<std::size_t>(random_() % bound); }
@@ -60,12 +60,12 @@
   SpillFederation& federation_;
   Host& host_;
   const std::size_t site_, gateway_;
-  const spill::Neighbour self_;
+  const overflow::Neighbour self_;
   Clients clients_;
   std::mt19937_64 random_;
   Meter meter_;
-  spill::Spill spill_;
-  std::optional<spill::Ambassador> ambassador_;
+  overflow::Spill spill_;
+  std::optional<overflow::Ambassador> ambassador_;
   std::uint64_t token_ = 0;  // under which it is that
   Time next_arrival_{}, next_report_{};
   std::map<std::uint64_t, Pending> pending_;
--- a/model/overflow/meter.h
+++ b/model/overflow/meter.h
@@ -32,7 +32,7 @@
 
   // `capacity` in ms of work a second. The lower bound is 1.65 standard errors under the mean. Nothing while
   // it has refused own traffic within its memory, or does not know yet.
-  spill::MemberSpare Spare(Time now, double capacity, std::chrono::milliseconds wait) {
+  overflow::MemberSpare Spare(Time now, double capacity, std::chrono::milliseconds wait) {
     Advance(now);
     if (now - refused_at_ < kMemory || now - started_ < 2 * kMemory) return {0, 0, wait};
     const double mean = std::max(0.0, capacity - rate_);
--- a/model/overflow/servers.h
+++ b/model/overflow/servers.h
@@ -53,7 +53,7 @@
   std::deque<std::pair<double, Done>> queue_;
   double queued_ = 0;  // ms of work
   Meter meter_;        // of own work
-  spill::Share share_;
+  overflow::Share share_;
 };
 
 }  // namespace load_balancer::model
--- a/model/overflow/traffic.h
+++ b/model/overflow/traffic.h
@@ -43,7 +43,7 @@
 struct Tally {
   std::uint64_t asked = 0, answered = 0, given_up = 0, spilled = 0;
   double offered = 0, own = 0, elsewhere = 0;  // worth; of the latter two what was answered within its aim
-  std::array<double, spill::kWhys> lost{};     // worth given up by estimates, by Why
+  std::array<double, overflow::kWhys> lost{};  // worth given up by estimates, by Why
   double late = 0;                             // worth answered past its aim
   double served() const { return own + elsewhere; }
   void Add(const Tally& other) {
--- a/model/system/checks.cpp
+++ b/model/system/checks.cpp
@@ -26,7 +26,7 @@
 
 void Checks::Watch(Federation& federation) {
   federation_ = &federation;
-  const spill::Options& spill = wiring_.spill;
+  const overflow::Options& spill = wiring_.spill;
   const std::size_t senders = (wiring_.sites.size() - 1) * federation.options().members;
   for (const std::string& site : wiring_.sites)
     offers_.emplace(
@@ -77,7 +77,7 @@
   if (!skew_kept_) return;
   if (over > 0) Break(what + ", which is " + std::to_string(over) + " ms of work over its offer" + At(now()));
   // A member's word counts for as long as an estimate does, and so does an estimate made of it.
-  const spill::Options& spill = wiring_.spill;
+  const overflow::Options& spill = wiring_.spill;
   const Moment lives = 2 * spill.staleness + spill.most_skew + 2 * spill.estimate_interval;
   const auto since = no_spare_since_.find(to);
   if (since != no_spare_since_.end() && now() - since->second > lives)
--- a/model/system/gateway.cpp
+++ b/model/system/gateway.cpp
@@ -127,7 +127,7 @@
   const ClassSettings& rules =
       options_.settings.classes.at(static_cast<std::size_t>(request.ask.request_class));
   const Time now = host().Now();
-  spill::Refused refused;
+  overflow::Refused refused;
   refused.request = id;
   refused.idempotency = rules.idempotency;
   refused.latency_objective_left =
--- a/model/system/spill_side.cpp
+++ b/model/system/spill_side.cpp
@@ -11,9 +11,9 @@
 
 constexpr double kPerSecond = 1000;  // ms in a second
 
-spill::SpillOutcome OutcomeOf(Ending ending) {
-  if (ending == Ending::kServed) return spill::SpillOutcome::kOk;
-  return ending == Ending::kRefused ? spill::SpillOutcome::kRefused : spill::SpillOutcome::kMayHaveRun;
+overflow::SpillOutcome OutcomeOf(Ending ending) {
+  if (ending == Ending::kServed) return overflow::SpillOutcome::kOk;
+  return ending == Ending::kRefused ? overflow::SpillOutcome::kRefused : overflow::SpillOutcome::kMayHaveRun;
 }
 
 }  // namespace
@@ -33,7 +33,8 @@
       next_look_(host.Now()) {}
 
 // ---- requests on their way ----------------------------------------------------------------------------
-void SpillSide::Offer(const spill::Refused& refused, const ClientAsk& ask, const RequestReceived& received) {
+void SpillSide::Offer(const overflow::Refused& refused, const ClientAsk& ask,
+                      const RequestReceived& received) {
   Open& open = open_[refused.request];
   open.ask = ask;
   open.received = received;
@@ -41,16 +42,16 @@
 }
 
 void SpillSide::Gone(RequestId request) {
-  if (open_.erase(request) > 0) Feed(spill::ClientGone{request});
+  if (open_.erase(request) > 0) Feed(overflow::ClientGone{request});
 }
 
-void SpillSide::Feed(const spill::Event& event) {
-  std::vector<spill::Action> actions;
+void SpillSide::Feed(const overflow::Event& event) {
+  std::vector<overflow::Action> actions;
   spill_.Handle(host_.Now(), event, &actions);
   for (const auto& action : actions) std::visit([this](const auto& a) { Do(a); }, action);
 }
 
-void SpillSide::Do(const spill::SendTo& action) {
+void SpillSide::Do(const overflow::SendTo& action) {
   const auto found = open_.find(action.request);
   if (found == open_.end()) return;
   Open& open = found->second;
@@ -59,15 +60,15 @@
   open.timeout = open.sent + action.timeout;
   ClientAsk ask = open.ask;
   ask.left = action.timeout;
-  ask.mark = spill::MarkOf({own_site_, host_.Name()});
+  ask.mark = overflow::MarkOf({own_site_, host_.Name()});
   checks_.Spilled(own_site_, open.at.site, open.received, {ask.call, ask.tried});
   host_.Send(wiring_.addresses.at(open.at.gateway), std::move(ask), kAskBytes);
 }
 
 void SpillSide::Receive(const Endpoint& from, const ClientAnswer& answer) {
   if (!answer.estimate.empty())
-    if (const auto estimate = spill::FromJson(nlohmann::json::parse(answer.estimate)))
-      Feed(spill::EstimateHeard{*estimate, host_.Wall()});
+    if (const auto estimate = overflow::FromJson(nlohmann::json::parse(answer.estimate)))
+      Feed(overflow::EstimateHeard{*estimate, host_.Wall()});
   const auto found = std::find_if(open_.begin(), open_.end(), [&](const auto& each) {
     const Open& open = each.second;
     return open.ask.call == answer.call && open.ask.tried == answer.tried && open.timeout != Time::max() &&
@@ -76,19 +77,19 @@
   if (found != open_.end()) OnDone(found->first, OutcomeOf(answer.ending));
 }
 
-void SpillSide::OnDone(RequestId request, spill::SpillOutcome outcome) {
+void SpillSide::OnDone(RequestId request, overflow::SpillOutcome outcome) {
   Open& open = open_.at(request);
-  const spill::Neighbour neighbour = open.at;
+  const overflow::Neighbour neighbour = open.at;
   const Span took = host_.Now() - open.sent;
   open.timeout = Time::max();
-  if (outcome == spill::SpillOutcome::kOk) {
+  if (outcome == overflow::SpillOutcome::kOk) {
     open_.erase(request);
     requests_.OnSpillServed(request);
   }
-  Feed(spill::SpillAnswered{request, neighbour, outcome, took, std::nullopt});
+  Feed(overflow::SpillAnswered{request, neighbour, outcome, took, std::nullopt});
 }
 
-void SpillSide::Do(const spill::GiveUp& action) {
+void SpillSide::Do(const overflow::GiveUp& action) {
   if (open_.erase(action.request) == 0) return;
   if (action.may_have_run) return requests_.OnSpillFailed(action.request);
   requests_.OnSpillRefused(action.request, action.retry_after);
@@ -97,20 +98,20 @@
 // ---- requests that come from others -------------------------------------------------------------------
 bool SpillSide::TakeMark(ClientAsk* ask, const Endpoint& peer) const {
   const std::string mark = std::exchange(ask->mark, "");
-  return !mark.empty() && spill::JudgeMark(wiring_.directory, own_site_, mark, peer.address()).has_value();
+  return !mark.empty() && overflow::JudgeMark(wiring_.directory, own_site_, mark, peer.address()).has_value();
 }
 
 std::string SpillSide::EstimateText() const {
-  const spill::Estimate* estimate = spill_.EstimateOf(own_site_);
-  return estimate ? spill::ToJson(*estimate).dump() : "";
+  const overflow::Estimate* estimate = spill_.EstimateOf(own_site_);
+  return estimate ? overflow::ToJson(*estimate).dump() : "";
 }
 
 // ---- estimates ----------------------------------------------------------------------------------------
 void SpillSide::OnPoolFact(const fleet::FencedValue& fact) {
-  const auto estimate = spill::FromJson(fact.value);
+  const auto estimate = overflow::FromJson(fact.value);
   if (estimate && fact.key == "estimate/" + estimate->site &&
       fact.duty == Wiring::AmbassadorOf(estimate->site))
-    Feed(spill::EstimateHeard{*estimate, host_.Wall()});
+    Feed(overflow::EstimateHeard{*estimate, host_.Wall()});
 }
 
 Time SpillSide::Next() const {
@@ -124,7 +125,7 @@
   std::vector<RequestId> late;
   for (const auto& [request, open] : open_)
     if (open.timeout <= now) late.push_back(request);
-  for (const RequestId request : late) OnDone(request, spill::SpillOutcome::kMayHaveRun);
+  for (const RequestId request : late) OnDone(request, overflow::SpillOutcome::kMayHaveRun);
   if (now < next_look_) return;
   next_look_ = now + wiring_.spill.estimate_interval;
   Look();
@@ -132,7 +133,7 @@
 
 void SpillSide::Look() {
   LookAtPresence();
-  Feed(spill::Tick{});
+  Feed(overflow::Tick{});
   TellSpare();
   MakeEstimate();
 }
@@ -149,12 +150,12 @@
       const auto [before, fresh] = present_.try_emplace(name, present);
       if (!fresh && before->second == present) continue;
       before->second = present;
-      Feed(spill::Presence{{site, name}, present});
+      Feed(overflow::Presence{{site, name}, present});
     }
   }
 }
 
-spill::MemberSpare SpillSide::OwnSpare() const {
+overflow::MemberSpare SpillSide::OwnSpare() const {
   const load_balancer::SpareCapacity spare = requests_.SpareNow();
   return {spare.work_per_ms * kPerSecond, spare.work_per_ms_lower_bound * kPerSecond,
           std::chrono::ceil<std::chrono::milliseconds>(spare.wait)};
@@ -162,7 +163,7 @@
 
 // To the ambassador, wherever it is.
 void SpillSide::TellSpare() {
-  const spill::MemberSpare spare = OwnSpare();
+  const overflow::MemberSpare spare = OwnSpare();
   if (ambassador_) ambassador_->Heard(host_.Now(), host_.Name(), spare);
   const std::string holder = site_.HolderOf(duty_);
   const auto member = site_.membership().others().find(holder);
@@ -192,16 +193,16 @@
   }
   const auto estimate = ambassador_->Make(host_.Now(), host_.Wall(), *proof);
   if (!estimate) return;
-  if (!wide_.Publish(*proof, "estimate/" + own_site_, spill::ToJson(*estimate), wiring_.spill.staleness))
+  if (!wide_.Publish(*proof, "estimate/" + own_site_, overflow::ToJson(*estimate), wiring_.spill.staleness))
     return;
   checks_.Acted(machine_, kSitePool, duty_, proof->token());
   checks_.Estimated(own_site_, std::min(wiring_.spill.most_part * static_cast<double>(estimate->mean),
                                         static_cast<double>(estimate->low)));
-  Feed(spill::EstimateHeard{*estimate, host_.Wall()});
+  Feed(overflow::EstimateHeard{*estimate, host_.Wall()});
 }
 
 bool SpillSide::HasEstimateOf(const std::string& site) const {
-  const spill::Estimate* estimate = spill_.EstimateOf(site);
+  const overflow::Estimate* estimate = spill_.EstimateOf(site);
   const auto lives = static_cast<std::uint64_t>((wiring_.spill.staleness + wiring_.spill.most_skew).count());
   return estimate && estimate->made_at + lives > host_.Wall();
 }
--- a/model/system/wiring.h
+++ b/model/system/wiring.h
@@ -21,9 +21,9 @@
 struct Wiring {
   std::vector<std::string> sites;             // by number
   std::map<std::string, Endpoint> addresses;  // of each gateway, in all pools
-  spill::Directory directory;
+  overflow::Directory directory;
   quota::SiteLayout layout;
-  spill::Options spill;
+  overflow::Options spill;
   quota::Timings timings;
   std::size_t allocators = 2;
   std::shared_ptr<const quota::Budgets> budgets;
--- a/src/overflow/admission_threshold.h
+++ b/src/overflow/admission_threshold.h
@@ -13,7 +13,7 @@
 
 #include "base/time.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 class Price {
  public:
@@ -56,6 +56,6 @@
   Time faded_{};
 };
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_ADMISSION_THRESHOLD_H_
--- a/src/overflow/estimate.cpp
+++ b/src/overflow/estimate.cpp
@@ -6,7 +6,7 @@
 
 #include "overflow/failures.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 namespace {
 
 using nlohmann::json;
@@ -135,4 +135,4 @@
          (alone || Milliseconds(held->estimate.for_ms) >= options_.over_settled());
 }
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/src/overflow/estimate.h
+++ b/src/overflow/estimate.h
@@ -13,7 +13,7 @@
 #include "base/time.h"
 #include "overflow/options.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 using UnixMs = std::uint64_t;
 
@@ -82,6 +82,6 @@
   std::map<std::string, std::uint64_t> fences_;  // the largest token seen of each configured site
 };
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_ESTIMATE_H_
--- a/src/overflow/estimate_publisher.cpp
+++ b/src/overflow/estimate_publisher.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 namespace {
 
 constexpr Milliseconds kLongestWait{3600000};  // of one without servers, too
@@ -43,4 +43,4 @@
   return e;
 }
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/src/overflow/estimate_publisher.h
+++ b/src/overflow/estimate_publisher.h
@@ -16,7 +16,7 @@
 #include "overflow/hysteresis.h"
 #include "overflow/options.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 // What one proxy's module would still let through of further own traffic, as Estimate has it: work spilled to
 // it by others is not taken off.
@@ -68,6 +68,6 @@
   Hysteresis over_{kZeroFor, kSpareFor};
 };
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
--- a/src/overflow/failures.h
+++ b/src/overflow/failures.h
@@ -8,7 +8,7 @@
 
 #include "base/error/failure.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 inline constexpr FailureKind kBadEstimate{
     "SPILL-1", "an estimate is out of form",
@@ -36,6 +36,6 @@
 inline constexpr std::array kSpillFailures{&kBadEstimate, &kFutureEstimate, &kFencedEstimate, &kUnknownSite,
                                            &kBadMark,     &kForeignMark,    &kNeighbourLeft};
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_FAILURES_H_
--- a/src/overflow/hysteresis.h
+++ b/src/overflow/hysteresis.h
@@ -9,7 +9,7 @@
 
 #include "base/time.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 class Hysteresis {
  public:
@@ -44,6 +44,6 @@
   std::optional<Time> since_, differs_since_;
 };
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
--- a/src/overflow/incoming.h
+++ b/src/overflow/incoming.h
@@ -15,7 +15,7 @@
 #include "overflow/options.h"
 #include "overflow/remote_gateways.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 inline constexpr std::string_view kMarkHeader = "Spilled-From";
 inline constexpr std::string_view kEstimateHeader = "Spill-Estimate";  // of answers: ToJson's text
@@ -43,6 +43,6 @@
   return from;
 }
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_INCOMING_H_
--- a/src/overflow/key_affinity.h
+++ b/src/overflow/key_affinity.h
@@ -12,7 +12,7 @@
 #include "base/time.h"
 #include "overflow/remote_gateways.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 class StickyKeys {
  public:
@@ -47,6 +47,6 @@
   std::set<std::pair<Time, std::uint64_t>> by_end_;
 };
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_KEY_AFFINITY_H_
--- a/src/overflow/options.h
+++ b/src/overflow/options.h
@@ -12,7 +12,7 @@
 #include <map>
 #include <string>
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 using Milliseconds = std::chrono::milliseconds;
 
@@ -44,6 +44,6 @@
 // Site, then gateway, as configured at all gateways alike.
 using Directory = std::map<std::string, std::map<std::string, Gateway>>;
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_OPTIONS_H_
--- a/src/overflow/overflow_router.cpp
+++ b/src/overflow/overflow_router.cpp
@@ -8,7 +8,7 @@
 
 #include "overflow/failures.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 namespace {
 
 // Of a share's depth, for requests of higher worth, when these alone ask for all that is offered (trunk
@@ -255,4 +255,4 @@
   return line;
 }
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/src/overflow/overflow_router.h
+++ b/src/overflow/overflow_router.h
@@ -25,7 +25,7 @@
 #include "overflow/rules.h"
 #include "overflow/token_bucket.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 // ---- events, besides Refused of rules.h ---------------------------------------------------------------
 // An estimate of any site, this one's among them: from the federation pool, an answer's header, or made by
@@ -166,6 +166,6 @@
   Counts counts_;
 };
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_OVERFLOW_ROUTER_H_
--- a/src/overflow/remote_gateways.cpp
+++ b/src/overflow/remote_gateways.cpp
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <boost/random/uniform_int_distribution.hpp>
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 Neighbours::Neighbours(const Directory& sites, const std::string& own_site, std::mt19937_64& random)
     : random_(random) {
@@ -84,4 +84,4 @@
   return in_service;
 }
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/src/overflow/remote_gateways.h
+++ b/src/overflow/remote_gateways.h
@@ -15,7 +15,7 @@
 #include "base/time.h"
 #include "overflow/options.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 struct Neighbour {
   std::string site, gateway;
@@ -59,6 +59,6 @@
   std::map<Neighbour, Health> health_;
 };
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_REMOTE_GATEWAYS_H_
--- a/src/overflow/rules.cpp
+++ b/src/overflow/rules.cpp
@@ -3,7 +3,7 @@
 
 #include <array>
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 namespace {
 
 constexpr std::array<std::string_view, kWhys> kNames{
@@ -33,4 +33,4 @@
   return 2 * options.way + Milliseconds(wait_ms) + std::chrono::duration_cast<Span>(work);
 }
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/src/overflow/rules.h
+++ b/src/overflow/rules.h
@@ -12,7 +12,7 @@
 #include "load_balancer/balancer.h"
 #include "overflow/options.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 // A request that the module has refused. Times are what is left of them now.
 struct Refused {
@@ -55,6 +55,6 @@
 // Until an answer would be back: the way there and back, the neighbour's wait, and the work itself.
 Span Needs(const Options& options, std::uint64_t wait_ms, double work_ms);
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_RULES_H_
--- a/src/overflow/section.cpp
+++ b/src/overflow/section.cpp
@@ -5,7 +5,7 @@
 
 #include "base/config/section.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 SpillSection ReadSpill(const nlohmann::json& root, std::vector<std::string>* faults) {
   SpillSection spill;
@@ -41,4 +41,4 @@
     faults->push_back("spill: fleet.lease_term_ms is missing, as the ambassador needs a lease");
 }
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/src/overflow/section.h
+++ b/src/overflow/section.h
@@ -10,7 +10,7 @@
 
 #include "overflow/options.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 // `spill`: absent, nothing is spilled and spilled requests are refused.
 struct SpillSection {
@@ -26,6 +26,6 @@
 void CheckSpill(const SpillSection& spill, const Directory& sites, const std::string& own_site,
                 Milliseconds lease_term, std::vector<std::string>* faults);
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_SECTION_H_
--- a/src/overflow/token_bucket.h
+++ b/src/overflow/token_bucket.h
@@ -10,7 +10,7 @@
 
 #include "base/time.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 class Share {
  public:
@@ -52,6 +52,6 @@
   double rate_ = 0, depth_ = 0, level_ = 0;
 };
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_OVERFLOW_TOKEN_BUCKET_H_
--- a/src/proxy/client/session.cpp
+++ b/src/proxy/client/session.cpp
@@ -357,7 +357,7 @@
   writer_.head().keep_alive(!last_);
   if (std::exchange(spilled_, false))
     if (const std::string estimate = owner_->handler_.EstimateText(); !estimate.empty())
-      writer_.head().set(std::string(spill::kEstimateHeader), estimate);
+      writer_.head().set(std::string(overflow::kEstimateHeader), estimate);
   writer_.Begin();
   if (reading_ && last_) CancelRead();  // it may wait for more of the body, for so long
   ReadAhead();
--- a/src/proxy/config/across.cpp
+++ b/src/proxy/config/across.cpp
@@ -15,8 +15,8 @@
   return layout;
 }
 
-spill::Directory DirectoryOf(const fleet::SitesSection& sites) {
-  spill::Directory directory;
+overflow::Directory DirectoryOf(const fleet::SitesSection& sites) {
+  overflow::Directory directory;
   for (const auto& [site, gateways] : sites.gateways)
     for (const auto& [name, at] : gateways) directory[site][name] = {at.pool, at.clients};
   return directory;
@@ -34,8 +34,8 @@
   if (config.quota.on && config.sites.on)
     quota::CheckQuota(config.quota, LayoutOf(config.sites), {config.tenants.begin(), config.tenants.end()},
                       config.sites.lease_term, config.sites.lease_drift, &faults);
-  spill::CheckSpill(config.spill, DirectoryOf(config.sites), config.sites.site, config.fleet.lease_term,
-                    &faults);
+  overflow::CheckSpill(config.spill, DirectoryOf(config.sites), config.sites.site, config.fleet.lease_term,
+                       &faults);
   if (!faults.empty()) throw BadConfig(std::move(faults));
 }
 
--- a/src/proxy/federation/link.cpp
+++ b/src/proxy/federation/link.cpp
@@ -52,7 +52,7 @@
   const ClassSettings& rules = pending->config->settings.classes[pending->received.request_class];
   const auto span = [](Duration d) { return std::chrono::duration_cast<Span>(d); };
   const TimePoint now = module_.Now();
-  spill::Refused refused;
+  overflow::Refused refused;
   refused.request = request;
   refused.idempotency = rules.idempotency;
   refused.latency_objective_left = span(pending->came + rules.latency_objective - now);
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -21,8 +21,8 @@
 constexpr std::chrono::seconds kBetweenComplaints{1};
 constexpr double kPerSecond = 1000;  // ms in a second
 
-spill::Directory DirectoryOf(const fleet::SitesSection& sites) {
-  spill::Directory directory;
+overflow::Directory DirectoryOf(const fleet::SitesSection& sites) {
+  overflow::Directory directory;
   for (const auto& [site, gateways] : sites.gateways)
     for (const auto& [name, at] : gateways) directory[site][name] = {at.pool, at.clients};
   return directory;
@@ -33,17 +33,17 @@
   return {sites.gateways.at(sites.site).at(self).clients.address(), 0};
 }
 
-spill::SpillOutcome OutcomeOf(Outcome outcome) {
+overflow::SpillOutcome OutcomeOf(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk:
-      return spill::SpillOutcome::kOk;
+      return overflow::SpillOutcome::kOk;
     case Outcome::kOverloaded:
-      return spill::SpillOutcome::kRefused;
+      return overflow::SpillOutcome::kRefused;
     case Outcome::kConnectFailed:
     case Outcome::kNotSent:
-      return spill::SpillOutcome::kNotRun;
+      return overflow::SpillOutcome::kNotRun;
     default:
-      return spill::SpillOutcome::kMayHaveRun;
+      return overflow::SpillOutcome::kMayHaveRun;
   }
 }
 
@@ -53,7 +53,7 @@
   return std::isfinite(figure) && figure > 0 ? figure : 0;
 }
 
-spill::MemberSpare MemberSpareOf(const load_balancer::SpareCapacity& spare) {
+overflow::MemberSpare MemberSpareOf(const load_balancer::SpareCapacity& spare) {
   return {spare.work_per_ms * kPerSecond, spare.work_per_ms_lower_bound * kPerSecond,
           std::chrono::ceil<std::chrono::milliseconds>(spare.wait)};
 }
@@ -61,7 +61,7 @@
 }  // namespace
 
 SpillService::SpillService(asio::io_context& io, const fleet::SitesSection& sites,
-                           const spill::SpillSection& section, const std::string& self, std::uint64_t seed,
+                           const overflow::SpillSection& section, const std::string& self, std::uint64_t seed,
                            std::function<std::size_t()> most_connections, Buffers& buffers, Pool& pool,
                            fleet::Node& site, SpillHost& host)
     : sites_(sites),
@@ -94,7 +94,7 @@
 }
 
 // ---- requests on their way ----------------------------------------------------------------------------
-void SpillService::Offer(const spill::Refused& refused, std::shared_ptr<const HttpRequest> message) {
+void SpillService::Offer(const overflow::Refused& refused, std::shared_ptr<const HttpRequest> message) {
   open_[refused.request].message = std::move(message);
   Feed(refused);
 }
@@ -104,31 +104,31 @@
   if (open == open_.end()) return;
   const AttemptId attempt = open->second.attempt;
   open_.erase(open);
-  Feed(spill::ClientGone{request});
+  Feed(overflow::ClientGone{request});
   neighbours_.GiveUp(attempt);
 }
 
-void SpillService::Feed(const spill::Event& event) {
-  std::vector<spill::Action> actions;
+void SpillService::Feed(const overflow::Event& event) {
+  std::vector<overflow::Action> actions;
   spill_.Handle(Steady::now(), event, &actions);
   for (const auto& action : actions) std::visit([this](const auto& a) { Do(a); }, action);
 }
 
-void SpillService::Do(const spill::SendTo& action) {
+void SpillService::Do(const overflow::SendTo& action) {
   const auto open = open_.find(action.request);
   if (open == open_.end()) return;
   const auto timeout = std::chrono::duration_cast<Duration>(action.timeout);
   Outgoing out;
   out.head = open->second.message->base();
-  out.head.set(std::string(spill::kMarkHeader), spill::MarkOf({sites_.site, self_}));
+  out.head.set(std::string(overflow::kMarkHeader), overflow::MarkOf({sites_.site, self_}));
   out.whole = {open->second.message, &open->second.message->body()};
   AttemptEvents events;
   const auto sent = Steady::now();
   events.begun = [this, request = action.request, neighbour = action.neighbour, sent](AnswerHead head) {
     if (open_.erase(request) == 0) return head.body->Abandon();
     host_.OnSpillBegun(request, std::move(head));
-    Feed(spill::SpillAnswered{request, neighbour, spill::SpillOutcome::kOk, Steady::now() - sent,
-                              std::nullopt});
+    Feed(overflow::SpillAnswered{request, neighbour, overflow::SpillOutcome::kOk, Steady::now() - sent,
+                                 std::nullopt});
   };
   events.done = [this, request = action.request, neighbour = action.neighbour, sent](AttemptResult result) {
     OnDone(request, neighbour, sent, std::move(result));
@@ -137,21 +137,21 @@
       neighbours_.Send(numbers_.at(action.neighbour), std::move(out), timeout, std::move(events));
 }
 
-void SpillService::OnDone(RequestId request, const spill::Neighbour& neighbour, Steady::time_point sent,
+void SpillService::OnDone(RequestId request, const overflow::Neighbour& neighbour, Steady::time_point sent,
                           AttemptResult result) {
-  const spill::SpillOutcome outcome = OutcomeOf(result.outcome);
-  if (outcome == spill::SpillOutcome::kOk && open_.erase(request) > 0)
+  const overflow::SpillOutcome outcome = OutcomeOf(result.outcome);
+  if (outcome == overflow::SpillOutcome::kOk && open_.erase(request) > 0)
     host_.OnSpillServed(request, std::move(result.response), std::move(result.hold));
-  Feed(spill::SpillAnswered{request, neighbour, outcome, Steady::now() - sent, std::nullopt});
+  Feed(overflow::SpillAnswered{request, neighbour, outcome, Steady::now() - sent, std::nullopt});
 }
 
-void SpillService::Do(const spill::GiveUp& action) {
+void SpillService::Do(const overflow::GiveUp& action) {
   if (open_.erase(action.request) == 0) return;
   if (action.may_have_run) return host_.OnSpillFailed(action.request);
   host_.OnSpillRefused(action.request, std::chrono::duration_cast<Duration>(action.retry_after));
 }
 
-void SpillService::Do(const spill::Log& action) {
+void SpillService::Do(const overflow::Log& action) {
   if (action.kind)
     log::Warn("spill", Failure(*action.kind, action.text));
   else
@@ -160,12 +160,12 @@
 
 // ---- requests that come from others -------------------------------------------------------------------
 bool SpillService::TakeMark(HttpRequest* message, const asio::ip::address& peer) {
-  const auto header = std::string(spill::kMarkHeader);
+  const auto header = std::string(overflow::kMarkHeader);
   const auto mark = message->find(header);
   if (mark == message->end()) return false;
   const bool single = message->count(header) == 1;
-  const auto judged =
-      spill::JudgeMark(DirectoryOf(sites_), sites_.site, {mark->value().data(), mark->value().size()}, peer);
+  const auto judged = overflow::JudgeMark(DirectoryOf(sites_), sites_.site,
+                                          {mark->value().data(), mark->value().size()}, peer);
   message->erase(header);
   if (judged) return single;
   if (Steady::now() >= next_complaint_) {
@@ -176,32 +176,32 @@
 }
 
 std::string SpillService::EstimateText() const {
-  const spill::Estimate* estimate = spill_.EstimateOf(sites_.site);
-  return estimate ? spill::ToJson(*estimate).dump() : "";
+  const overflow::Estimate* estimate = spill_.EstimateOf(sites_.site);
+  return estimate ? overflow::ToJson(*estimate).dump() : "";
 }
 
 // ---- estimates ----------------------------------------------------------------------------------------
 void SpillService::OnHead(const boost::beast::http::response_header<>& head) {
-  const auto text = head.find(std::string(spill::kEstimateHeader));
+  const auto text = head.find(std::string(overflow::kEstimateHeader));
   if (text == head.end()) return;
   const auto value = nlohmann::json::parse(text->value().begin(), text->value().end(), nullptr,
                                            /*allow_exceptions=*/false);
-  if (const auto estimate = spill::FromJson(value))
-    Feed(spill::EstimateHeard{*estimate, UnixMilliseconds()});
+  if (const auto estimate = overflow::FromJson(value))
+    Feed(overflow::EstimateHeard{*estimate, UnixMilliseconds()});
   else
     log::Warn("spill", estimate.error());
 }
 
 void SpillService::OnPoolFact(const fleet::FencedValue& fact) {
-  const auto estimate = spill::FromJson(fact.value);
+  const auto estimate = overflow::FromJson(fact.value);
   if (!estimate) return log::Warn("spill", estimate.error());
   if (fact.key == "estimate/" + estimate->site && fact.duty == DutyOf(estimate->site))
-    Feed(spill::EstimateHeard{*estimate, UnixMilliseconds()});
+    Feed(overflow::EstimateHeard{*estimate, UnixMilliseconds()});
 }
 
 void SpillService::Look() {
   LookAtPresence();
-  Feed(spill::Tick{});
+  Feed(overflow::Tick{});
   TellSpare();
   MakeEstimate();
   timer_.expires_after(options_.estimate_interval);
@@ -218,13 +218,13 @@
     const auto [before, fresh] = present_.try_emplace(neighbour.gateway, found->second);
     if (!fresh && before->second == found->second) continue;
     before->second = found->second;
-    Feed(spill::Presence{neighbour, found->second});
+    Feed(overflow::Presence{neighbour, found->second});
   }
 }
 
 // To the ambassador, wherever it is.
 void SpillService::TellSpare() {
-  const spill::MemberSpare spare = MemberSpareOf(host_.SpareNow());
+  const overflow::MemberSpare spare = MemberSpareOf(host_.SpareNow());
   if (ambassador_) ambassador_->Heard(Steady::now(), self_, spare);
   const std::string holder = site_.HolderOf(duty_);
   const std::string name = holder.substr(0, holder.find('/'));
@@ -257,10 +257,10 @@
   }
   const auto estimate = ambassador_->Make(Steady::now(), UnixMilliseconds(), *proof);
   if (!estimate) return;
-  const auto published =
-      pool_.node().Publish(*proof, "estimate/" + sites_.site, spill::ToJson(*estimate), options_.staleness);
+  const auto published = pool_.node().Publish(*proof, "estimate/" + sites_.site, overflow::ToJson(*estimate),
+                                              options_.staleness);
   if (!published) return log::Warn("spill", published.error());
-  Feed(spill::EstimateHeard{*estimate, UnixMilliseconds()});
+  Feed(overflow::EstimateHeard{*estimate, UnixMilliseconds()});
 }
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/federation/spill_service.h
+++ b/src/proxy/federation/spill_service.h
@@ -46,12 +46,12 @@
 
   // `site` is the site's own fleet; all that is given outlives this.
   SpillService(boost::asio::io_context& io, const fleet::SitesSection& sites,
-               const spill::SpillSection& section, const std::string& self, std::uint64_t seed,
+               const overflow::SpillSection& section, const std::string& self, std::uint64_t seed,
                std::function<std::size_t()> most_connections, Buffers& buffers, Pool& pool, fleet::Node& site,
                SpillHost& host);
 
   // The module has refused `message`, whole; its final answer comes from here.
-  void Offer(const spill::Refused& refused, std::shared_ptr<const HttpRequest> message);
+  void Offer(const overflow::Refused& refused, std::shared_ptr<const HttpRequest> message);
   void Gone(RequestId request);
 
   // Whether a request comes from another site's gateway; takes the mark off it either way.
@@ -68,14 +68,14 @@
     std::shared_ptr<const HttpRequest> message;
     AttemptId attempt = 0;  // the last that was sent
   };
-  void Feed(const spill::Event& event);
-  void Do(const spill::SendTo& action);
-  void Do(const spill::GiveUp& action);
-  void Do(const spill::Log& action);
-  void Do(const spill::SetTimer&) {}  // Look comes as often
+  void Feed(const overflow::Event& event);
+  void Do(const overflow::SendTo& action);
+  void Do(const overflow::GiveUp& action);
+  void Do(const overflow::Log& action);
+  void Do(const overflow::SetTimer&) {}  // Look comes as often
 
   void OnHead(const boost::beast::http::response_header<>& head);
-  void OnDone(RequestId request, const spill::Neighbour& neighbour, Steady::time_point sent,
+  void OnDone(RequestId request, const overflow::Neighbour& neighbour, Steady::time_point sent,
               AttemptResult result);
 
   void Look();
@@ -85,17 +85,17 @@
   void MakeEstimate();
 
   const fleet::SitesSection sites_;
-  const spill::Options options_;
+  const overflow::Options options_;
   const std::string self_, duty_;
   Pool& pool_;
   fleet::Node& site_;
   SpillHost& host_;
-  spill::Spill spill_;
-  std::map<spill::Neighbour, ServerId> numbers_;
+  overflow::Spill spill_;
+  std::map<overflow::Neighbour, ServerId> numbers_;
   Backends neighbours_;
   std::map<RequestId, Open> open_;
   std::map<std::string, bool> present_;  // gateways of other sites, as last told
-  std::optional<spill::Ambassador> ambassador_;
+  std::optional<overflow::Ambassador> ambassador_;
   fleet::FencingToken office_ = 0;  // the lease that the ambassador is of
   Steady::time_point next_complaint_{};
   boost::asio::steady_timer timer_;
--- a/tests/compatibility/configuration_fields.cpp
+++ b/tests/compatibility/configuration_fields.cpp
@@ -121,8 +121,8 @@
   return fields;
 }
 
-json FieldsOf(const spill::SpillSection& spill) {
-  const spill::Options& options = spill.options;
+json FieldsOf(const overflow::SpillSection& spill) {
+  const overflow::Options& options = spill.options;
   return {{"on", spill.on},
           {"most_part", options.most_part},
           {"estimate_interval", options.estimate_interval.count()},
--- a/tests/compatibility/names.cpp
+++ b/tests/compatibility/names.cpp
@@ -63,21 +63,21 @@
                                 {"mean", 900},   {"low", 800},    {"wait_ms", 35},
                                 {"members", 3},  {"over", false}, {"for_ms", 60}};
   const auto encode = [] {
-    const spill::Estimate estimate{"MUC", 7, 1764600000300, 900, 800, 35, 3, false, 60};
+    const overflow::Estimate estimate{"MUC", 7, 1764600000300, 900, 800, 35, 3, false, 60};
     std::ostringstream lines;
-    lines << spill::kMarkHeader << kBetween << spill::MarkOf({"MUC", "n1"}) << '\n'
-          << spill::kEstimateHeader << kBetween << spill::ToJson(estimate).dump() << '\n';
+    lines << overflow::kMarkHeader << kBetween << overflow::MarkOf({"MUC", "n1"}) << '\n'
+          << overflow::kEstimateHeader << kBetween << overflow::ToJson(estimate).dump() << '\n';
     return BytesOf(lines.str());
   };
   const auto decode = [](const Bytes& bytes) {
     const std::string lines = TextOf(bytes);
     const auto address = boost::asio::ip::make_address("127.0.0.1");
-    const spill::Directory sites = {{"MUC", {{"n1", {{address, 7950}, {address, 8080}}}}}, {"PAR", {}}};
-    const auto from = spill::JudgeMark(sites, "PAR", ValueOf(lines, spill::kMarkHeader), address);
+    const overflow::Directory sites = {{"MUC", {{"n1", {{address, 7950}, {address, 8080}}}}}, {"PAR", {}}};
+    const auto from = overflow::JudgeMark(sites, "PAR", ValueOf(lines, overflow::kMarkHeader), address);
     if (!from) throw std::runtime_error(from.error().Text());
-    const auto estimate = spill::FromJson(json::parse(ValueOf(lines, spill::kEstimateHeader)));
+    const auto estimate = overflow::FromJson(json::parse(ValueOf(lines, overflow::kEstimateHeader)));
     if (!estimate) throw std::runtime_error(estimate.error().Text());
-    const spill::Estimate& read = *estimate;
+    const overflow::Estimate& read = *estimate;
     return json{{"site", from->site},
                 {"gateway", from->gateway},
                 {"estimate",
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -81,9 +81,9 @@
     return section;
   }
   void Tell(const std::string& site, std::uint64_t spare, bool over) {
-    spill::Estimate estimate{site, 1, UnixMilliseconds(), spare, spare, 0, 1, over, 60000};
+    overflow::Estimate estimate{site, 1, UnixMilliseconds(), spare, spare, 0, 1, over, 60000};
     service_.OnPoolFact({proxy::SpillService::DutyOf(site), "estimate/" + site, 1, UnixMilliseconds() + 3000,
-                         spill::ToJson(estimate)});
+                         overflow::ToJson(estimate)});
   }
 
   // What a request of that effect ends as.
@@ -92,7 +92,7 @@
     auto message = std::make_shared<HttpRequest>(http::verb::get, "/look/it", 11);
     message->set("Req-Id", "1");
     message->prepare_payload();
-    spill::Refused refused;
+    overflow::Refused refused;
     refused.request = ++last_;
     refused.idempotency = idempotency;
     refused.latency_objective_left = refused.deadline_left = std::chrono::seconds(10);
@@ -136,8 +136,8 @@
 }
 
 TEST_F(SpillOnSockets, AFresherEstimateInAnAnswerCounts) {
-  const spill::Estimate none{"b", 1, UnixMilliseconds() + 1, 0, 0, 0, 1, true, 60000};
-  const std::string carried = std::string(spill::kEstimateHeader) + ": " + spill::ToJson(none).dump();
+  const overflow::Estimate none{"b", 1, UnixMilliseconds() + 1, 0, 0, 0, 1, true, 60000};
+  const std::string carried = std::string(overflow::kEstimateHeader) + ": " + overflow::ToJson(none).dump();
   EXPECT_EQ(
       Offer(Idempotency::kIdempotent, "HTTP/1.1 200 OK\r\n" + carried + "\r\nContent-Length: 0\r\n\r\n"),
       "served ");
--- a/tests/overflow/estimate_test.cpp
+++ b/tests/overflow/estimate_test.cpp
@@ -10,7 +10,7 @@
 #include "overflow/failures.h"
 #include "overflow/section.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 namespace {
 
 using nlohmann::json;
@@ -129,4 +129,4 @@
 }
 
 }  // namespace
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/tests/overflow/fixture.h
+++ b/tests/overflow/fixture.h
@@ -11,7 +11,7 @@
 
 #include "overflow/overflow_router.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 
 inline constexpr UnixMs kWall = 1700000000000;
 inline constexpr Time kStart{std::chrono::hours(1)};
@@ -90,6 +90,6 @@
   return request;
 }
 
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
 
 #endif  // LOAD_BALANCER_TESTS_OVERFLOW_FIXTURE_H_
--- a/tests/overflow/herd_test.cpp
+++ b/tests/overflow/herd_test.cpp
@@ -10,7 +10,7 @@
 #include "fixture.h"
 #include "overflow/estimate_publisher.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 namespace {
 
 constexpr Milliseconds kStep{50};
@@ -81,7 +81,7 @@
 
   Time now() const { return kStart + passed; }
 
-  using Late = std::pair<Milliseconds, std::pair<std::size_t, spill::Estimate>>;
+  using Late = std::pair<Milliseconds, std::pair<std::size_t, overflow::Estimate>>;
   struct Later {
     bool operator()(const Late& a, const Late& b) const { return a.first > b.first; }
   };
@@ -137,4 +137,4 @@
 }
 
 }  // namespace
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/tests/overflow/incoming_test.cpp
+++ b/tests/overflow/incoming_test.cpp
@@ -5,7 +5,7 @@
 
 #include "fixture.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 namespace {
 
 TEST(Incoming, AMarkCountsOnlyFromTheGatewayThatItNames) {
@@ -27,4 +27,4 @@
 }
 
 }  // namespace
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/tests/overflow/overflow_router_test.cpp
+++ b/tests/overflow/overflow_router_test.cpp
@@ -8,7 +8,7 @@
 #include "fixture.h"
 #include "overflow/failures.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 namespace {
 
 const std::vector<Estimate> kBothHaveSpare{Spare("b", 8000), Spare("c", 8000)};
@@ -291,4 +291,4 @@
 }
 
 }  // namespace
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
--- a/tests/overflow/remote_gateways_test.cpp
+++ b/tests/overflow/remote_gateways_test.cpp
@@ -7,7 +7,7 @@
 #include "fixture.h"
 #include "overflow/token_bucket.h"
 
-namespace load_balancer::spill {
+namespace load_balancer::overflow {
 namespace {
 
 using std::chrono::milliseconds;
@@ -127,4 +127,4 @@
 }
 
 }  // namespace
-}  // namespace load_balancer::spill
+}  // namespace load_balancer::overflow
