--- a/model/system/mutants/forgets_none.sed
+++ b/model/system/mutants/forgets_none.sed
@@ -1,2 +1,2 @@
 # What its client has left stays open.
-s/counts_\.gone += open_\.erase(event\.request)/counts_.gone += open_.count(event.request)/
+s/counts_\.client_gone += open_\.erase(event\.request)/counts_.client_gone += open_.count(event.request)/
--- a/src/overflow/admission_threshold.h
+++ b/src/overflow/admission_threshold.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a spilled request must be worth while neighbours offer less than is asked of them: the demand of the
-// last seconds, by worth per work, against what is offered. Higher worth goes first; the class at the margin
-// goes by chance, as far as the offer reaches.
+// The admission threshold for forwarded requests. While the other sites offer less capacity than is
+// requested, requests with a high priority weight per work are admitted first. The threshold results from the
+// requests of the last seconds and the offered capacity. Requests at the threshold are admitted at random,
+// with the probability that uses up the remaining capacity.
 #ifndef LOAD_BALANCER_OVERFLOW_ADMISSION_THRESHOLD_H_
 #define LOAD_BALANCER_OVERFLOW_ADMISSION_THRESHOLD_H_
 
@@ -15,45 +16,50 @@
 
 namespace load_balancer::overflow {
 
-class Price {
+// AdmissionThreshold holds the recent demand, grouped by the priority weight per work of the requests.
+class AdmissionThreshold {
  public:
-  struct Verdict {
-    double chance;  // that the request is to have, from 0 to 1
-    double above;   // part of what is offered that is asked for by those of higher worth, from 0 to 1
+  struct Decision {
+    double admit_probability;  // of this request, from 0 to 1
+    double higher_demand;      // demand of higher weight as a fraction of the offered capacity, from 0 to 1
   };
-  // A request of so much worth and work (ms; over zero) asks, with `offered` ms of work a second for all.
-  Verdict Ask(Time now, double priority_weight, double work, double offered) {
-    Fade(now);
+  // Counts a request with the given priority weight and work (ms, above zero), and decides on its admission.
+  // `offered` is the capacity for all requests, in ms of work per second.
+  Decision Evaluate(Time now, double priority_weight, double work, double offered) {
+    Decay(now);
     const int step = StepOf(priority_weight / work);
-    demand_[step] += work / kMemory.count();
-    double above = 0;
-    for (auto at = demand_.rbegin(); at->first > step; ++at) above += at->second;
-    return {std::clamp((offered * kHeadroom - above) / demand_[step], 0.0, 1.0),
-            offered > 0 ? std::min(1.0, above / offered) : 1.0};
+    demand_[step] += work / kTimeConstant.count();
+    double higher_demand = 0;
+    for (auto at = demand_.rbegin(); at->first > step; ++at) higher_demand += at->second;
+    return {std::clamp((offered * kHeadroom - higher_demand) / demand_[step], 0.0, 1.0),
+            offered > 0 ? std::min(1.0, higher_demand / offered) : 1.0};
   }
 
  private:
-  static constexpr std::chrono::duration<double> kMemory{2};  // an exponential mean's time constant
-  // Over what is offered, so that chance does not leave offers unused: the shares bound what goes.
+  static constexpr std::chrono::duration<double> kTimeConstant{2};  // of the exponential mean
+  // Admits slightly more than is offered, so that random admission leaves no capacity unused. The token
+  // buckets limit what is really forwarded.
   static constexpr double kHeadroom = 1.1;
-  static constexpr double kStepsAnOctave = 4;
-  static constexpr double kLeast = 1e-6, kMost = 1e6;  // worth per work told apart
-  static constexpr std::chrono::milliseconds kFadeEach{50};
+  static constexpr double kStepsPerOctave = 4;
+  static constexpr double kMinWeightPerWork = 1e-6, kMaxWeightPerWork = 1e6;  // beyond these, all are equal
+  static constexpr std::chrono::milliseconds kDecayInterval{50};
 
-  static int StepOf(double worth_per_work) {
-    return static_cast<int>(
-        std::floor(kStepsAnOctave * std::log2(std::clamp(worth_per_work, kLeast, kMost))));
+  // Returns the number of the logarithmic step to which a weight per work belongs.
+  static int StepOf(double weight_per_work) {
+    return static_cast<int>(std::floor(
+        kStepsPerOctave * std::log2(std::clamp(weight_per_work, kMinWeightPerWork, kMaxWeightPerWork))));
   }
-  void Fade(Time now) {
-    if (now - faded_ < kFadeEach) return;
-    const double kept = std::exp(-std::chrono::duration<double>(now - faded_) / kMemory);
-    for (auto& [step, work] : demand_) work *= kept;
+  // Reduces the recorded demand by the time that has passed.
+  void Decay(Time now) {
+    if (now - decayed_at_ < kDecayInterval) return;
+    const double remaining = std::exp(-std::chrono::duration<double>(now - decayed_at_) / kTimeConstant);
+    for (auto& [step, work] : demand_) work *= remaining;
     std::erase_if(demand_, [](const auto& each) { return each.second < 1e-9; });
-    faded_ = now;
+    decayed_at_ = now;
   }
 
-  std::map<int, double> demand_;  // ms of work a second, by step of worth per work
-  Time faded_{};
+  std::map<int, double> demand_;  // ms of work per second, by step of weight per work
+  Time decayed_at_{};
 };
 
 }  // namespace load_balancer::overflow
--- a/src/overflow/estimate.cpp
+++ b/src/overflow/estimate.cpp
@@ -11,32 +11,33 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kKeys = 9;
-constexpr std::size_t kMostName = 64;                // bytes of a site's name
-constexpr std::uint64_t kMostSpare = 1000000000000;  // ms of work a second; a billion cores
-constexpr std::uint64_t kMostMs = 1ULL << 48;        // of times
-constexpr std::uint64_t kMostMembers = 1000000;
-
-std::uint64_t Figure(const json& value, const char* key, std::uint64_t most) {
-  const json& figure = value.at(key);
-  if (!figure.is_number_unsigned() || figure.get<std::uint64_t>() > most) throw std::invalid_argument(key);
-  return figure.get<std::uint64_t>();
+constexpr std::size_t kKeyCount = 9;
+constexpr std::size_t kMaxNameBytes = 64;           // of a site's name
+constexpr std::uint64_t kMaxSpare = 1000000000000;  // ms of work per second, which is a billion cores
+constexpr std::uint64_t kMaxMs = 1ULL << 48;        // of points in time and durations
+constexpr std::uint64_t kMaxMembers = 1000000;
+
+// Returns the number stored under `key`. Throws json::exception or std::invalid_argument.
+std::uint64_t ReadNumber(const json& value, const char* key, std::uint64_t max) {
+  const json& number = value.at(key);
+  if (!number.is_number_unsigned() || number.get<std::uint64_t>() > max) throw std::invalid_argument(key);
+  return number.get<std::uint64_t>();
 }
 
-// Throws json::exception or std::invalid_argument.
+// Decodes an estimate. Throws json::exception or std::invalid_argument.
 Estimate Read(const json& value) {
-  if (!value.is_object() || value.size() != kKeys) throw std::invalid_argument("keys");
+  if (!value.is_object() || value.size() != kKeyCount) throw std::invalid_argument("keys");
   Estimate e;
   e.site = value.at("site").get<std::string>();
-  if (e.site.empty() || e.site.size() > kMostName) throw std::invalid_argument("site");
-  e.token = Figure(value, "token", UINT64_MAX);
-  e.made_at = Figure(value, "made_at", kMostMs);
-  e.mean = Figure(value, "mean", kMostSpare);
-  e.low = Figure(value, "low", e.mean);
-  e.wait_ms = Figure(value, "wait_ms", kMostMs);
-  e.members = Figure(value, "members", kMostMembers);
+  if (e.site.empty() || e.site.size() > kMaxNameBytes) throw std::invalid_argument("site");
+  e.token = ReadNumber(value, "token", UINT64_MAX);
+  e.made_at = ReadNumber(value, "made_at", kMaxMs);
+  e.mean = ReadNumber(value, "mean", kMaxSpare);
+  e.low = ReadNumber(value, "low", e.mean);
+  e.wait_ms = ReadNumber(value, "wait_ms", kMaxMs);
+  e.members = ReadNumber(value, "members", kMaxMembers);
   e.over = value.at("over").get<bool>();
-  e.for_ms = Figure(value, "for_ms", kMostMs);
+  e.for_ms = ReadNumber(value, "for_ms", kMaxMs);
   if (e.over && e.mean > 0) throw std::invalid_argument("over");
   return e;
 }
@@ -70,69 +71,69 @@
 
 void Estimates::Configure(Options options, const Directory& sites) {
   options_ = options;
-  std::erase_if(held_, [&](const auto& held) { return !sites.contains(held.first); });
-  std::erase_if(fences_, [&](const auto& fence) { return !sites.contains(fence.first); });
-  for (const auto& [site, gateways] : sites) fences_.try_emplace(site, 0);
+  std::erase_if(entries_, [&](const auto& entry) { return !sites.contains(entry.first); });
+  std::erase_if(largest_tokens_, [&](const auto& token) { return !sites.contains(token.first); });
+  for (const auto& [site, gateways] : sites) largest_tokens_.try_emplace(site, 0);
 }
 
-Result<bool> Estimates::Hear(Time now, UnixMs wall, const Estimate& estimate) {
-  const auto fence = fences_.find(estimate.site);
-  if (fence == fences_.end()) return tl::unexpected(Failure(kUnknownSite, estimate.site));
-  const auto skew = static_cast<UnixMs>(options_.most_skew.count());
+Result<bool> Estimates::Update(Time now, UnixMs wall, const Estimate& estimate) {
+  const auto largest_token = largest_tokens_.find(estimate.site);
+  if (largest_token == largest_tokens_.end()) return tl::unexpected(Failure(kUnknownSite, estimate.site));
+  const auto skew = static_cast<UnixMs>(options_.max_clock_skew.count());
   if (estimate.made_at > wall + skew)
     return tl::unexpected(
         Failure(kFutureEstimate, estimate.site, std::to_string(estimate.made_at - wall) + " ms ahead"));
-  if (estimate.token < fence->second)
+  if (estimate.token < largest_token->second)
     return tl::unexpected(
         Failure(kFencedEstimate, estimate.site,
-                std::to_string(estimate.token) + " after " + std::to_string(fence->second)));
-  const auto held = held_.find(estimate.site);
-  if (held != held_.end() && estimate.token == fence->second &&
-      estimate.made_at <= held->second.estimate.made_at)
+                std::to_string(estimate.token) + " after " + std::to_string(largest_token->second)));
+  const auto entry = entries_.find(estimate.site);
+  if (entry != entries_.end() && estimate.token == largest_token->second &&
+      estimate.made_at <= entry->second.estimate.made_at)
     return false;
-  fence->second = estimate.token;
-  // Past staleness ages are all the same; the cap keeps one from far back from overflowing.
+  largest_token->second = estimate.token;
+  // Every age above `staleness` has the same effect. The cap keeps the subtraction below from overflowing.
   const UnixMs age = std::min<UnixMs>(wall - std::min(wall, estimate.made_at), UnixMs{1} << 32);
-  held_[estimate.site] = {estimate, now - Milliseconds(age)};
+  entries_[estimate.site] = {estimate, now - Milliseconds(age)};
   return true;
 }
 
 const Estimate* Estimates::Find(const std::string& site) const {
-  const auto held = held_.find(site);
-  return held == held_.end() ? nullptr : &held->second.estimate;
+  const auto entry = entries_.find(site);
+  return entry == entries_.end() ? nullptr : &entry->second.estimate;
 }
 
 Span Estimates::Age(Time now, const std::string& site) const {
-  const auto held = held_.find(site);
-  return held == held_.end() ? Span::max() : now - held->second.made;
+  const auto entry = entries_.find(site);
+  return entry == entries_.end() ? Span::max() : now - entry->second.made;
 }
 
-const Estimates::Held* Estimates::Fresh(Time now, const std::string& site) const {
-  const auto held = held_.find(site);
-  const bool fresh = held != held_.end() && now - held->second.made < options_.staleness;
-  return fresh ? &held->second : nullptr;
+const Estimates::Entry* Estimates::FindFresh(Time now, const std::string& site) const {
+  const auto entry = entries_.find(site);
+  const bool is_fresh = entry != entries_.end() && now - entry->second.made < options_.staleness;
+  return is_fresh ? &entry->second : nullptr;
 }
 
-double Estimates::Offer(Time now, const std::string& site) const {
-  const Held* held = Fresh(now, site);
-  if (!held) return 0;
-  const Estimate& e = held->estimate;
-  const double offered =
-      std::min(static_cast<double>(e.mean) * options_.most_part, static_cast<double>(e.low));
-  return offered * Decay(now - held->made, options_);
+double Estimates::OfferedCapacity(Time now, const std::string& site) const {
+  const Entry* entry = FindFresh(now, site);
+  if (!entry) return 0;
+  const Estimate& e = entry->estimate;
+  const double offered_capacity =
+      std::min(static_cast<double>(e.mean) * options_.offered_fraction, static_cast<double>(e.low));
+  return offered_capacity * Decay(now - entry->made, options_);
 }
 
-bool Estimates::Quiet(Time now, const std::string& site) const {
-  const Held* held = Fresh(now, site);
-  return held && now - held->made < options_.quiet_age() && !held->estimate.over &&
-         Milliseconds(held->estimate.for_ms) >= options_.quiet_settled();
+bool Estimates::HasSettledSpare(Time now, const std::string& site) const {
+  const Entry* entry = FindFresh(now, site);
+  return entry && now - entry->made < options_.spare_report_max_age() && !entry->estimate.over &&
+         Milliseconds(entry->estimate.for_ms) >= options_.spare_settling_time();
 }
 
-bool Estimates::MaySpill(Time now, const std::string& site) const {
-  const Held* held = Fresh(now, site);
-  const bool alone = fences_.size() <= 2;
-  return held && held->estimate.over &&
-         (alone || Milliseconds(held->estimate.for_ms) >= options_.over_settled());
+bool Estimates::MayForward(Time now, const std::string& site) const {
+  const Entry* entry = FindFresh(now, site);
+  const bool only_two_sites = largest_tokens_.size() <= 2;
+  return entry && entry->estimate.over &&
+         (only_two_sites || Milliseconds(entry->estimate.for_ms) >= options_.over_settling_time());
 }
 
 }  // namespace load_balancer::overflow
--- a/src/overflow/estimate.h
+++ b/src/overflow/estimate.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What a site could still take, as its ambassador makes it known, and what is held of it elsewhere.
+// The estimate of a site's spare capacity, and the newest estimates that a gateway has received.
 #ifndef LOAD_BALANCER_OVERFLOW_ESTIMATE_H_
 #define LOAD_BALANCER_OVERFLOW_ESTIMATE_H_
 
@@ -17,69 +17,77 @@
 
 using UnixMs = std::uint64_t;
 
-// Spare is hinted work that the site would serve beyond its own traffic, in ms of work a second: 1000 is one
-// standard core. Work that others have spilled there is not taken off it, or the estimate would chase itself.
+// Estimate states the spare capacity of a site: the hinted work that it could serve in addition to its own
+// traffic, in ms of work per second. 1000 is one standard core. Work that other sites forward to it does not
+// reduce the estimate, as the estimate would otherwise react to its own effect. The fields have the names of
+// the keys on the wire.
 struct Estimate {
   std::string site;
-  std::uint64_t token = 0;    // of the ambassador's lease: a smaller one than the largest seen is refused
-  UnixMs made_at = 0;         // by the ambassador's wall clock
-  std::uint64_t mean = 0;     // spare
-  std::uint64_t low = 0;      // its lower bound, at most the mean
-  std::uint64_t wait_ms = 0;  // of a request that comes now, before it is served
-  std::uint64_t members = 0;  // proxies that the sum is of
-  // The site is over capacity, and its gateways may spill once this has settled. Then mean and low are zero.
+  std::uint64_t token = 0;    // of the publisher's lease; receivers reject any below the largest received
+  UnixMs made_at = 0;         // by the publisher's wall clock
+  std::uint64_t mean = 0;     // mean of the spare capacity
+  std::uint64_t low = 0;      // lower bound of the spare capacity, at most the mean
+  std::uint64_t wait_ms = 0;  // how long a new request waits before it is served
+  std::uint64_t members = 0;  // number of proxies that the estimate covers
+  // The site is over capacity. Its gateways may forward requests once this state has settled. The mean and
+  // the lower bound are zero then.
   bool over = false;
-  // For how long nothing has pointed the other way, by the ambassador's monotonic clock: over, since the
-  // lower bound has been zero; not over, since it last was zero or the site over. See Hysteresis::Held.
+  // How long the state has been settled, by the publisher's monotonic clock. If `over`, the time since the
+  // lower bound fell to zero; otherwise the time since the lower bound was last zero or the site was over
+  // capacity. See Hysteresis::SettledFor.
   std::uint64_t for_ms = 0;
 
   bool operator==(const Estimate&) const = default;
 };
 
-// {"site", "token", "made_at", "mean", "low", "wait_ms", "members", "over", "for_ms"}: all, and no others.
+// Encodes all nine fields: {"site", "token", "made_at", "mean", "low", "wait_ms", "members", "over",
+// "for_ms"}.
 nlohmann::json ToJson(const Estimate& estimate);
-// Fails with kBadEstimate on a key that is missing, unknown, of the wrong type or out of range.
+// Decodes an estimate. Fails with kBadEstimate if a key is missing, unknown, of the wrong type or out of
+// range.
 Result<Estimate> FromJson(const nlohmann::json& value);
 
-// The share of an estimate that counts at an age: all up to `estimate_interval`, none from `staleness` on,
-// linear between.
+// Returns the weight of an estimate of the given age: 1 up to `estimate_interval`, 0 from `staleness` on, and
+// linear between them.
 double Decay(Span age, const Options& options);
 
-// The newest estimate of each site, at one gateway.
+// Estimates holds the newest estimate of each site that this gateway has received.
 class Estimates {
  public:
   Estimates(Options options, const Directory& sites);
 
-  // `wall` is this machine's Unix ms at `now`; ages go on by the monotonic clock. True if it was newer than
-  // what was held. Fails with kUnknownSite, kFutureEstimate or kFencedEstimate, and leaves what is held.
-  Result<bool> Hear(Time now, UnixMs wall, const Estimate& estimate);
-  // Estimates of sites that are there no longer are dropped.
+  // Stores an estimate that is newer than the stored one of its site, and returns whether it was. `wall` is
+  // this machine's Unix time in ms at `now`; later ages are measured by the monotonic clock. Fails with
+  // kUnknownSite, kFutureEstimate or kFencedEstimate, and then changes nothing.
+  Result<bool> Update(Time now, UnixMs wall, const Estimate& estimate);
+  // Applies new settings. Drops the estimates of sites that are no longer configured.
   void Configure(Options options, const Directory& sites);
 
-  // Null: none heard, or none since the site was configured.
+  // Returns the site's newest estimate, or null if none has been received since the site was configured.
   const Estimate* Find(const std::string& site) const;
-  // Span::max() without an estimate.
+  // Returns the age of the site's estimate, or Span::max() if there is none.
   Span Age(Time now, const std::string& site) const;
-  // What all others together may spill there now, ms of hinted work a second: `most_part` of the mean, never
-  // over the lower bound, by age.
-  double Offer(Time now, const std::string& site) const;
-  // Its gateways spill nothing for as long as this estimate counts: it is not over capacity, and has not been
-  // for so long that whatever said otherwise counts no longer anywhere.
-  bool Quiet(Time now, const std::string& site) const;
-  // Its gateways may spill: over capacity for so long that no one takes the site for quiet any more. Of two
-  // sites each is the only one to spill to the other, and nobody's count matters.
-  bool MaySpill(Time now, const std::string& site) const;
+  // Returns how much work all other sites together may forward to the site now, in ms of hinted work per
+  // second: `offered_fraction` of the mean or the lower bound, whichever is smaller, reduced by age.
+  double OfferedCapacity(Time now, const std::string& site) const;
+  // Returns whether the site's gateways certainly forward nothing: the site has had spare capacity
+  // for so long that no gateway still uses an estimate that says otherwise.
+  bool HasSettledSpare(Time now, const std::string& site) const;
+  // Returns whether the site's gateways may forward requests: the site has been over capacity for so long
+  // that no gateway still takes it for one with settled spare capacity. With only two sites there is no such
+  // delay: the only other site is the destination, so no third site has to count the senders.
+  bool MayForward(Time now, const std::string& site) const;
 
  private:
-  struct Held {
+  struct Entry {
     Estimate estimate;
     Time made{};  // by this machine's monotonic clock
   };
-  const Held* Fresh(Time now, const std::string& site) const;
+  const Entry* FindFresh(Time now, const std::string& site) const;
 
   Options options_;
-  std::map<std::string, Held> held_;
-  std::map<std::string, std::uint64_t> fences_;  // the largest token seen of each configured site
+  std::map<std::string, Entry> entries_;
+  std::map<std::string, std::uint64_t> largest_tokens_;  // largest token received, by configured site
 };
 
 }  // namespace load_balancer::overflow
--- a/src/overflow/estimate_publisher.h
+++ b/src/overflow/estimate_publisher.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The site's ambassador: sums what the members could still take and makes the site's estimate. Exclusive: an
-// estimate is made under a lease proof only, and carries its token.
+// Adds up the spare capacity of a site's members and makes the site's estimate. Only the holder of the lease
+// `ambassador/SITE` does so: an estimate is made only under a valid lease proof, and carries its token.
 #ifndef LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
 #define LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
 
@@ -18,54 +18,56 @@
 
 namespace load_balancer::overflow {
 
-// What one proxy's module would still let through of further own traffic, as Estimate has it: work spilled to
-// it by others is not taken off.
-struct MemberSpare {
-  double mean = 0, low = 0;  // ms of hinted work a second
-  Milliseconds wait{0};
+// MemberSpareCapacity is the additional work that one proxy would admit from its own clients. Work that other
+// sites forward to it does not reduce it, as in Estimate.
+struct MemberSpareCapacity {
+  double mean = 0, low = 0;  // mean and lower bound, in ms of hinted work per second
+  Milliseconds wait{0};      // how long a new request waits before it is served
 };
 
-// A lease proof at the act: fleet/lease/fencing.h.
+// FencingProof is a lease proof that is checked again when it is used. See fleet/lease/fencing.h.
 template <typename T>
 concept FencingProof = requires(const T& proof, Time now) {
   { proof.IsValid(now) } -> std::convertible_to<bool>;
   { proof.token() } -> std::convertible_to<std::uint64_t>;
 };
 
-// One term of office: made anew whenever the duty is taken up, so that no state is claimed to have held under
-// a predecessor, whose last estimates this member may not have heard.
-class Ambassador {
+// EstimatePublisher makes the site's estimates during one term of the lease. A new one is created each time
+// the lease is acquired: this member may not have received the last estimates of the previous holder, so it
+// cannot state how long the site has been in its present state.
+class EstimatePublisher {
  public:
-  // The site is over capacity after its lower bound has been zero for `kZeroFor`, and no longer after it has
-  // been more for `kSpareFor`.
-  static constexpr Milliseconds kZeroFor{1000}, kSpareFor{2000};
+  // The site is over capacity once its lower bound has been zero for `kZeroTime`, and no longer once the
+  // lower bound has been above zero for `kSpareTime`.
+  static constexpr Milliseconds kZeroTime{1000}, kSpareTime{2000};
 
-  Ambassador(Options options, std::string site);
+  EstimatePublisher(Options options, std::string site);
 
-  // A member of the site, this one among them, has told its spare.
-  void Heard(Time now, const std::string& member, const MemberSpare& spare);
-  // A member has left or is dead.
-  void Gone(const std::string& member) { members_.erase(member); }
+  // Records the spare capacity that a member of the site has reported. This process reports its own as well.
+  void RecordMember(Time now, const std::string& member, const MemberSpareCapacity& spare);
+  // Removes a member that has left or is dead.
+  void RemoveMember(const std::string& member) { members_.erase(member); }
 
-  // The sum now, or nothing if the lease does not hold. Members silent past staleness count as zero. To be
-  // called every `estimate_interval`; `wall` in Unix ms.
+  // Returns the site's estimate at `now`, or nothing if the lease is not valid. Members that have not
+  // reported for `staleness` count as zero. To be called every `estimate_interval`. `wall` is the Unix time
+  // in ms.
   template <FencingProof LeaseProof>
-  std::optional<Estimate> Make(Time now, UnixMs wall, const LeaseProof& proof) {
+  std::optional<Estimate> MakeEstimate(Time now, UnixMs wall, const LeaseProof& proof) {
     if (!proof.IsValid(now)) return std::nullopt;
-    return Sum(now, wall, proof.token());
+    return AddUp(now, wall, proof.token());
   }
 
  private:
-  struct Told {
-    MemberSpare spare;
-    Time at{};
+  struct Report {
+    MemberSpareCapacity spare;
+    Time received_at{};
   };
-  Estimate Sum(Time now, UnixMs wall, std::uint64_t token);
+  Estimate AddUp(Time now, UnixMs wall, std::uint64_t token);
 
   const Options options_;
   const std::string site_;
-  std::map<std::string, Told> members_;
-  Hysteresis over_{kZeroFor, kSpareFor};
+  std::map<std::string, Report> members_;
+  Hysteresis over_{kZeroTime, kSpareTime};
 };
 
 }  // namespace load_balancer::overflow
--- a/src/overflow/failures.h
+++ b/src/overflow/failures.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What can go wrong between sites that spill to each other.
+// The failures of the overflow between sites.
 #ifndef LOAD_BALANCER_OVERFLOW_FAILURES_H_
 #define LOAD_BALANCER_OVERFLOW_FAILURES_H_
 
@@ -24,17 +24,18 @@
 inline constexpr FailureKind kBadMark{
     "SPILL-5", "a request's mark of a spilled one is out of form",
     "nothing to do: the mark was removed and the request handled as a client's"};
-inline constexpr FailureKind kForeignMark{"SPILL-6",
-                                          "a request's mark names a gateway that it does not come from",
-                                          "if the address is a gateway's, add it to sites.gateways; "
-                                          "otherwise a client tries to pass for one, and the "
-                                          "mark was removed"};
-inline constexpr FailureKind kNeighbourLeft{
+inline constexpr FailureKind kUnverifiedMark{"SPILL-6",
+                                             "a request's mark names a gateway that it does not come from",
+                                             "if the address is a gateway's, add it to sites.gateways; "
+                                             "otherwise a client tries to pass for one, and the "
+                                             "mark was removed"};
+inline constexpr FailureKind kGatewayEjected{
     "SPILL-7", "a neighbour's gateway refused or failed too often and is left for a while",
     "look at that gateway and at the link to its site; it is tried again by itself"};
 
-inline constexpr std::array kSpillFailures{&kBadEstimate, &kFutureEstimate, &kFencedEstimate, &kUnknownSite,
-                                           &kBadMark,     &kForeignMark,    &kNeighbourLeft};
+inline constexpr std::array kOverflowFailures{&kBadEstimate,   &kFutureEstimate, &kFencedEstimate,
+                                              &kUnknownSite,   &kBadMark,        &kUnverifiedMark,
+                                              &kGatewayEjected};
 
 }  // namespace load_balancer::overflow
 
--- a/src/overflow/hysteresis.h
+++ b/src/overflow/hysteresis.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Whether a site is over capacity: it becomes so only after its spare has been zero for a while without a
-// break, and ceases only after there has been some for a while.
+// Detects whether a site is over capacity, with hysteresis. A site is over capacity once its spare capacity
+// has been zero without interruption for a set time, and no longer once there has been spare capacity without
+// interruption for another set time.
 #ifndef LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
 #define LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
 
@@ -11,36 +12,43 @@
 
 namespace load_balancer::overflow {
 
+// Hysteresis holds the state of one site: over capacity or not, and since when.
 class Hysteresis {
  public:
-  Hysteresis(Span zero_for, Span spare_for) : zero_for_(zero_for), spare_for_(spare_for) {}
+  // `zero_time` is how long the spare capacity must be zero before the site counts as over capacity, and
+  // `spare_time` how long it must be above zero before the site no longer does.
+  Hysteresis(Span zero_time, Span spare_time) : zero_time_(zero_time), spare_time_(spare_time) {}
 
-  // What the spare is now. The first call sets the state at once.
-  void See(Time now, bool zero) {
+  // Records whether the spare capacity is zero at `now`. The first call sets the state without a delay.
+  void Update(Time now, bool is_zero) {
     if (!since_) {
-      over_ = zero;
+      over_ = is_zero;
       since_ = now;
     }
-    if (zero == over_) {
+    if (is_zero == over_) {
       if (differs_since_ && !over_) since_ = now;
       differs_since_.reset();
       return;
     }
     if (!differs_since_) differs_since_ = now;
-    if (now - *differs_since_ < (zero ? zero_for_ : spare_for_)) return;
-    over_ = zero;
-    since_ = zero ? *differs_since_ : now;
+    if (now - *differs_since_ < (is_zero ? zero_time_ : spare_time_)) return;
+    over_ = is_zero;
+    since_ = is_zero ? *differs_since_ : now;
     differs_since_.reset();
   }
 
   bool over() const { return over_; }
-  // How long nothing has pointed the other way: over, since the zeros began; not over, since it was over or
-  // the last zero was seen, and not at all while there are zeros.
-  Span Held(Time now) const { return since_ && (over_ || !differs_since_) ? now - *since_ : Span::zero(); }
+  // Returns how long the state has been settled. While the site is over capacity, this is the time since the
+  // spare capacity fell to zero. Otherwise it is the time since the site was over capacity or its spare
+  // capacity was last zero, and zero while the spare capacity is zero.
+  Span SettledFor(Time now) const {
+    return since_ && (over_ || !differs_since_) ? now - *since_ : Span::zero();
+  }
 
  private:
-  Span zero_for_, spare_for_;
+  Span zero_time_, spare_time_;
   bool over_ = false;
+  // `differs_since_` is when the updates began to contradict the state.
   std::optional<Time> since_, differs_since_;
 };
 
--- a/src/overflow/key_affinity.h
+++ b/src/overflow/key_affinity.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Keys stay with the neighbour that served them while they are warm there.
+// Remembers which gateway of another site last served each key. Further requests of the key are forwarded to
+// the same gateway while its site's caches are still warm for the key.
 #ifndef LOAD_BALANCER_OVERFLOW_KEY_AFFINITY_H_
 #define LOAD_BALANCER_OVERFLOW_KEY_AFFINITY_H_
 
@@ -14,37 +15,40 @@
 
 namespace load_balancer::overflow {
 
-class StickyKeys {
+// AffinityTable maps keys to gateways for a limited time. Key 0 stands for a request without a key.
+class AffinityTable {
  public:
-  static constexpr std::size_t kMostKeys = 16384;  // the one that ends first makes room
+  static constexpr std::size_t kMaxKeys = 16384;  // beyond it, the key that expires first is dropped
 
-  // Null: none that is warm. Key 0 is no key.
-  const Neighbour* Find(Time now, std::uint64_t key) const {
+  // Returns the gateway of the key, or null if there is none or its entry has expired.
+  const RemoteGateway* Find(Time now, std::uint64_t key) const {
     const auto found = keys_.find(key);
     return found == keys_.end() || found->second.second <= now ? nullptr : &found->second.first;
   }
-  void Met(Time now, std::uint64_t key, const Neighbour& neighbour, Span ttl) {
+  // Assigns the key to the gateway until `ttl` from now.
+  void Record(Time now, std::uint64_t key, const RemoteGateway& gateway, Span ttl) {
     if (key == 0) return;
     Expire(now);
     if (const auto found = keys_.find(key); found != keys_.end()) Drop(found->second.second, key);
-    if (keys_.size() >= kMostKeys) Drop(by_end_.begin()->first, by_end_.begin()->second);
-    keys_[key] = {neighbour, now + ttl};
-    by_end_.emplace(now + ttl, key);
+    if (keys_.size() >= kMaxKeys) Drop(by_expiry_.begin()->first, by_expiry_.begin()->second);
+    keys_[key] = {gateway, now + ttl};
+    by_expiry_.emplace(now + ttl, key);
   }
+  // Drops the entries that have expired.
   void Expire(Time now) {
-    while (!by_end_.empty() && by_end_.begin()->first <= now)
-      Drop(by_end_.begin()->first, by_end_.begin()->second);
+    while (!by_expiry_.empty() && by_expiry_.begin()->first <= now)
+      Drop(by_expiry_.begin()->first, by_expiry_.begin()->second);
   }
   std::size_t size() const { return keys_.size(); }
 
  private:
-  void Drop(Time end, std::uint64_t key) {
-    by_end_.erase({end, key});
+  void Drop(Time expiry, std::uint64_t key) {
+    by_expiry_.erase({expiry, key});
     keys_.erase(key);
   }
 
-  std::map<std::uint64_t, std::pair<Neighbour, Time>> keys_;
-  std::set<std::pair<Time, std::uint64_t>> by_end_;
+  std::map<std::uint64_t, std::pair<RemoteGateway, Time>> keys_;  // gateway and expiry, by key
+  std::set<std::pair<Time, std::uint64_t>> by_expiry_;
 };
 
 }  // namespace load_balancer::overflow
--- a/src/overflow/options.h
+++ b/src/overflow/options.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What spilling is set to, and who may take part in it.
+// The settings of the overflow between sites, and the directory of the gateways that take part in it.
 #ifndef LOAD_BALANCER_OVERFLOW_OPTIONS_H_
 #define LOAD_BALANCER_OVERFLOW_OPTIONS_H_
 
@@ -16,32 +16,36 @@
 
 using Milliseconds = std::chrono::milliseconds;
 
-// Keys and ranges of the section are in docs/spill.md.
+// Options holds the settings of the section `spill`. docs/spill.md lists its keys and their ranges.
 struct Options {
-  double most_part = 0.5;               // of a neighbour's spare that all spillers together may take
-  Milliseconds estimate_interval{500};  // between two estimates of a site
-  Milliseconds staleness{3000};         // an estimate as old as this counts as zero
-  Milliseconds way{20};                 // from a gateway to one of another site
-  double least_worth_per_work = 0;  // of a request, worth over ms of hinted work; under it none is spilled
-  Milliseconds slack{200};          // depth of a share: so long's worth of its rate
-  Milliseconds key_ttl{4000};       // how long a key stays with its neighbour
-  Milliseconds most_skew{500};      // between two machines' wall clocks
-
-  // An estimate that says that a site is not over capacity counts for no longer than this.
-  Milliseconds quiet_age() const { return std::min(staleness, 3 * estimate_interval); }
-  // How long a site must have been over capacity before its gateways spill, and how long it must not have
-  // been before others act on it: any estimate that says otherwise counts no longer by then. See
-  // Estimate::over.
-  Milliseconds over_settled() const { return quiet_age() + most_skew; }
-  Milliseconds quiet_settled() const { return staleness + most_skew; }
+  // The fraction of a site's spare capacity that all other sites together may use.
+  double offered_fraction = 0.5;
+  Milliseconds estimate_interval{500};  // time between two estimates of a site
+  Milliseconds staleness{3000};         // age from which an estimate counts as zero
+  Milliseconds propagation_time{20};    // one-way delay from a gateway to a gateway of another site
+  // The minimum priority weight per ms of hinted work. Requests below it are not forwarded.
+  double min_weight_per_work = 0;
+  Milliseconds slack{200};           // depth of each token bucket, as the time that its rate takes to fill it
+  Milliseconds key_ttl{4000};        // how long a key stays assigned to a gateway
+  Milliseconds max_clock_skew{500};  // maximum difference between the wall clocks of two machines
+
+  // Returns the maximum age at which an estimate still shows that its site is not over capacity.
+  Milliseconds spare_report_max_age() const { return std::min(staleness, 3 * estimate_interval); }
+  // Returns how long a site must have been over capacity before its gateways forward requests. By then, no
+  // other gateway still uses an estimate that says that the site has spare capacity. See Estimate::over.
+  Milliseconds over_settling_time() const { return spare_report_max_age() + max_clock_skew; }
+  // Returns how long a site must have had spare capacity before other gateways assume that it forwards
+  // nothing. By then, none of its gateways still uses an estimate that says that it is over capacity.
+  Milliseconds spare_settling_time() const { return staleness + max_clock_skew; }
 };
 
+// Gateway holds the addresses of one gateway.
 struct Gateway {
-  boost::asio::ip::udp::endpoint pool;     // as a member of the federation pool
-  boost::asio::ip::tcp::endpoint clients;  // where it takes requests, spilled ones too
+  boost::asio::ip::udp::endpoint pool;     // its address as a member of the federation pool
+  boost::asio::ip::tcp::endpoint clients;  // where it accepts requests, including forwarded ones
 };
 
-// Site, then gateway, as configured at all gateways alike.
+// Directory maps each site to its gateways by name. All gateways are configured with the same directory.
 using Directory = std::map<std::string, std::map<std::string, Gateway>>;
 
 }  // namespace load_balancer::overflow
--- a/src/overflow/overflow_router.h
+++ b/src/overflow/overflow_router.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Spill: whether a request that this site cannot serve goes to a gateway of a neighbour site, and to which.
-// A function of its events and its seed: no clock, no socket, no threads. State and rules: docs/spill.md.
+// Decides whether a request that this site cannot serve is forwarded to another site, and to which gateway.
+// The router is a deterministic function of its events and its seed: it uses no clock, socket or thread. Its
+// state and rules are described in docs/spill.md.
 #ifndef LOAD_BALANCER_OVERFLOW_OVERFLOW_ROUTER_H_
 #define LOAD_BALANCER_OVERFLOW_OVERFLOW_ROUTER_H_
 
@@ -27,142 +28,158 @@
 
 namespace load_balancer::overflow {
 
-// ---- events, besides Refused of rules.h ---------------------------------------------------------------
-// An estimate of any site, this one's among them: from the federation pool, an answer's header, or made by
-// the ambassador in this very process. `wall` is this machine's Unix ms.
-struct EstimateHeard {
+// ---- events, besides RejectedRequest in rules.h --------------------------------------------------------
+// EstimateReceived carries an estimate of any site, including this one. It comes from the federation pool,
+// from a header of a response, or from the publisher in this process. `wall` is this machine's Unix time in
+// ms.
+struct EstimateReceived {
   Estimate estimate;
   UnixMs wall = 0;
 };
-// How a SendTo ended. Every one ends by exactly one of these, or by ClientGone.
-enum class SpillOutcome {
-  kOk,         // the neighbour's final answer went to the client, whatever it says
-  kRefused,    // the neighbour says that it did not run and took nothing of it on
-  kNotRun,     // never sent: no connection
-  kMayHaveRun  // sent, and no answer: time-out, reset, or an answer that does not say
+// ForwardOutcome says how a ForwardTo ended.
+enum class ForwardOutcome {
+  kOk,         // the other gateway's final response went to the client, whatever its status
+  kRejected,   // the other gateway states that it rejected the request and ran nothing of it
+  kNotRun,     // the request was never sent, as there was no connection
+  kMayHaveRun  // it was sent, but timed out, was reset, or got a response that does not say whether it ran
 };
-struct SpillAnswered {
+// ForwardEnded reports the end of a ForwardTo. Each ForwardTo ends with exactly one ForwardEnded or
+// ClientGone.
+struct ForwardEnded {
   RequestId request = 0;
-  Neighbour neighbour;  // as in the SendTo
-  SpillOutcome outcome = SpillOutcome::kMayHaveRun;
+  RemoteGateway destination;  // the same as in the ForwardTo
+  ForwardOutcome outcome = ForwardOutcome::kMayHaveRun;
   Span took{0};
-  std::optional<EstimateHeard> estimate;  // that the answer carried
+  std::optional<EstimateReceived> estimate;  // from a header of the response
 };
-// Nobody waits for the request any longer; nothing further is said of it.
+// ClientGone reports that the client no longer waits for the request. No action about it follows.
 struct ClientGone {
   RequestId request = 0;
 };
-// Whether the federation pool has a neighbour's gateway as present.
-struct Presence {
-  Neighbour neighbour;
+// PresenceChanged reports whether the federation pool counts a gateway of another site as present.
+struct PresenceChanged {
+  RemoteGateway gateway;
   bool present = true;
 };
-// The time of a SetTimer has come; also to be sent once at the start.
+// Tick reports that the time of a SetTimer has come. The caller also sends one at the start.
 struct Tick {};
-// Other settings bind from here on.
+// NewSettings replaces the options and the directory.
 struct NewSettings {
   Options options;
   Directory sites;
 };
-using Event = std::variant<Refused, EstimateHeard, SpillAnswered, ClientGone, Presence, Tick, NewSettings>;
+using Event = std::variant<RejectedRequest, EstimateReceived, ForwardEnded, ClientGone, PresenceChanged, Tick,
+                           NewSettings>;
 
-// ---- actions ------------------------------------------------------------------------------------------
-// Hand the request to that gateway, marked as spilled, and give it up after `timeout`.
-struct SendTo {
+// ---- actions -------------------------------------------------------------------------------------------
+// ForwardTo has the caller forward the request to the gateway, marked as forwarded, and end it after
+// `timeout`.
+struct ForwardTo {
   RequestId request = 0;
-  Neighbour neighbour;
+  RemoteGateway destination;
   Span timeout{0};
 };
-// Final: the request gets its answer at once.
+// GiveUp is final: the caller responds to the client with the rejection at once.
 struct GiveUp {
   RequestId request = 0;
-  bool may_have_run = false;  // then it promises nothing; otherwise another try is harmless
+  bool may_have_run = false;  // if false, the response states that the request can safely be repeated
   Span retry_after{0};        // 0: no advice
-  Why why = Why::kNoShare;
+  RejectReason reason = RejectReason::kNoCapacity;
 };
-// One decision that changes who serves what; or, with `kind` set, a fault, and `text` is what it is about.
+// Log has the caller log a decision that affects which site serves requests. If `kind` is set, it is a
+// failure, and `text` says what it concerns.
 struct Log {
   const FailureKind* kind = nullptr;
   std::string text;
 };
+// SetTimer has the caller send a Tick at the given time.
 struct SetTimer {
   Time at{};
 };
-using Action = std::variant<SendTo, GiveUp, Log, SetTimer>;
+using Action = std::variant<ForwardTo, GiveUp, Log, SetTimer>;
 
-class Spill {
+// OverflowRouter makes the decisions of one gateway.
+class OverflowRouter {
  public:
-  // `sites` has this site and this gateway among them.
-  Spill(Options options, Directory sites, std::string own_site, std::uint64_t seed, Time now);
+  // `sites` includes this site and this gateway.
+  OverflowRouter(Options options, Directory sites, std::string own_site, std::uint64_t seed, Time now);
 
-  // Appends what is to be done at `now` because of `event`. `now` never falls. Every Refused gets one SendTo
-  // or GiveUp at once, every SpillAnswered of an open request another SendTo, a GiveUp, or nothing after kOk.
+  // Appends the actions that follow from `event` at `now`, which never decreases. Every RejectedRequest leads
+  // at once to a ForwardTo or a GiveUp. Every ForwardEnded of an open request leads to another ForwardTo, to
+  // a GiveUp, or to nothing if its outcome is kOk.
   void Handle(Time now, const Event& event, std::vector<Action>* actions);
 
-  // The newest known of a site, to be carried by answers to spilled requests; null: none.
-  const Estimate* EstimateOf(const std::string& site) const { return estimates_.Find(site); }
+  // Returns the newest estimate of the site, which responses to forwarded requests carry, or null.
+  const Estimate* FindEstimate(const std::string& site) const { return estimates_.Find(site); }
 
   struct Counts {
-    std::uint64_t sent = 0, answered = 0, refused = 0, not_run = 0, may_have_run = 0, gone = 0;
-    std::array<std::uint64_t, kWhys> given_up{};  // by Why
+    std::uint64_t sent = 0, answered = 0, rejected = 0, not_run = 0, may_have_run = 0, client_gone = 0;
+    std::array<std::uint64_t, kReasonCount> given_up{};  // by RejectReason
   };
   const Counts& counts() const { return counts_; }
+  // Returns the number of forwarded requests that have not ended yet.
   std::size_t open() const { return open_.size(); }
-  // One line for an operator: each site with what it says, its age, this gateway's share, and the counts, of
-  // those given up by why.
+  // Returns one line for an operator: the estimate of each site with its age and the rate of this gateway's
+  // token bucket, and the counts. Requests given up are counted by reason.
   std::string Describe(Time now) const;
 
  private:
   struct Open {
-    Refused request;
-    Time aim_at{}, deadline_at{};
-    double kept_free = 0;  // part of a share that is left to those of higher worth
+    RejectedRequest request;
+    Time objective_at{}, deadline_at{};
+    double reserved_fraction = 0;  // fraction of a bucket's depth reserved for requests of higher weight
     int attempts = 0;
     std::set<std::string> tried;  // sites
-    Neighbour at;
+    RemoteGateway destination;
   };
 
-  void On(const Refused& event);
-  void On(const EstimateHeard& event);
-  void On(const SpillAnswered& event);
+  void On(const RejectedRequest& event);
+  void On(const EstimateReceived& event);
+  void On(const ForwardEnded& event);
   void On(const ClientGone& event);
-  void On(const Presence& event);
+  void On(const PresenceChanged& event);
   void On(const Tick& event);
   void On(const NewSettings& event);
 
-  // Sends the request on or, with why not, nothing.
-  std::optional<Why> TrySend(Open& open);
-  std::optional<Why> Choose(const Open& open, Neighbour* chosen);
-  // Whether the site could take it; if not, why not.
-  std::optional<Why> Unfit(const Open& open, const std::string& site);
-  Neighbour PickGateway(const std::string& site);
-  void End(RequestId request, Why why, bool may_have_run);
-  void Hear(const EstimateHeard& event);
-  void Judge(const Neighbour& neighbour, bool good);
-  // Brings the share of each neighbour to what its estimate says now.
-  void UpdateShares();
-  // Whether the site's gateways may spill now: unless it is known to be quiet.
-  bool MaySpill(const std::string& site) const;
-  // Whether the request is worth enough for what is offered to this gateway now; sets what it leaves free.
-  bool WorthIt(Open& open);
-  void Complain(const Failure& failure);
-  void ReportState();
-  std::size_t Below(std::size_t bound);
+  // Forwards the request and returns nothing, or returns the reason for which it cannot be forwarded.
+  std::optional<RejectReason> TryForward(Open& open);
+  // Sets `chosen` to the destination, or returns the reason for which there is none.
+  std::optional<RejectReason> Choose(const Open& open, RemoteGateway* chosen);
+  // Returns the reason for which the site cannot take the request, or nothing if it can.
+  std::optional<RejectReason> CheckSite(const Open& open, const std::string& site);
+  RemoteGateway PickGateway(const std::string& site);
+  void End(RequestId request, RejectReason reason, bool may_have_run);
+  void UpdateEstimate(const EstimateReceived& event);
+  // Counts a result towards the ejection of the gateway.
+  void RecordResult(const RemoteGateway& gateway, bool success);
+  // Sets the rate and depth of each site's token bucket from its present estimate.
+  void UpdateBuckets();
+  // Returns whether the site's gateways may forward requests now: always, unless the site is known to have
+  // settled spare capacity.
+  bool MayForward(const std::string& site) const;
+  // Returns whether the request passes the admission threshold. Sets the fraction of the buckets that the
+  // request must leave to others.
+  bool PassesThreshold(Open& open);
+  void LogFailure(const Failure& failure);
+  // Logs when this site begins or ceases to forward requests.
+  void LogState();
+  // Returns a random index below `bound`.
+  std::size_t RandomIndex(std::size_t bound);
 
   Time now_{};
-  std::vector<Action>* out_ = nullptr;
+  std::vector<Action>* actions_ = nullptr;
   Options options_;
   Directory sites_;
   const std::string own_site_;
   std::mt19937_64 random_;
   Estimates estimates_;
-  Neighbours neighbours_;
-  StickyKeys keys_;
-  Price price_;
-  std::map<std::string, Share> shares_;
+  RemoteGateways remote_gateways_;
+  AffinityTable affinities_;
+  AdmissionThreshold threshold_;
+  std::map<std::string, TokenBucket> buckets_;  // by site
   std::map<RequestId, Open> open_;
-  bool spilling_ = false;  // as last told
-  Time next_complaint_{};
+  bool is_forwarding_ = false;  // as last logged
+  Time next_failure_log_at_{};
   Counts counts_;
 };
 
--- a/src/overflow/remote_gateways.h
+++ b/src/overflow/remote_gateways.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The neighbours' gateways: which are present, and which are left for a while because they refuse or fail, by
-// gRFC A50's failure percentage with its multiplied ejection time. All of them may be left at once: a spilled
-// request is a chance, and nobody depends on it.
+// Tracks the gateways of the other sites: which are present, and which are ejected for a while because they
+// reject requests or fail. Ejection follows the failure percentage of gRFC A50, with its multiplied ejection
+// time. Unlike there, all gateways may be ejected at once: no request depends on being forwarded.
 #ifndef LOAD_BALANCER_OVERFLOW_REMOTE_GATEWAYS_H_
 #define LOAD_BALANCER_OVERFLOW_REMOTE_GATEWAYS_H_
 
@@ -17,46 +17,53 @@
 
 namespace load_balancer::overflow {
 
-struct Neighbour {
+// RemoteGateway names a gateway by its site and its name within the site.
+struct RemoteGateway {
   std::string site, gateway;
-  auto operator<=>(const Neighbour&) const = default;
+  auto operator<=>(const RemoteGateway&) const = default;
 };
 
-class Neighbours {
+// RemoteGateways holds the health of each gateway of the other sites.
+class RemoteGateways {
  public:
-  // A50's terms.
+  // The constants have the names of A50.
   static constexpr std::chrono::milliseconds kInterval{2000};
   static constexpr std::chrono::milliseconds kBaseEjectionTime{2000}, kMaxEjectionTime{30000};
-  static constexpr int kRequestVolume = 5;       // answers in an interval before any verdict
-  static constexpr int kFailurePercentage = 50;  // of them refused or failed
+  static constexpr int kRequestVolume = 5;       // minimum number of results in an interval for an ejection
+  static constexpr int kFailurePercentage = 50;  // minimum percentage of them that were rejected or failed
 
-  // `random` spreads the returns over a quarter either way, so that spillers do not come back as one.
-  Neighbours(const Directory& sites, const std::string& own_site, std::mt19937_64& random);
+  // `random` varies each ejection time by up to 25 % in both directions, so that the gateways of a site do
+  // not all return to the ejected one at the same moment.
+  RemoteGateways(const Directory& sites, const std::string& own_site, std::mt19937_64& random);
+  // Applies a new directory. Keeps the health of the gateways that remain in it.
   void Configure(const Directory& sites, const std::string& own_site);
 
-  // The federation pool has it as present, or not. Until told, a configured gateway counts as present.
-  void SetPresent(const Neighbour& neighbour, bool present);
-  // Counts an answer; true if the gateway is left because of it.
-  bool Answered(Time now, const Neighbour& neighbour, bool good);
-  // The gateways whose ejection ended by now, each once; lets the multipliers of the others fall.
-  std::vector<Neighbour> Advance(Time now);
+  // Records whether the gateway is present in the federation pool. A configured gateway counts as present
+  // until the first call.
+  void SetPresent(const RemoteGateway& gateway, bool present);
+  // Counts the result of a forwarded request, and returns whether it caused the ejection of the gateway.
+  bool RecordResult(Time now, const RemoteGateway& gateway, bool success);
+  // Returns the gateways whose ejection has ended since the last call. Also ends the intervals that are due.
+  std::vector<RemoteGateway> EndEjections(Time now);
 
-  bool InService(Time now, const Neighbour& neighbour) const;
+  // Returns whether the gateway is present and not ejected.
+  bool InService(Time now, const RemoteGateway& gateway) const;
+  // Returns whether any gateway of the site is in service.
   bool AnyInService(Time now, const std::string& site) const;
-  // The site's gateways in service, in order of their names.
-  std::vector<Neighbour> InService(Time now, const std::string& site) const;
+  // Returns the site's gateways that are in service, ordered by name.
+  std::vector<RemoteGateway> InService(Time now, const std::string& site) const;
 
  private:
   struct Health {
     bool present = true, ejected = false;
-    int good = 0, bad = 0;
+    int successes = 0, failures = 0;
     int multiplier = 0;
     Time interval_ends{}, return_at{};
   };
-  void Roll(Time now, Health& health) const;
+  void EndIntervalIfDue(Time now, Health& health) const;
 
   std::mt19937_64& random_;
-  std::map<Neighbour, Health> health_;
+  std::map<RemoteGateway, Health> health_;
 };
 
 }  // namespace load_balancer::overflow
--- a/src/overflow/rules.h
+++ b/src/overflow/rules.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Which requests may be spilled at all.
+// The rules by which a request may be forwarded to another site.
 #ifndef LOAD_BALANCER_OVERFLOW_RULES_H_
 #define LOAD_BALANCER_OVERFLOW_RULES_H_
 
@@ -14,46 +14,49 @@
 
 namespace load_balancer::overflow {
 
-// A request that the module has refused. Times are what is left of them now.
-struct Refused {
+// RejectedRequest is a request that this site's decision module has rejected.
+struct RejectedRequest {
   RequestId request = 0;
   Idempotency idempotency = Idempotency::kNotIdempotent;
-  Span latency_objective_left{0}, deadline_left{0};
-  double work_ms = 0;          // hinted, or the module's mean where there is no hint
-  double priority_weight = 0;  // of an answer within its aim
-  std::uint64_t key = 0;       // 0: none
-  bool within_budget = true;   // its tenant is within its share
-  bool may_have_run = false;   // an attempt of it was sent and is not proven not to have run
-  bool spilled = false;        // another site has spilled it here
+  Span latency_objective_left{0}, deadline_left{0};  // time left until each of them
+  double work_ms = 0;          // the hinted work, or the module's mean where there is no hint
+  double priority_weight = 0;  // of a response within the latency objective
+  std::uint64_t key = 0;       // 0: the request has no key
+  bool within_budget = true;   // its tenant is within its budget
+  bool may_have_run = false;   // an attempt was sent, and it is not proven that a server did not run it
+  bool forwarded = false;      // another site has forwarded it to this site
   Span retry_after{0};         // the module's advice to the client; 0: none
 };
 
-// Why a request is not spilled, or no longer.
-enum class Why {
-  kMayHaveRun,   // it could run twice
-  kKeyed,        // servers of another site do not drop the repeats of ours
-  kSpilled,      // one hop only
-  kOverBudget,   // nothing of a tenant that is over its share
-  kNoWork,       // its work is unknown, so no share can be charged
-  kLittleWorth,  // worth per work under the threshold
-  kNotOver,      // this site is not over capacity, or has not been for long enough
-  kNoTime,       // no neighbour could answer within its aim
-  kNoShare,      // no neighbour offers enough to this gateway now
-  kNoNeighbour,  // no gateway of any neighbour is in service
-  kAttempted     // it has had all its attempts
+// RejectReason says why a request is not forwarded, or not forwarded again.
+enum class RejectReason {
+  kMayHaveRun,         // the request could run twice
+  kIdempotencyKey,     // servers of another site do not recognise repeats that ran at this site
+  kAlreadyForwarded,   // another site forwarded it to this site; there is only one hop
+  kOverBudget,         // requests of a tenant over its budget are never forwarded
+  kUnknownWork,        // no capacity can be charged for a request of unknown work
+  kBelowThreshold,     // its priority weight per work is below the threshold
+  kNotOverCapacity,    // this site is not over capacity, or has not been for long enough
+  kTooLate,            // no other site could respond within the latency objective
+  kNoCapacity,         // no other site offers enough capacity to this gateway now
+  kNoGateway,          // no gateway of any other site is in service
+  kAttemptsExhausted,  // all permitted attempts have been made
 };
-inline constexpr int kWhys = 11;
-std::string_view Name(Why why);
+inline constexpr int kReasonCount = 11;
+// Returns the text that stands for the reason in descriptions.
+std::string_view Name(RejectReason reason);
 
-// What the request itself forbids; nothing: it may be spilled as far as it is concerned.
-std::optional<Why> Forbids(const Refused& request, const Options& options);
+// Returns the reason for which the request itself must not be forwarded, or nothing if it may be.
+std::optional<RejectReason> CheckEligibility(const RejectedRequest& request, const Options& options);
 
-// Of a safe class; any other is spilled at most once in all, whatever comes back.
-inline constexpr int kMostAttempts = 2;
-int MostAttempts(Idempotency idempotency);
+// Maximum number of times that an idempotent request is sent to other sites.
+inline constexpr int kMaxAttempts = 2;
+// Returns that number for a request. Any request that is not idempotent is sent once, whatever the result.
+int MaxAttempts(Idempotency idempotency);
 
-// Until an answer would be back: the way there and back, the neighbour's wait, and the work itself.
-Span Needs(const Options& options, std::uint64_t wait_ms, double work_ms);
+// Returns the expected time until the response is back: the propagation time in both directions, the wait at
+// the other site, and the work itself.
+Span EstimateResponseTime(const Options& options, std::uint64_t wait_ms, double work_ms);
 
 }  // namespace load_balancer::overflow
 
--- a/src/overflow/section.cpp
+++ b/src/overflow/section.cpp
@@ -7,36 +7,36 @@
 
 namespace load_balancer::overflow {
 
-SpillSection ReadSpill(const nlohmann::json& root, std::vector<std::string>* faults) {
-  SpillSection spill;
+OverflowSection ReadOverflowSection(const nlohmann::json& root, std::vector<std::string>* faults) {
+  OverflowSection overflow;
   Section section(root, "spill",
                   {"most_part", "estimate_interval_ms", "staleness_ms", "way_ms", "least_worth_per_work",
                    "slack_ms", "key_ttl_ms"},
                   faults);
-  spill.on = section.present();
-  Options& options = spill.options;
-  section.Real("most_part", 0.01, 1, &options.most_part);
+  overflow.on = section.present();
+  Options& options = overflow.options;
+  section.Real("most_part", 0.01, 1, &options.offered_fraction);
   section.Time("estimate_interval_ms", 50, 60000, &options.estimate_interval);
   section.Time("staleness_ms", 100, 600000, &options.staleness);
-  section.Time("way_ms", 0, 10000, &options.way);
-  section.Real("least_worth_per_work", 0, 1e9, &options.least_worth_per_work);
+  section.Time("way_ms", 0, 10000, &options.propagation_time);
+  section.Real("least_worth_per_work", 0, 1e9, &options.min_weight_per_work);
   section.Time("slack_ms", 1, 10000, &options.slack);
   section.Time("key_ttl_ms", 0, 600000, &options.key_ttl);
-  // With one estimate lost there is still a fresh one.
-  if (spill.on && options.staleness < options.estimate_interval * 2)
+  // If one estimate is lost, the one before it must not be stale yet.
+  if (overflow.on && options.staleness < options.estimate_interval * 2)
     faults->push_back("spill.staleness_ms is under 2 times estimate_interval_ms");
-  return spill;
+  return overflow;
 }
 
-void CheckSpill(const SpillSection& spill, const Directory& sites, const std::string& own_site,
-                Milliseconds lease_term, std::vector<std::string>* faults) {
-  if (!spill.on) return;
+void CheckOverflowSection(const OverflowSection& section, const Directory& sites, const std::string& own_site,
+                          Milliseconds lease_term, std::vector<std::string>* faults) {
+  if (!section.on) return;
   if (sites.empty()) return faults->push_back("spill needs the section sites");
   if (!sites.contains(own_site)) faults->push_back("spill: sites.gateways does not list sites.site");
-  const bool neighbour = std::any_of(sites.begin(), sites.end(), [&](const auto& site) {
+  const bool has_other_site = std::any_of(sites.begin(), sites.end(), [&](const auto& site) {
     return site.first != own_site && !site.second.empty();
   });
-  if (!neighbour) faults->push_back("spill: sites.gateways lists no gateway of another site");
+  if (!has_other_site) faults->push_back("spill: sites.gateways lists no gateway of another site");
   if (lease_term.count() == 0)
     faults->push_back("spill: fleet.lease_term_ms is missing, as the ambassador needs a lease");
 }
--- a/src/overflow/section.h
+++ b/src/overflow/section.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The configuration's section `spill`.
+// The section `spill` of the configuration, which sets up the overflow between sites.
 #ifndef LOAD_BALANCER_OVERFLOW_SECTION_H_
 #define LOAD_BALANCER_OVERFLOW_SECTION_H_
 
@@ -12,19 +12,20 @@
 
 namespace load_balancer::overflow {
 
-// `spill`: absent, nothing is spilled and spilled requests are refused.
-struct SpillSection {
+// OverflowSection holds the settings of the section. Without the section, `on` is false: this process
+// forwards no requests and rejects forwarded ones.
+struct OverflowSection {
   bool on = false;
   Options options;
 };
 
-// Reads `spill` of the file's root object. Appends one line per fault to `faults`.
-SpillSection ReadSpill(const nlohmann::json& root, std::vector<std::string>* faults);
+// Reads the section `spill` from the file's root object. Appends one line per fault to `faults`.
+OverflowSection ReadOverflowSection(const nlohmann::json& root, std::vector<std::string>* faults);
 
-// What the section needs of `sites`: empty where that is absent. `lease_term` is that of the fleet, under
-// which the site has its ambassador.
-void CheckSpill(const SpillSection& spill, const Directory& sites, const std::string& own_site,
-                Milliseconds lease_term, std::vector<std::string>* faults);
+// Checks the section against the section `sites`, and appends one line per fault to `faults`. `sites` is
+// empty if that section is absent. `lease_term` is the fleet's: the site's estimate publisher needs a lease.
+void CheckOverflowSection(const OverflowSection& section, const Directory& sites, const std::string& own_site,
+                          Milliseconds lease_term, std::vector<std::string>* faults);
 
 }  // namespace load_balancer::overflow
 
--- a/src/overflow/token_bucket.h
+++ b/src/overflow/token_bucket.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// This gateway's share of what a neighbour site offers: a token bucket of hinted work (ms). Over any window W
-// it lets through at most rate x W + depth + the largest request.
+// A token bucket that limits the work that this gateway forwards to one other site. Tokens are ms of hinted
+// work. In any window of length W it admits at most rate x W + depth + the largest request.
 #ifndef LOAD_BALANCER_OVERFLOW_TOKEN_BUCKET_H_
 #define LOAD_BALANCER_OVERFLOW_TOKEN_BUCKET_H_
 
@@ -12,43 +12,45 @@
 
 namespace load_balancer::overflow {
 
-class Share {
+// TokenBucket is a token bucket whose level may fall below zero by the work of one request.
+class TokenBucket {
  public:
-  // It starts empty at `now`, with a rate of zero.
-  explicit Share(Time now) : at_(now) {}
-
-  // From `now` on: ms of hinted work a second, and the most that may gather, ms of hinted work. What gathered
-  // since the last call did so at the smaller of both rates; what is over the new depth is cut at once.
-  void Set(Time now, double rate, double depth) {
-    Advance(now, std::min(rate, rate_));
+  // The bucket is empty at `now` and has a rate of zero.
+  explicit TokenBucket(Time now) : refilled_at_(now) {}
+
+  // Sets the rate (ms of hinted work per second) and the depth (ms of hinted work) from `now` on. The time
+  // since the last call is credited at the smaller of the old and the new rate. A level above the new depth
+  // is lowered to it at once.
+  void SetRate(Time now, double rate, double depth) {
+    Refill(now, std::min(rate, rate_));
     rate_ = rate;
     depth_ = depth;
     level_ = std::min(level_, depth_);
   }
 
-  // Whether so much is there, and anything at all. A request may be larger than what is there: its debt is
-  // paid off before the next.
-  bool Has(Time now, double least) {
-    Advance(now, rate_);
-    return level_ > 0 && level_ >= least;
+  // Returns whether the level is above zero and at least `min_level`. The work of the request may exceed the
+  // level: the next request is then admitted only after the deficit has been refilled.
+  bool HasAtLeast(Time now, double min_level) {
+    Refill(now, rate_);
+    return level_ > 0 && level_ >= min_level;
   }
-  // Takes it; only after Has.
+  // Takes the work of a request from the level. To be called only after HasAtLeast returned true.
   void Take(double work) { level_ -= work; }
 
-  // ms of hinted work; under zero while a debt is paid off.
+  // Returns the level in ms of hinted work. It is below zero while a deficit is being refilled.
   double level() const { return level_; }
   double rate() const { return rate_; }
   double depth() const { return depth_; }
 
  private:
-  void Advance(Time now, double rate) {
-    const std::chrono::duration<double> passed = now - at_;
+  void Refill(Time now, double rate) {
+    const std::chrono::duration<double> passed = now - refilled_at_;
     if (passed.count() <= 0) return;
-    at_ = now;
+    refilled_at_ = now;
     level_ = std::min(level_ + rate * passed.count(), depth_);
   }
 
-  Time at_;
+  Time refilled_at_;
   double rate_ = 0, depth_ = 0, level_ = 0;
 };
 
