--- a/tests/overflow/estimate_test.cpp
+++ b/tests/overflow/estimate_test.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-TEST(Estimate, JsonIsReadBackAndAnythingElseRefused) {
+TEST(Estimate, ReadsBackItsJsonAndRejectsAnythingElse) {
   const Estimate estimate{"b", 4, kWall, 900, 700, 12, 3, false, 4000};
   EXPECT_EQ(FromJson(ToJson(estimate)).value(), estimate);
   const json good = ToJson(estimate);
@@ -37,95 +37,100 @@
   EXPECT_FALSE(FromJson(json::array()));
 }
 
-TEST(Estimate, CountsWholeThenLessThenNothing) {
+TEST(Estimate, CountsFullyWhenFreshThenLessAndNotAtAllWhenStale) {
   const Options options;
   const std::pair<int, double> kTable[] = {{0, 1}, {500, 1}, {1750, 0.5}, {3000, 0}, {90000, 0}};
-  for (const auto& [age, part] : kTable) {
-    EXPECT_DOUBLE_EQ(Decay(Milliseconds(age), options), part);
-    Estimates estimates(options, Sites(2, 1));
-    ASSERT_TRUE(estimates.Hear(kStart, kWall + static_cast<UnixMs>(age), Spare("b", 1000)));
-    EXPECT_DOUBLE_EQ(estimates.Offer(kStart, "b"), 500 * part) << "late by " << age;
-    EXPECT_DOUBLE_EQ(estimates.Offer(kStart + Milliseconds(3000), "b"), 0);
-    EXPECT_EQ(estimates.Quiet(kStart, "b"), age < 1500) << "late by " << age;
+  for (const auto& [age, weight] : kTable) {
+    EXPECT_DOUBLE_EQ(Decay(Milliseconds(age), options), weight);
+    Estimates estimates(options, MakeSites(2, 1));
+    ASSERT_TRUE(estimates.Update(kStart, kWall + static_cast<UnixMs>(age), SpareEstimate("b", 1000)));
+    EXPECT_DOUBLE_EQ(estimates.OfferedCapacity(kStart, "b"), 500 * weight) << "age in ms: " << age;
+    EXPECT_DOUBLE_EQ(estimates.OfferedCapacity(kStart + Milliseconds(3000), "b"), 0);
+    EXPECT_EQ(estimates.HasSettledSpare(kStart, "b"), age < 1500) << "age in ms: " << age;
   }
 }
 
-TEST(Estimate, OfferIsAPartOfTheMeanAndNeverOverTheLowerBound) {
-  Estimates estimates(Options{}, Sites(2, 1));
-  Estimate estimate = Spare("b", 1000);
+TEST(Estimate, OfferedCapacityIsAFractionOfTheMeanAndAtMostTheLowerBound) {
+  Estimates estimates(Options{}, MakeSites(2, 1));
+  Estimate estimate = SpareEstimate("b", 1000);
   estimate.low = 300;
-  ASSERT_TRUE(estimates.Hear(kStart, kWall, estimate));
-  EXPECT_DOUBLE_EQ(estimates.Offer(kStart, "b"), 300);
-  EXPECT_DOUBLE_EQ(estimates.Offer(kStart, "c"), 0);
+  ASSERT_TRUE(estimates.Update(kStart, kWall, estimate));
+  EXPECT_DOUBLE_EQ(estimates.OfferedCapacity(kStart, "b"), 300);
+  EXPECT_DOUBLE_EQ(estimates.OfferedCapacity(kStart, "c"), 0);
 }
 
-TEST(Estimate, IsTakenOnlyIfNewerAndOfNoSmallerToken) {
-  const auto with = [](std::uint64_t token, std::int64_t ms, const char* site = "b") {
-    Estimate estimate = Spare(site, 100);
+TEST(Estimate, IsStoredOnlyIfNewerAndWithoutASmallerToken) {
+  const auto make = [](std::uint64_t token, std::int64_t ms, const char* site = "b") {
+    Estimate estimate = SpareEstimate(site, 100);
     estimate.token = token;
     estimate.made_at += static_cast<UnixMs>(ms);
     return estimate;
   };
-  Estimates estimates(Options{}, Sites(2, 1));
-  EXPECT_TRUE(estimates.Hear(kStart, kWall, with(5, 0)).value());
-  EXPECT_FALSE(estimates.Hear(kStart, kWall, with(5, 0)).value());
-  EXPECT_FALSE(estimates.Hear(kStart, kWall, with(5, -10)).value());
-  EXPECT_EQ(&estimates.Hear(kStart, kWall, with(4, 10)).error().kind(), &kFencedEstimate);
-  EXPECT_EQ(&estimates.Hear(kStart, kWall, with(5, 501)).error().kind(), &kFutureEstimate);
-  EXPECT_EQ(&estimates.Hear(kStart, kWall, with(5, 0, "z")).error().kind(), &kUnknownSite);
-  EXPECT_TRUE(estimates.Hear(kStart, kWall, with(5, 500)).value());
-  EXPECT_TRUE(estimates.Hear(kStart, kWall, with(6, -10)).value());
+  Estimates estimates(Options{}, MakeSites(2, 1));
+  EXPECT_TRUE(estimates.Update(kStart, kWall, make(5, 0)).value());
+  EXPECT_FALSE(estimates.Update(kStart, kWall, make(5, 0)).value());
+  EXPECT_FALSE(estimates.Update(kStart, kWall, make(5, -10)).value());
+  EXPECT_EQ(&estimates.Update(kStart, kWall, make(4, 10)).error().kind(), &kFencedEstimate);
+  EXPECT_EQ(&estimates.Update(kStart, kWall, make(5, 501)).error().kind(), &kFutureEstimate);
+  EXPECT_EQ(&estimates.Update(kStart, kWall, make(5, 0, "z")).error().kind(), &kUnknownSite);
+  EXPECT_TRUE(estimates.Update(kStart, kWall, make(5, 500)).value());
+  EXPECT_TRUE(estimates.Update(kStart, kWall, make(6, -10)).value());
 }
 
 struct Lease {
-  bool holds = true;
-  bool IsValid(Time) const { return holds; }
+  bool is_valid = true;
+  bool IsValid(Time) const { return is_valid; }
   std::uint64_t token() const { return 9; }
 };
 
-TEST(Ambassador, SumsMembersThatAreHeardAndNothingWithoutItsLease) {
-  Ambassador ambassador(Options{}, "b");
-  ambassador.Heard(kStart, "1", {100, 60, Milliseconds(4)});
-  ambassador.Heard(kStart + Milliseconds(2000), "2", {30, 50, Milliseconds(9)});
-  EXPECT_FALSE(ambassador.Make(kStart, kWall, Lease{false}));
-  EXPECT_EQ(ambassador.Make(kStart + Milliseconds(2999), kWall, Lease{}),
+TEST(EstimatePublisher, AddsUpMembersWithFreshReportsAndMakesNothingWithoutItsLease) {
+  EstimatePublisher publisher(Options{}, "b");
+  publisher.RecordMember(kStart, "1", {100, 60, Milliseconds(4)});
+  publisher.RecordMember(kStart + Milliseconds(2000), "2", {30, 50, Milliseconds(9)});
+  EXPECT_FALSE(publisher.MakeEstimate(kStart, kWall, Lease{false}));
+  EXPECT_EQ(publisher.MakeEstimate(kStart + Milliseconds(2999), kWall, Lease{}),
             (Estimate{"b", 9, kWall, 130, 90, 9, 2, false, 0}));
-  EXPECT_EQ(ambassador.Make(kStart + Milliseconds(3000), kWall, Lease{})->mean, 30u);
-  ambassador.Gone("2");
-  EXPECT_EQ(ambassador.Make(kStart + Milliseconds(3000), kWall, Lease{})->members, 0u);
+  EXPECT_EQ(publisher.MakeEstimate(kStart + Milliseconds(3000), kWall, Lease{})->mean, 30u);
+  publisher.RemoveMember("2");
+  EXPECT_EQ(publisher.MakeEstimate(kStart + Milliseconds(3000), kWall, Lease{})->members, 0u);
 }
 
-TEST(Ambassador, IsOverOnlyAfterSpareWasZeroForAWhileAndBackAfterSomeForAWhile) {
-  Ambassador ambassador(Options{}, "b");
-  // At ms, with this spare: over, and for how long it says so.
+TEST(EstimatePublisher, ChangesStateOnlyAfterTheSpareCapacityWasZeroOrAboveZeroForTheSetTime) {
+  EstimatePublisher publisher(Options{}, "b");
+  // Each row: the time in ms, the reported spare capacity, and the expected `over` and `for_ms`.
   const std::tuple<int, double, bool, std::uint64_t> kTable[] = {
       {0, 50, false, 0},      {500, 0, false, 0},     {1000, 50, false, 0},   {1400, 50, false, 400},
       {1500, 0, false, 0},    {2499, 0, false, 0},    {2500, 0, true, 1000},  {3000, 50, true, 1500},
       {4000, 0, true, 2500},  {5000, 50, true, 3500}, {6999, 50, true, 5499}, {7000, 50, false, 0},
       {8000, 50, false, 1000}};
-  for (const auto& [ms, spare, over, held] : kTable) {
+  for (const auto& [ms, spare, over, settled_ms] : kTable) {
     const Time now = kStart + Milliseconds(ms);
-    ambassador.Heard(now, "1", {spare, spare, {}});
-    const auto estimate = ambassador.Make(now, kWall, Lease{});
-    EXPECT_EQ(std::pair(estimate->over, estimate->for_ms), std::pair(over, held)) << ms;
+    publisher.RecordMember(now, "1", {spare, spare, {}});
+    const auto estimate = publisher.MakeEstimate(now, kWall, Lease{});
+    EXPECT_EQ(std::pair(estimate->over, estimate->for_ms), std::pair(over, settled_ms)) << ms;
     EXPECT_EQ(estimate->mean, over ? 0 : static_cast<std::uint64_t>(spare)) << ms;
   }
 }
 
-TEST(SpillSection, NamesEachFault) {
-  const auto faults = [](const json& spill, const Directory& sites, int lease) {
+TEST(OverflowSection, ReportsEachFault) {
+  const auto find_faults = [](const json& settings, const Directory& sites, int lease_term_ms) {
     std::vector<std::string> found;
-    CheckSpill(ReadSpill({{"spill", spill}}, &found), sites, "a", Milliseconds(lease), &found);
+    CheckOverflowSection(ReadOverflowSection({{"spill", settings}}, &found), sites, "a",
+                         Milliseconds(lease_term_ms), &found);
     return found;
   };
   using Faults = std::vector<std::string>;
-  EXPECT_EQ(faults(nullptr, {}, 0), Faults{});
-  EXPECT_EQ(faults(json::object(), Sites(2, 1), 3000), Faults{});
-  EXPECT_EQ(faults(json::object(), {}, 3000), Faults{"spill needs the section sites"});
-  EXPECT_EQ(faults(json::object(), Sites(1, 1), 0).size(), 2u);
-  EXPECT_EQ(faults({{"most_part", 1.5}, {"part", 1}, {"staleness_ms", 900}}, Sites(2, 1), 3000).size(), 3u);
+  EXPECT_EQ(find_faults(nullptr, {}, 0), Faults{});
+  EXPECT_EQ(find_faults(json::object(), MakeSites(2, 1), 3000), Faults{});
+  EXPECT_EQ(find_faults(json::object(), {}, 3000), Faults{"spill needs the section sites"});
+  EXPECT_EQ(find_faults(json::object(), MakeSites(1, 1), 0).size(), 2u);
+  EXPECT_EQ(
+      find_faults({{"most_part", 1.5}, {"part", 1}, {"staleness_ms", 900}}, MakeSites(2, 1), 3000).size(),
+      3u);
   std::vector<std::string> none;
-  EXPECT_EQ(ReadSpill({{"spill", {{"most_part", 0.25}, {"slack_ms", 80}}}}, &none).options.slack.count(), 80);
+  EXPECT_EQ(
+      ReadOverflowSection({{"spill", {{"most_part", 0.25}, {"slack_ms", 80}}}}, &none).options.slack.count(),
+      80);
 }
 
 }  // namespace
--- a/tests/overflow/fixture.h
+++ b/tests/overflow/fixture.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What the tests of spilling share: sites with loopback addresses, estimates, and a Spill with its clock.
+// Shared by the tests of the overflow between sites: sites with loopback addresses, estimates, requests, and
+// an OverflowRouter with a clock.
 #ifndef LOAD_BALANCER_TESTS_OVERFLOW_FIXTURE_H_
 #define LOAD_BALANCER_TESTS_OVERFLOW_FIXTURE_H_
 
@@ -16,8 +17,9 @@
 inline constexpr UnixMs kWall = 1700000000000;
 inline constexpr Time kStart{std::chrono::hours(1)};
 
-// Sites a, b, c, ..., each with gateways 1, 2, ...: site i at 127.0.i.x.
-inline Directory Sites(int sites, int gateways) {
+// Returns sites a, b, c, ..., each with gateways 1, 2, ... The gateways of site number i have the addresses
+// 127.0.i.x.
+inline Directory MakeSites(int sites, int gateways) {
   Directory directory;
   for (int s = 0; s < sites; ++s)
     for (int g = 1; g <= gateways; ++g) {
@@ -29,59 +31,64 @@
   return directory;
 }
 
-inline Estimate Spare(const std::string& site, std::uint64_t mean) {
+// Returns an estimate of a site that has had spare capacity for an hour.
+inline Estimate SpareEstimate(const std::string& site, std::uint64_t mean) {
   return {site, 1, kWall, mean, mean, 0, 1, false, 3600000};
 }
-inline Estimate Over(const std::string& site) { return {site, 1, kWall, 0, 0, 0, 1, true, 3600000}; }
+// Returns an estimate of a site that has been over capacity for an hour.
+inline Estimate OverEstimate(const std::string& site) { return {site, 1, kWall, 0, 0, 0, 1, true, 3600000}; }
 
-// Gateway 1 of site a, which is over capacity; its clock stands unless moved.
-struct Bed {
-  explicit Bed(int sites, Options set = {}, int gateways = 1)
-      : options(set), spill(options, Sites(sites, gateways), "a", 7, kStart) {
-    Hear(Over("a"));
+// RouterFixture is gateway 1 of site a, which is over capacity. Its clock moves only when the test moves it.
+struct RouterFixture {
+  explicit RouterFixture(int sites, Options settings = {}, int gateways = 1)
+      : options(settings), router(options, MakeSites(sites, gateways), "a", 7, kStart) {
+    Receive(OverEstimate("a"));
   }
 
   Time now() const { return kStart + passed; }
-  void Hear(Estimate estimate) {
+  // Delivers an estimate that is made now.
+  void Receive(Estimate estimate) {
     estimate.made_at = kWall + static_cast<UnixMs>(passed.count());
-    Do(EstimateHeard{estimate, estimate.made_at});
+    Handle(EstimateReceived{estimate, estimate.made_at});
   }
-  const std::vector<Action>& Do(const Event& event) {
+  const std::vector<Action>& Handle(const Event& event) {
     actions.clear();
-    spill.Handle(now(), event, &actions);
+    router.Handle(now(), event, &actions);
     return actions;
   }
+  // Returns the first action of the type among those of the last event.
   template <typename T>
   std::optional<T> Find() const {
     for (const Action& action : actions)
       if (const T* found = std::get_if<T>(&action)) return *found;
     return std::nullopt;
   }
-  // Where a request goes; nothing: it is given up.
-  std::optional<Neighbour> Refuse(const Refused& request) {
-    Do(request);
-    const auto sent = Find<SendTo>();
+  // Offers the request to the router. Returns its destination, or nothing if it is given up.
+  std::optional<RemoteGateway> Offer(const RejectedRequest& request) {
+    Handle(request);
+    const auto sent = Find<ForwardTo>();
     EXPECT_NE(sent.has_value(), Find<GiveUp>().has_value());
-    return sent ? std::optional(sent->neighbour) : std::nullopt;
+    return sent ? std::optional(sent->destination) : std::nullopt;
   }
-  // Time for the shares to fill, with estimates as they are renewed.
+  // Lets `time` pass, so that the token buckets refill. Renews the estimates meanwhile.
   void Pass(Milliseconds time, const std::vector<Estimate>& estimates) {
     for (const Milliseconds end = passed + time; passed < end;) {
       passed += Milliseconds(100);
-      Hear(Over("a"));
-      for (const Estimate& estimate : estimates) Hear(estimate);
-      Do(Tick{});
+      Receive(OverEstimate("a"));
+      for (const Estimate& estimate : estimates) Receive(estimate);
+      Handle(Tick{});
     }
   }
 
   Options options;
   Milliseconds passed{0};
   std::vector<Action> actions;
-  Spill spill;
+  OverflowRouter router;
 };
 
-inline Refused Safe(RequestId id) {
-  Refused request;
+// Returns an idempotent request that every rule allows to be forwarded.
+inline RejectedRequest IdempotentRequest(RequestId id) {
+  RejectedRequest request;
   request.request = id;
   request.idempotency = Idempotency::kIdempotent;
   request.latency_objective_left = request.deadline_left = std::chrono::seconds(1);
--- a/tests/overflow/overflow_router_test.cpp
+++ b/tests/overflow/overflow_router_test.cpp
@@ -11,283 +11,291 @@
 namespace load_balancer::overflow {
 namespace {
 
-const std::vector<Estimate> kBothHaveSpare{Spare("b", 8000), Spare("c", 8000)};
+const std::vector<Estimate> kBothSitesHaveSpare{SpareEstimate("b", 8000), SpareEstimate("c", 8000)};
 
-// Two neighbours with spare, and the shares full.
-struct Ready : Bed {
-  explicit Ready(Options set = {}, int gateways = 1) : Bed(3, set, gateways) {
-    Pass(Milliseconds(500), kBothHaveSpare);
+// ReadyFixture has two other sites with spare capacity, and its token buckets are full.
+struct ReadyFixture : RouterFixture {
+  explicit ReadyFixture(Options settings = {}, int gateways = 1) : RouterFixture(3, settings, gateways) {
+    Pass(Milliseconds(500), kBothSitesHaveSpare);
   }
 };
 
-TEST(Rules, EachForbidsARequestThatItIsAbout) {
+TEST(Rules, EachRejectsTheRequestsThatItConcerns) {
   struct Case {
     const char* name;
-    std::optional<Why> why;
-    std::function<void(Refused&)> change;
+    std::optional<RejectReason> reason;
+    std::function<void(RejectedRequest&)> change;
   };
   const Case kTable[] = {
-      {"safe", {}, [](Refused&) {}},
-      {"unsafe", {}, [](Refused& r) { r.idempotency = Idempotency::kNotIdempotent; }},
-      {"may have run", Why::kMayHaveRun, [](Refused& r) { r.may_have_run = true; }},
-      {"keyed", Why::kKeyed, [](Refused& r) { r.idempotency = Idempotency::kIdempotencyKey; }},
-      {"spilled already", Why::kSpilled, [](Refused& r) { r.spilled = true; }},
-      {"over its budget", Why::kOverBudget, [](Refused& r) { r.within_budget = false; }},
-      {"no work", Why::kNoWork, [](Refused& r) { r.work_ms = 0; }},
-      {"little worth", Why::kLittleWorth, [](Refused& r) { r.priority_weight = 0.49; }},
-      {"enough worth", {}, [](Refused& r) { r.priority_weight = 0.5; }},
-      {"just in time", {}, [](Refused& r) { r.latency_objective_left = Milliseconds(50); }},
-      {"past its aim", Why::kNoTime, [](Refused& r) { r.latency_objective_left = Milliseconds(49); }},
-      {"past its deadline", Why::kNoTime, [](Refused& r) { r.deadline_left = Milliseconds(49); }}};
+      {"idempotent", {}, [](RejectedRequest&) {}},
+      {"not idempotent", {}, [](RejectedRequest& r) { r.idempotency = Idempotency::kNotIdempotent; }},
+      {"may have run", RejectReason::kMayHaveRun, [](RejectedRequest& r) { r.may_have_run = true; }},
+      {"idempotency key", RejectReason::kIdempotencyKey,
+       [](RejectedRequest& r) { r.idempotency = Idempotency::kIdempotencyKey; }},
+      {"forwarded already", RejectReason::kAlreadyForwarded, [](RejectedRequest& r) { r.forwarded = true; }},
+      {"over its budget", RejectReason::kOverBudget, [](RejectedRequest& r) { r.within_budget = false; }},
+      {"unknown work", RejectReason::kUnknownWork, [](RejectedRequest& r) { r.work_ms = 0; }},
+      {"weight below the minimum", RejectReason::kBelowThreshold,
+       [](RejectedRequest& r) { r.priority_weight = 0.49; }},
+      {"weight at the minimum", {}, [](RejectedRequest& r) { r.priority_weight = 0.5; }},
+      {"just in time", {}, [](RejectedRequest& r) { r.latency_objective_left = Milliseconds(50); }},
+      {"past its latency objective", RejectReason::kTooLate,
+       [](RejectedRequest& r) { r.latency_objective_left = Milliseconds(49); }},
+      {"past its deadline", RejectReason::kTooLate,
+       [](RejectedRequest& r) { r.deadline_left = Milliseconds(49); }}};
   Options options;
-  options.least_worth_per_work = 0.05;
+  options.min_weight_per_work = 0.05;
   for (const Case& each : kTable) {
-    Ready bed(options);
-    Refused request = Safe(1);
+    ReadyFixture fixture(options);
+    RejectedRequest request = IdempotentRequest(1);
     request.retry_after = Milliseconds(70);
     each.change(request);
-    const auto sent = bed.Refuse(request);
-    EXPECT_EQ(sent.has_value(), !each.why) << each.name;
-    EXPECT_EQ(bed.spill.open(), each.why ? 0u : 1u) << each.name;
-    if (!each.why) {
-      EXPECT_EQ(bed.Find<SendTo>()->timeout, request.deadline_left);
+    const auto sent = fixture.Offer(request);
+    EXPECT_EQ(sent.has_value(), !each.reason) << each.name;
+    EXPECT_EQ(fixture.router.open(), each.reason ? 0u : 1u) << each.name;
+    if (!each.reason) {
+      EXPECT_EQ(fixture.Find<ForwardTo>()->timeout, request.deadline_left);
       continue;
     }
-    const GiveUp given = *bed.Find<GiveUp>();
-    EXPECT_EQ(Name(given.why), Name(*each.why)) << each.name;
-    EXPECT_EQ(given.may_have_run, request.may_have_run) << each.name;
-    EXPECT_EQ(given.retry_after, request.retry_after) << each.name;
+    const GiveUp give_up = *fixture.Find<GiveUp>();
+    EXPECT_EQ(Name(give_up.reason), Name(*each.reason)) << each.name;
+    EXPECT_EQ(give_up.may_have_run, request.may_have_run) << each.name;
+    EXPECT_EQ(give_up.retry_after, request.retry_after) << each.name;
   }
 }
 
-TEST(Rules, TheNeighboursWaitCounts) {
-  Bed bed(2);
-  Estimate busy = Spare("b", 8000);
+TEST(Rules, TheWaitAtTheOtherSiteCountsTowardsTheResponseTime) {
+  RouterFixture fixture(2);
+  Estimate busy = SpareEstimate("b", 8000);
   busy.wait_ms = 951;
-  bed.Pass(Milliseconds(500), {busy});
-  EXPECT_FALSE(bed.Refuse(Safe(1)));
-  EXPECT_EQ(bed.Find<GiveUp>()->why, Why::kNoTime);
+  fixture.Pass(Milliseconds(500), {busy});
+  EXPECT_FALSE(fixture.Offer(IdempotentRequest(1)));
+  EXPECT_EQ(fixture.Find<GiveUp>()->reason, RejectReason::kTooLate);
 }
 
-TEST(Rules, OnlyASiteThatIsOverAndHasSettledSpills) {
-  Estimate fresh = Over("a");
-  fresh.for_ms = 1999;
-  Estimate quiet = Spare("a", 0);
-  for (const Estimate& own : {fresh, quiet}) {
-    Ready bed;
-    bed.Hear(own);
-    bed.passed += Milliseconds(1);
-    bed.Hear(own);
-    EXPECT_FALSE(bed.Refuse(Safe(1)));
-    EXPECT_EQ(bed.Find<GiveUp>()->why, Why::kNotOver);
+TEST(Rules, OnlyASiteThatHasBeenOverCapacityForLongEnoughForwards) {
+  Estimate unsettled = OverEstimate("a");
+  unsettled.for_ms = 1999;
+  Estimate not_over = SpareEstimate("a", 0);
+  for (const Estimate& own : {unsettled, not_over}) {
+    ReadyFixture fixture;
+    fixture.Receive(own);
+    fixture.passed += Milliseconds(1);
+    fixture.Receive(own);
+    EXPECT_FALSE(fixture.Offer(IdempotentRequest(1)));
+    EXPECT_EQ(fixture.Find<GiveUp>()->reason, RejectReason::kNotOverCapacity);
   }
-  Bed alone(2);
-  alone.Hear(fresh);
-  alone.Pass(Milliseconds(500), {Spare("b", 8000)});
-  EXPECT_TRUE(alone.Refuse(Safe(1))) << "no third site whose gateways it would have to wait for";
-  Ready stale;
+  RouterFixture two_sites(2);
+  two_sites.Receive(unsettled);
+  two_sites.Pass(Milliseconds(500), {SpareEstimate("b", 8000)});
+  EXPECT_TRUE(two_sites.Offer(IdempotentRequest(1)))
+      << "with two sites there is no third one whose gateways have to learn of the state first";
+  ReadyFixture stale;
   stale.passed += Milliseconds(3000);
-  for (const Estimate& estimate : kBothHaveSpare) stale.Hear(estimate);
-  EXPECT_FALSE(stale.Refuse(Safe(1))) << "it hears nothing of itself";
+  for (const Estimate& estimate : kBothSitesHaveSpare) stale.Receive(estimate);
+  EXPECT_FALSE(stale.Offer(IdempotentRequest(1))) << "the estimate of its own site is stale";
 }
 
-TEST(Rules, ASiteWithoutSpareIsSentNothing) {
-  Bed bed(3);
-  bed.Pass(Milliseconds(500), {Over("b"), Spare("c", 8000)});
+TEST(Rules, ASiteWithoutSpareCapacityReceivesNothing) {
+  RouterFixture fixture(3);
+  fixture.Pass(Milliseconds(500), {OverEstimate("b"), SpareEstimate("c", 8000)});
   for (RequestId id = 1; id <= 100; ++id) {
-    bed.Pass(Milliseconds(100), {Over("b"), Spare("c", 8000)});
-    const auto sent = bed.Refuse(Safe(id));
+    fixture.Pass(Milliseconds(100), {OverEstimate("b"), SpareEstimate("c", 8000)});
+    const auto sent = fixture.Offer(IdempotentRequest(id));
     ASSERT_TRUE(sent);
     EXPECT_EQ(sent->site, "c");
   }
 }
 
-TEST(Spill, NobodyIsKnownOrPresent) {
-  Bed unknown(2);
-  EXPECT_FALSE(unknown.Refuse(Safe(1)));
-  Ready bed;
-  for (const char* site : {"b", "c"}) bed.Do(Presence{{site, "1"}, false});
-  EXPECT_FALSE(bed.Refuse(Safe(1)));
-  EXPECT_EQ(bed.Find<GiveUp>()->why, Why::kNoNeighbour);
+TEST(OverflowRouter, GivesUpIfNoOtherSiteIsKnownOrPresent) {
+  RouterFixture unknown(2);
+  EXPECT_FALSE(unknown.Offer(IdempotentRequest(1)));
+  ReadyFixture fixture;
+  for (const char* site : {"b", "c"}) fixture.Handle(PresenceChanged{{site, "1"}, false});
+  EXPECT_FALSE(fixture.Offer(IdempotentRequest(1)));
+  EXPECT_EQ(fixture.Find<GiveUp>()->reason, RejectReason::kNoGateway);
 }
 
-// What comes of a request for each effect and outcome of its first attempt.
-TEST(Spill, AfterAnAttempt) {
+TEST(OverflowRouter, RetriesOnlyIdempotentRequestsThatWereNotServed) {
   struct Case {
     Idempotency idempotency;
-    SpillOutcome outcome;
-    bool again;                        // sent once more, elsewhere
-    std::optional<bool> may_have_run;  // of the final answer; nothing: the neighbour's goes to the client
+    ForwardOutcome outcome;
+    bool is_retried;  // sent once more, to another site
+    // As the final action says; nothing if the other site's response goes to the client.
+    std::optional<bool> may_have_run;
   };
-  const Case kTable[] = {{Idempotency::kIdempotent, SpillOutcome::kOk, false, {}},
-                         {Idempotency::kIdempotent, SpillOutcome::kRefused, true, false},
-                         {Idempotency::kIdempotent, SpillOutcome::kNotRun, true, false},
-                         {Idempotency::kIdempotent, SpillOutcome::kMayHaveRun, true, true},
-                         {Idempotency::kNotIdempotent, SpillOutcome::kOk, false, {}},
-                         {Idempotency::kNotIdempotent, SpillOutcome::kRefused, false, false},
-                         {Idempotency::kNotIdempotent, SpillOutcome::kNotRun, false, false},
-                         {Idempotency::kNotIdempotent, SpillOutcome::kMayHaveRun, false, true}};
+  const Case kTable[] = {{Idempotency::kIdempotent, ForwardOutcome::kOk, false, {}},
+                         {Idempotency::kIdempotent, ForwardOutcome::kRejected, true, false},
+                         {Idempotency::kIdempotent, ForwardOutcome::kNotRun, true, false},
+                         {Idempotency::kIdempotent, ForwardOutcome::kMayHaveRun, true, true},
+                         {Idempotency::kNotIdempotent, ForwardOutcome::kOk, false, {}},
+                         {Idempotency::kNotIdempotent, ForwardOutcome::kRejected, false, false},
+                         {Idempotency::kNotIdempotent, ForwardOutcome::kNotRun, false, false},
+                         {Idempotency::kNotIdempotent, ForwardOutcome::kMayHaveRun, false, true}};
   for (const Case& each : kTable) {
-    Ready bed;
-    Refused request = Safe(1);
+    ReadyFixture fixture;
+    RejectedRequest request = IdempotentRequest(1);
     request.idempotency = each.idempotency;
-    const auto first = bed.Refuse(request);
+    const auto first = fixture.Offer(request);
     ASSERT_TRUE(first);
-    bed.Do(SpillAnswered{1, *first, each.outcome, {}, {}});
-    const auto second = bed.Find<SendTo>();
-    ASSERT_EQ(second.has_value(), each.again);
+    fixture.Handle(ForwardEnded{1, *first, each.outcome, {}, {}});
+    const auto second = fixture.Find<ForwardTo>();
+    ASSERT_EQ(second.has_value(), each.is_retried);
     if (second) {
-      EXPECT_NE(second->neighbour.site, first->site);
-      EXPECT_TRUE(bed.Do(SpillAnswered{1, *first, SpillOutcome::kOk, {}, {}}).empty()) << "answered already";
-      bed.Do(SpillAnswered{1, second->neighbour, SpillOutcome::kRefused, {}, {}});
-      EXPECT_FALSE(bed.Find<SendTo>());
+      EXPECT_NE(second->destination.site, first->site);
+      EXPECT_TRUE(fixture.Handle(ForwardEnded{1, *first, ForwardOutcome::kOk, {}, {}}).empty())
+          << "the request has been answered already";
+      fixture.Handle(ForwardEnded{1, second->destination, ForwardOutcome::kRejected, {}, {}});
+      EXPECT_FALSE(fixture.Find<ForwardTo>());
     }
-    const auto given = bed.Find<GiveUp>();
+    const auto given = fixture.Find<GiveUp>();
     EXPECT_EQ(given ? std::optional(given->may_have_run) : std::nullopt, each.may_have_run);
-    EXPECT_EQ(bed.spill.open(), 0u);
+    EXPECT_EQ(fixture.router.open(), 0u);
   }
 }
 
-TEST(Spill, NoSecondAttemptWithoutTimeOrOnceTheSiteHasSpare) {
-  for (const bool late : {true, false}) {
-    Ready bed;
-    const auto first = bed.Refuse(Safe(1));
-    bed.passed += Milliseconds(late ? 960 : 10);
-    if (!late) bed.Hear(Spare("a", 10));
-    bed.Do(SpillAnswered{1, *first, SpillOutcome::kNotRun, {}, {}});
-    EXPECT_EQ(bed.Find<GiveUp>()->why, late ? Why::kNoTime : Why::kNotOver);
+TEST(OverflowRouter, SendsNoSecondAttemptTooLateOrOnceTheSiteHasSpareCapacity) {
+  for (const bool is_late : {true, false}) {
+    ReadyFixture fixture;
+    const auto first = fixture.Offer(IdempotentRequest(1));
+    fixture.passed += Milliseconds(is_late ? 960 : 10);
+    if (!is_late) fixture.Receive(SpareEstimate("a", 10));
+    fixture.Handle(ForwardEnded{1, *first, ForwardOutcome::kNotRun, {}, {}});
+    EXPECT_EQ(fixture.Find<GiveUp>()->reason,
+              is_late ? RejectReason::kTooLate : RejectReason::kNotOverCapacity);
   }
 }
 
-TEST(Spill, AnAnswersEstimateCutsTheShareAtOnce) {
-  Ready bed;
-  bed.Do(Presence{{"c", "1"}, false});
-  const auto first = bed.Refuse(Safe(1));
+TEST(OverflowRouter, TheEstimateInAResponseLowersTheCapacityAtOnce) {
+  ReadyFixture fixture;
+  fixture.Handle(PresenceChanged{{"c", "1"}, false});
+  const auto first = fixture.Offer(IdempotentRequest(1));
   ASSERT_TRUE(first);
-  Estimate none = Over("b");
-  none.made_at = kWall + static_cast<UnixMs>(bed.passed.count()) + 1;
-  bed.Do(SpillAnswered{1, *first, SpillOutcome::kRefused, {}, EstimateHeard{none, none.made_at}});
-  EXPECT_FALSE(bed.Refuse(Safe(2)));
-  EXPECT_EQ(bed.Find<GiveUp>()->why, Why::kNoShare);
+  Estimate none = OverEstimate("b");
+  none.made_at = kWall + static_cast<UnixMs>(fixture.passed.count()) + 1;
+  fixture.Handle(
+      ForwardEnded{1, *first, ForwardOutcome::kRejected, {}, EstimateReceived{none, none.made_at}});
+  EXPECT_FALSE(fixture.Offer(IdempotentRequest(2)));
+  EXPECT_EQ(fixture.Find<GiveUp>()->reason, RejectReason::kNoCapacity);
 }
 
-TEST(Spill, AClientThatLeavesEndsItsRequest) {
-  Ready bed;
-  const auto sent = bed.Refuse(Safe(1));
-  bed.Do(ClientGone{1});
-  EXPECT_EQ(bed.spill.open(), 0u);
-  EXPECT_TRUE(bed.Do(SpillAnswered{1, *sent, SpillOutcome::kNotRun, {}, {}}).empty());
+TEST(OverflowRouter, ForgetsARequestWhoseClientIsGone) {
+  ReadyFixture fixture;
+  const auto sent = fixture.Offer(IdempotentRequest(1));
+  fixture.Handle(ClientGone{1});
+  EXPECT_EQ(fixture.router.open(), 0u);
+  EXPECT_TRUE(fixture.Handle(ForwardEnded{1, *sent, ForwardOutcome::kNotRun, {}, {}}).empty());
 }
 
-TEST(Spill, KeysStayWithTheirNeighbourWhileItIsWarmAndFit) {
-  Ready bed(Options{}, 3);
-  Refused request = Safe(1);
+TEST(OverflowRouter, ForwardsAKeyToTheSameGatewayWhileThatIsInService) {
+  ReadyFixture fixture(Options{}, 3);
+  RejectedRequest request = IdempotentRequest(1);
   request.key = 77;
-  const auto first = bed.Refuse(request);
-  bed.Do(SpillAnswered{1, *first, SpillOutcome::kOk, {}, {}});
+  const auto first = fixture.Offer(request);
+  fixture.Handle(ForwardEnded{1, *first, ForwardOutcome::kOk, {}, {}});
   for (RequestId id = 2; id < 30; ++id) {
-    bed.Pass(Milliseconds(200), kBothHaveSpare);
+    fixture.Pass(Milliseconds(200), kBothSitesHaveSpare);
     request.request = id;
-    ASSERT_EQ(bed.Refuse(request), first);
-    bed.Do(SpillAnswered{id, *first, SpillOutcome::kOk, {}, {}});
+    ASSERT_EQ(fixture.Offer(request), first);
+    fixture.Handle(ForwardEnded{id, *first, ForwardOutcome::kOk, {}, {}});
   }
-  bed.Do(Presence{*first, false});
+  fixture.Handle(PresenceChanged{*first, false});
   request.request = 30;
-  EXPECT_NE(bed.Refuse(request), first);
+  EXPECT_NE(fixture.Offer(request), first);
 }
 
-TEST(Spill, ChoosesBetweenNeighboursByWhatIsLeftOfTheirShares) {
-  Ready bed;
+TEST(OverflowRouter, ChoosesTheSiteWithTheFullerBucket) {
+  ReadyFixture fixture;
   std::map<std::string, int> sent;
-  const std::vector<Estimate> uneven{Spare("b", 8000), Spare("c", 24000)};
+  const std::vector<Estimate> uneven{SpareEstimate("b", 8000), SpareEstimate("c", 24000)};
   for (RequestId id = 1; id <= 400; ++id) {
-    bed.Pass(Milliseconds(100), uneven);
-    if (const auto to = bed.Refuse(Safe(id))) ++sent[to->site];
+    fixture.Pass(Milliseconds(100), uneven);
+    if (const auto to = fixture.Offer(IdempotentRequest(id))) ++sent[to->site];
   }
-  EXPECT_EQ(sent["c"], 400) << "of two, always the one with more left";
-  const std::vector<Estimate> even{Spare("b", 8000), Spare("c", 8000)};
+  EXPECT_EQ(sent["c"], 400) << "of two sites, always the one whose bucket is fuller";
+  const std::vector<Estimate> even{SpareEstimate("b", 8000), SpareEstimate("c", 8000)};
   for (RequestId id = 401; id <= 800; ++id) {
-    bed.Pass(Milliseconds(100), even);
-    if (const auto to = bed.Refuse(Safe(id))) ++sent[to->site];
+    fixture.Pass(Milliseconds(100), even);
+    if (const auto to = fixture.Offer(IdempotentRequest(id))) ++sent[to->site];
   }
   EXPECT_GT(sent["b"], 100);
   EXPECT_GT(sent["c"], 500);
 }
 
-// Twice as much is asked as is offered, half of it worth ten times as much.
-TEST(Spill, KeepsAScarceOfferForWhatIsWorthMore) {
-  Bed bed(2);
+// The demand is twice the offered capacity. Half of the requests have ten times the weight of the others.
+TEST(OverflowRouter, PrefersRequestsOfHigherWeightWhenCapacityIsScarce) {
+  RouterFixture fixture(2);
   std::map<double, int> sent;
   for (RequestId id = 1; id <= 4000; ++id) {
-    if (id % 40 == 0) bed.Pass(Milliseconds(100), {Spare("b", 4000)});
-    Refused request = Safe(id);
+    if (id % 40 == 0) fixture.Pass(Milliseconds(100), {SpareEstimate("b", 4000)});
+    RejectedRequest request = IdempotentRequest(id);
     request.priority_weight = id % 2 == 0 ? 10 : 1;
-    if (bed.Refuse(request)) ++sent[request.priority_weight];
-    bed.Do(ClientGone{id});
+    if (fixture.Offer(request)) ++sent[request.priority_weight];
+    fixture.Handle(ClientGone{id});
   }
-  EXPECT_GT(sent[10], 1300) << "of 2000; without a price 1000";
+  EXPECT_GT(sent[10], 1300) << "of 2000; without an admission threshold it would be 1000";
   EXPECT_LT(sent[1], 600);
 }
 
-// While requests of higher worth ask for all that is offered, one of lower worth leaves them part of a share.
-TEST(Spill, LeavesPartOfAShareToWhatIsWorthMore) {
-  Bed bed(2);
-  bed.Pass(Milliseconds(500), {Spare("b", 4000)});
+// While requests of high weight demand all of the offered capacity, part of the bucket is reserved for them.
+TEST(OverflowRouter, ReservesPartOfTheBucketForRequestsOfHigherWeight) {
+  RouterFixture fixture(2);
+  fixture.Pass(Milliseconds(500), {SpareEstimate("b", 4000)});
   const auto send = [&](RequestId id, double priority_weight) {
-    Refused request = Safe(id);
+    RejectedRequest request = IdempotentRequest(id);
     request.priority_weight = priority_weight;
-    return bed.Refuse(request).has_value();
+    return fixture.Offer(request).has_value();
   };
   RequestId id = 0;
   for (int i = 0; i < 80; ++i) {
-    bed.Pass(Milliseconds(100), {Spare("b", 4000)});
-    for (int n = 0; n < 18; ++n) send(++id, 10);  // nine tenths of what is offered
+    fixture.Pass(Milliseconds(100), {SpareEstimate("b", 4000)});
+    for (int n = 0; n < 18; ++n) send(++id, 10);  // 90 % of the offered capacity
   }
   for (int i = 0; i < 100 && send(++id, 10); ++i) {
   }
-  bed.Pass(Milliseconds(100), {Spare("b", 4000)});  // half of the depth has gathered again
+  fixture.Pass(Milliseconds(100), {SpareEstimate("b", 4000)});  // refills half of the bucket
   for (int i = 0; i < 10; ++i) {
     EXPECT_FALSE(send(++id, 1));
-    ASSERT_TRUE(bed.Find<GiveUp>());
-    EXPECT_EQ(bed.Find<GiveUp>()->why, Why::kNoShare);
+    ASSERT_TRUE(fixture.Find<GiveUp>());
+    EXPECT_EQ(fixture.Find<GiveUp>()->reason, RejectReason::kNoCapacity);
   }
   EXPECT_TRUE(send(++id, 10));
 }
 
-TEST(Spill, LeavesAGatewayThatRefusesAndSaysSo) {
-  Bed bed(2, Options{}, 2);
-  const std::vector<Estimate> spare{Spare("b", 8000)};
-  const Neighbour bad{"b", "1"};
-  bed.Pass(Milliseconds(500), spare);
-  bool left = false;
+TEST(OverflowRouter, EjectsAGatewayThatFailsAndLogsIt) {
+  RouterFixture fixture(2, Options{}, 2);
+  const std::vector<Estimate> estimates{SpareEstimate("b", 8000)};
+  const RemoteGateway failing{"b", "1"};
+  fixture.Pass(Milliseconds(500), estimates);
+  bool is_ejected = false;
   for (RequestId id = 1; id <= 60; ++id) {
-    bed.Pass(Milliseconds(100), spare);
-    Refused request = Safe(id);
+    fixture.Pass(Milliseconds(100), estimates);
+    RejectedRequest request = IdempotentRequest(id);
     request.idempotency = Idempotency::kNotIdempotent;
-    const auto to = bed.Refuse(request);
+    const auto to = fixture.Offer(request);
     ASSERT_TRUE(to);
-    const bool is_bad = *to == bad;
-    EXPECT_FALSE(left && is_bad);
-    bed.Do(SpillAnswered{id, *to, is_bad ? SpillOutcome::kNotRun : SpillOutcome::kOk, {}, {}});
-    if (const auto log = bed.Find<Log>()) left = left || log->kind == &kNeighbourLeft;
-    if (left) break;
+    const bool is_failing = *to == failing;
+    EXPECT_FALSE(is_ejected && is_failing);
+    fixture.Handle(ForwardEnded{id, *to, is_failing ? ForwardOutcome::kNotRun : ForwardOutcome::kOk, {}, {}});
+    if (const auto log = fixture.Find<Log>()) is_ejected = is_ejected || log->kind == &kGatewayEjected;
+    if (is_ejected) break;
   }
-  EXPECT_TRUE(left);
+  EXPECT_TRUE(is_ejected);
 }
 
-TEST(Spill, TellsWhenItBeginsAndEndsAndComplainsNotTooOften) {
-  Bed bed(2);
-  bed.passed += Milliseconds(10);
-  bed.Hear(Spare("a", 100));
-  ASSERT_TRUE(bed.Find<Log>());
-  EXPECT_EQ(bed.Find<Log>()->kind, nullptr);
-  bed.passed += Milliseconds(10);
-  bed.Hear(Over("a"));
-  EXPECT_TRUE(bed.Find<Log>());
-  bed.Do(EstimateHeard{Over("z"), kWall});
-  EXPECT_EQ(bed.Find<Log>()->kind, &kUnknownSite);
-  EXPECT_TRUE(bed.Do(EstimateHeard{Over("z"), kWall}).empty());
-  EXPECT_NE(bed.spill.Describe(bed.now()).find("spilling; a over"), std::string::npos);
+TEST(OverflowRouter, LogsWhenForwardingBeginsAndEndsAndLimitsTheRateOfFailureLogs) {
+  RouterFixture fixture(2);
+  fixture.passed += Milliseconds(10);
+  fixture.Receive(SpareEstimate("a", 100));
+  ASSERT_TRUE(fixture.Find<Log>());
+  EXPECT_EQ(fixture.Find<Log>()->kind, nullptr);
+  fixture.passed += Milliseconds(10);
+  fixture.Receive(OverEstimate("a"));
+  EXPECT_TRUE(fixture.Find<Log>());
+  fixture.Handle(EstimateReceived{OverEstimate("z"), kWall});
+  EXPECT_EQ(fixture.Find<Log>()->kind, &kUnknownSite);
+  EXPECT_TRUE(fixture.Handle(EstimateReceived{OverEstimate("z"), kWall}).empty());
+  EXPECT_NE(fixture.router.Describe(fixture.now()).find("spilling; a over"), std::string::npos);
 }
 
 }  // namespace
