--- a/bench/spill_gossip.cpp
+++ b/bench/spill_gossip.cpp
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What estimates cost in the federation pool: the real shared state of each member, its facts as encoded on
-// the wire, passed on as the pool does it: at once to three others when a fact is new. Prints a Markdown
-// table of bytes sent a second by each member and of the estimates' age where they arrive, by number of
-// sites.
+// Measures the cost of estimates in the federation pool. Each member runs the real shared state, and entries
+// are encoded as on the wire. As in the pool, a member passes a new entry on to three others at once. Prints
+// a Markdown table, by number of sites, of the bytes that each member sends per second and of the age of the
+// estimates on arrival.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstdio>
@@ -27,6 +27,7 @@
 constexpr std::size_t kPushFanout = 3;
 constexpr char kPool[] = "flintspar-sites";
 
+// Member is one gateway, with the ages of the estimates that it has received.
 struct Member : fleet::SharedState::Host {
   explicit Member(std::string name) : state({.name = std::move(name)}, *this) {}
   bool IsListed(const std::string&) const override { return true; }
@@ -34,73 +35,78 @@
     const auto made = std::get<fleet::FencedValue>(entry.content).value.at("made_at").get<UnixMs>();
     ages.push_back(static_cast<double>(now - made));
   }
-  void OnRejected(const std::string&, const std::string&, fleet::EntryRejection) override { ++refused; }
+  void OnRejected(const std::string&, const std::string&, fleet::EntryRejection) override { ++rejected; }
 
   fleet::SharedState state;
   UnixMs now = 0;
   std::vector<double> ages;  // ms
-  std::uint64_t bytes = 0, refused = 0;
+  std::uint64_t bytes = 0, rejected = 0;
 };
 
-struct Parcel {
+// Delivery is a message in flight.
+struct Delivery {
   UnixMs at;
   std::uint64_t order;
   std::size_t to;
   nlohmann::json entries;
-  bool operator>(const Parcel& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
+  bool operator>(const Delivery& other) const {
+    return std::tie(at, order) > std::tie(other.at, other.order);
+  }
 };
 
+// Pool runs the members of all sites in virtual time. `delay` is the mean delay of a message in ms.
 class Pool {
  public:
-  Pool(std::size_t sites, std::size_t gateways, UnixMs way, double loss)
-      : sites_(sites), gateways_(gateways), way_(way), loss_(loss) {
+  Pool(std::size_t sites, std::size_t gateways, UnixMs delay, double loss)
+      : sites_(sites), gateways_(gateways), delay_(delay), loss_(loss) {
     for (std::size_t i = 0; i < sites * gateways; ++i) members_.emplace_back("gateway-" + std::to_string(i));
   }
 
-  void Run(UnixMs interval, UnixMs lasts) {
-    for (UnixMs ms = 0; ms < lasts; ++ms) {
+  void Run(UnixMs interval, UnixMs duration) {
+    for (UnixMs ms = 0; ms < duration; ++ms) {
       for (std::size_t s = 0; s < sites_; ++s)
-        if (ms % interval == s * interval / sites_) Make(s, kStart + ms);
-      while (!under_way_.empty() && under_way_.top().at <= kStart + ms) {
-        const Parcel parcel = under_way_.top();
-        under_way_.pop();
-        Member& member = members_[parcel.to];
-        member.now = parcel.at;
-        member.state.Receive(parcel.at, parcel.entries);
-        Push(parcel.to, parcel.at);
+        if (ms % interval == s * interval / sites_) MakeEstimate(s, kStart + ms);
+      while (!in_flight_.empty() && in_flight_.top().at <= kStart + ms) {
+        const Delivery delivery = in_flight_.top();
+        in_flight_.pop();
+        Member& member = members_[delivery.to];
+        member.now = delivery.at;
+        member.state.Receive(delivery.at, delivery.entries);
+        Push(delivery.to, delivery.at);
       }
     }
   }
 
-  void Print(UnixMs interval, UnixMs lasts) {
-    std::uint64_t bytes = 0, most = 0, refused = 0;
+  void Print(UnixMs interval, UnixMs duration) {
+    std::uint64_t bytes = 0, max_bytes = 0, rejected = 0;
     std::vector<double> ages;
     for (const Member& member : members_) {
       bytes += member.bytes;
-      most = std::max(most, member.bytes);
-      refused += member.refused;
+      max_bytes = std::max(max_bytes, member.bytes);
+      rejected += member.rejected;
       ages.insert(ages.end(), member.ages.begin(), member.ages.end());
     }
     std::sort(ages.begin(), ages.end());
-    const double seconds = static_cast<double>(lasts) / 1000, count = static_cast<double>(members_.size());
-    const double due = static_cast<double>(sites_ * (lasts / interval)) * (count - 1);
+    const double seconds = static_cast<double>(duration) / 1000, count = static_cast<double>(members_.size());
+    const double expected = static_cast<double>(sites_ * (duration / interval)) * (count - 1);
     std::printf("| %zu | %zu | %.0f | %.0f | %.1f %% | %.0f | %.0f | %llu |\n", sites_, members_.size(),
-                static_cast<double>(bytes) / seconds / count, static_cast<double>(most) / seconds,
-                100 * static_cast<double>(ages.size()) / due, ages[ages.size() / 2],
-                ages[ages.size() * 99 / 100], static_cast<unsigned long long>(refused));
+                static_cast<double>(bytes) / seconds / count, static_cast<double>(max_bytes) / seconds,
+                100 * static_cast<double>(ages.size()) / expected, ages[ages.size() / 2],
+                ages[ages.size() * 99 / 100], static_cast<unsigned long long>(rejected));
   }
 
  private:
-  void Make(std::size_t site, UnixMs now) {
+  // Makes the estimate of the site and writes it to the shared state of its first gateway.
+  void MakeEstimate(std::size_t site, UnixMs now) {
     overflow::Estimate estimate{
         "site-" + std::to_string(site), 41, now, 123456, 98765, 17, gateways_, false, 3600000};
-    const std::string duty = "ambassador/site";
+    const std::string lease = "ambassador/site";
     members_[site * gateways_].state.Write(
-        now, fleet::FencedValue{duty, "estimate/" + estimate.site, 41, now + 3000, ToJson(estimate)});
+        now, fleet::FencedValue{lease, "estimate/" + estimate.site, 41, now + 3000, ToJson(estimate)});
     Push(site * gateways_, now);
   }
 
-  // What is new to the member, to a few others.
+  // Sends the entries that are new to the member to a few others.
   void Push(std::size_t from, UnixMs now) {
     Member& member = members_[from];
     while (member.state.has_unpushed()) {
@@ -133,14 +139,14 @@
   void Send(std::size_t from, std::size_t to, UnixMs now, const fleet::Message& message) {
     members_[from].bytes += fleet::Encode(kPool, message).size();
     const bool is_lost = std::uniform_real_distribution<double>(0, 1)(random_) < loss_;
-    if (!is_lost) under_way_.push({now + way_ / 2 + random_() % way_, ++order_, to, message.state});
+    if (!is_lost) in_flight_.push({now + delay_ / 2 + random_() % delay_, ++order_, to, message.state});
   }
 
   const std::size_t sites_, gateways_;
-  const UnixMs way_;
+  const UnixMs delay_;
   const double loss_;
   std::deque<Member> members_;
-  std::priority_queue<Parcel, std::vector<Parcel>, std::greater<>> under_way_;
+  std::priority_queue<Delivery, std::vector<Delivery>, std::greater<>> in_flight_;
   std::mt19937_64 random_{1};
   std::uint64_t order_ = 0;
 };
@@ -151,20 +157,20 @@
   CLI::App app("Bytes of estimates in the federation pool, by number of sites");
   std::vector<std::size_t> sites{2, 5, 10, 20};
   std::size_t gateways = 3;
-  UnixMs interval = 500, seconds = 10, way = 20;
+  UnixMs interval = 500, seconds = 10, delay = 20;
   double loss = 0;
   app.add_option("--sites", sites, "numbers of sites");
   app.add_option("--gateways", gateways, "of each site");
   app.add_option("--interval-ms", interval, "between two estimates of a site");
   app.add_option("--seconds", seconds, "virtual time of each run");
-  app.add_option("--way-ms", way, "mean delay of a message");
+  app.add_option("--way-ms", delay, "mean delay of a message");
   app.add_option("--loss", loss, "of messages, 0 to 1");
   CLI11_PARSE(app, argc, argv);
 
   std::printf("| sites | members | bytes/s, mean | most | arrived | age p50 ms | p99 ms | refused |\n");
   std::printf("| --- | --- | --- | --- | --- | --- | --- | --- |\n");
   for (const std::size_t count : sites) {
-    Pool pool(count, gateways, way, loss);
+    Pool pool(count, gateways, delay, loss);
     pool.Run(interval, seconds * 1000);
     pool.Print(interval, seconds * 1000);
     std::fflush(stdout);
--- a/bench/spill_model.cpp
+++ b/bench/spill_model.cpp
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Worth served by a federation in virtual time with spill off, random, by estimates and all-knowing, for the
-// same requests, side by side. All sites carry 60 % first; then the scenario begins and is counted from its
-// first moment, or from a stated time after it. Prints a Markdown table.
+// Compares the strategies of overflow between sites on the same requests, in virtual time: off, random, by
+// estimates, informed, and by an oracle that knows the state of all sites ("all-knowing"). Prints a Markdown
+// table with the fraction of the offered priority weight that each of them serves. All sites have a load of
+// 60 % before the scenario begins. Requests are counted from its beginning, or from a given time after it.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <array>
@@ -18,30 +19,32 @@
 using namespace load_balancer::model;
 
 constexpr std::array kStrategies{Strategy::kOff, Strategy::kRandom, Strategy::kEstimates, Strategy::kInformed,
-                                 Strategy::kAllKnowing};
+                                 Strategy::kOracle};
 constexpr std::chrono::seconds kBefore{20}, kDrain{5};
 
+// Scenario changes the load or the cores of the sites.
 struct Scenario {
   const char* name;
-  void (*begin)(SpillFederation&);
+  void (*begin)(OverflowFederation&);
 };
 
 const std::array<Scenario, 3> kScenarios{{
-    {"one at 150 %", [](SpillFederation& f) { f.SetLoad(0, 1.5); }},
+    {"one at 150 %", [](OverflowFederation& f) { f.SetLoad(0, 1.5); }},
     {"one of three lost",
-     [](SpillFederation& f) {
+     [](OverflowFederation& f) {
        for (std::size_t s = 0; s < std::max<std::size_t>(1, f.options().sites / 3); ++s)
          f.servers(s).Resize(0);
      }},
     {"all at 110 %",
-     [](SpillFederation& f) {
+     [](OverflowFederation& f) {
        for (std::size_t s = 0; s < f.options().sites; ++s) f.SetLoad(s, 1.1);
      }},
 }};
 
-Tally Run(const Scenario& scenario, SpillFederationOptions options, std::chrono::seconds skipped,
+// Runs the scenario. Counts requests that arrive in the `counted` seconds after the `skipped` ones.
+Tally Run(const Scenario& scenario, OverflowFederationOptions options, std::chrono::seconds skipped,
           std::chrono::seconds counted) {
-  SpillFederation federation(options);
+  OverflowFederation federation(options);
   for (std::size_t s = 0; s < options.sites; ++s) federation.SetLoad(s, 0.6);
   federation.world().RunUntil(kBefore);
   scenario.begin(federation);
@@ -53,7 +56,7 @@
   return federation.Sum();
 }
 
-// `gains` in per cent, one a seed.
+// Prints the row of one scenario. `gains` holds the gain of the estimates for each seed, in per cent.
 void PrintRow(std::size_t sites, const char* scenario, const std::array<Tally, kStrategies.size()>& sums,
               const std::vector<double>& gains) {
   std::printf("| %zu | %s |", sites, scenario);
@@ -62,18 +65,19 @@
     std::printf(" none to gain |");
   } else {
     const double mean = std::accumulate(gains.begin(), gains.end(), 0.0) / static_cast<double>(gains.size());
-    const auto [least, most] = std::minmax_element(gains.begin(), gains.end());
-    std::printf(" %.1f %% (%.1f to %.1f) |", mean, *least, *most);
+    const auto [min, max] = std::minmax_element(gains.begin(), gains.end());
+    std::printf(" %.1f %% (%.1f to %.1f) |", mean, *min, *max);
   }
   std::printf(" %.1f %% |\n",
-              100 * static_cast<double>(sums[2].spilled) / static_cast<double>(sums[2].asked));
+              100 * static_cast<double>(sums[2].forwarded) / static_cast<double>(sums[2].received));
 }
 
+// Prints the fraction of the offered weight that was not served, by reason.
 void PrintCauses(const Tally& sum) {
-  for (int i = 0; i < load_balancer::overflow::kWhys; ++i)
+  for (int i = 0; i < load_balancer::overflow::kReasonCount; ++i)
     if (const double lost = sum.lost.at(static_cast<std::size_t>(i)) / sum.offered; lost > 0)
       std::printf("    %.4f %s\n", lost,
-                  std::string(Name(static_cast<load_balancer::overflow::Why>(i))).c_str());
+                  std::string(Name(static_cast<load_balancer::overflow::RejectReason>(i))).c_str());
   std::printf("    %.4f answered past its aim\n", sum.late / sum.offered);
 }
 
@@ -106,10 +110,10 @@
       for (int seed = 1; seed <= seeds; ++seed) {
         std::array<double, kStrategies.size()> served{};
         for (std::size_t i = 0; i < kStrategies.size(); ++i) {
-          SpillFederationOptions options;
+          OverflowFederationOptions options;
           options.sites = count;
           options.cores = cores;
-          options.spill.slack = std::chrono::milliseconds(slack);
+          options.overflow_options.slack = std::chrono::milliseconds(slack);
           options.strategy = kStrategies[i];
           options.seed = static_cast<std::uint64_t>(seed);
           const Tally tally =
@@ -117,8 +121,8 @@
           served[i] = tally.served();
           sums[i].Add(tally);
         }
-        if (const double most = served[4] - served[0]; most > 0.001 * sums[0].offered / seed)
-          gains.push_back(100 * (served[2] - served[0]) / most);
+        if (const double max_gain = served[4] - served[0]; max_gain > 0.001 * sums[0].offered / seed)
+          gains.push_back(100 * (served[2] - served[0]) / max_gain);
       }
       PrintRow(count, scenario.name, sums, gains);
       if (causes) PrintCauses(sums[2]);
--- a/model/overflow/federation.h
+++ b/model/overflow/federation.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Sites that spill to each other, in virtual time: each gateway runs the real Spill and, at its site's
-// ambassador, the real Ambassador, over the world's network. Leases and gossip are stood in for: the holder
-// of the duty is set by the scenario, and estimates go to each gateway in one message.
+// Sites that forward requests to each other, in virtual time. Each gateway runs the real OverflowRouter, and
+// the holder of each site's publisher lease the real EstimatePublisher, over the simulated network. Leases
+// and gossip are simplified: the scenario sets the holder, and each estimate reaches each gateway in one
+// message.
 #ifndef LOAD_BALANCER_MODEL_OVERFLOW_FEDERATION_H_
 #define LOAD_BALANCER_MODEL_OVERFLOW_FEDERATION_H_
 
@@ -22,44 +23,51 @@
 
 namespace load_balancer::model {
 
-// How a request that its own site refuses is handed on.
+// Strategy says how a request is forwarded that its own site has rejected.
 enum class Strategy {
   kOff,
-  kRandom,      // to any gateway of any neighbour, without estimates
-  kEstimates,   // by the real Spill
-  kInformed,    // as all-knowing, but by what is so when it is sent, and with the attempts that rules allow
-  kAllKnowing,  // where it is worth the offer, to the neighbour that has the most room when it arrives there
+  kRandom,     // to a random gateway of another site, without estimates
+  kEstimates,  // by the real OverflowRouter
+  // As kOracle, but by the state of the sites when the request is sent, and with the usual number of
+  // attempts.
+  kInformed,
+  // If it passes the admission threshold, to the site with the most free cores when the request arrives.
+  kOracle,
 };
 
-struct SpillFederationOptions {
-  std::size_t sites = 2, gateways = 3;  // gateways of each site
+// OverflowFederationOptions describes one run of the model.
+struct OverflowFederationOptions {
+  std::size_t sites = 2, gateways = 3;  // `gateways` of each site
   int cores = 10;                       // of each site
   Strategy strategy = Strategy::kOff;
   std::uint64_t seed = 1;
-  overflow::Options spill;
-  std::chrono::milliseconds estimate_delay{0};  // of estimates between sites, beyond the network's
+  overflow::Options overflow_options;
+  std::chrono::milliseconds estimate_delay{0};  // of estimates between sites, on top of the network's delay
 };
 
-class SpillFederation {
+// OverflowFederation runs the sites and counts what becomes of the requests.
+class OverflowFederation {
  public:
-  explicit SpillFederation(SpillFederationOptions options);
+  explicit OverflowFederation(OverflowFederationOptions options);
 
   World& world() { return world_; }
-  const SpillFederationOptions& options() const { return options_; }
+  const OverflowFederationOptions& options() const { return options_; }
   const overflow::Directory& directory() const { return directory_; }
   Servers& servers(std::size_t site) { return servers_.at(site); }
 
-  // Own traffic from now on, in parts of the site's capacity at the start.
+  // Sets the site's own traffic from now on, as a fraction of its initial capacity.
   void SetLoad(std::size_t site, double load) { load_.at(site) = load; }
   double load(std::size_t site) const { return load_.at(site); }
+  // Returns the number of a gateway's machine in the world.
   std::size_t Machine(std::size_t site, std::size_t gateway) const {
     return site * options_.gateways + gateway;
   }
   std::vector<std::size_t> Machines(std::size_t site) const;
   static std::string SiteName(std::size_t site);
 
-  // The holder of the ambassador's duty, or none; each appointment has a greater token.
+  // Makes the gateway the holder of the site's publisher lease, with a larger token than any before.
   void Appoint(std::size_t site, std::size_t gateway);
+  // Leaves the site without a holder.
   void Vacate(std::size_t site) { holders_.at(site).reset(); }
   struct Holder {
     std::size_t gateway = 0;
@@ -67,47 +75,52 @@
   };
   const std::optional<Holder>& holder(std::size_t site) const { return holders_.at(site); }
 
-  // Counts from now on only what comes in from now on.
+  // Resets the tallies. From now on they count only requests that arrive from now on.
   void StartCount();
   const Tally& tally(std::size_t site) const { return tallies_.at(site); }
+  // Returns the sum of all sites' tallies.
   Tally Sum() const;
-  // Requests of unsafe classes that servers have run more than once, of all sites; and final answers beyond
-  // the first of a request.
+  // Returns the number of requests that are not idempotent and that servers ran more than once.
   std::uint64_t ran_twice() const { return ran_twice_; }
+  // Returns the number of final responses beyond the first one of each request.
   std::uint64_t answered_twice() const { return answered_twice_; }
 
-  // For a spiller that knows all: whether the request is worth enough for what all others truly offer.
-  bool WorthIt(const Ask& ask);
+  // Returns whether the request passes the admission threshold for the true capacity that all other sites
+  // offer. Used by the strategies that do not depend on estimates.
+  bool PassesThreshold(const ModelRequest& request);
 
-  // Of a site's cores, those that are free, less what is on the way there; and what is.
-  int Room(std::size_t site) const { return servers_[site].free() - coming_[site]; }
-  void Coming(std::size_t site, int more) { coming_[site] += more; }
+  // Returns the free cores of the site, less the requests that are in transit to it.
+  int FreeCores(std::size_t site) const { return servers_[site].free() - in_transit_[site]; }
+  // Changes the number of requests that are in transit to the site.
+  void AddInTransit(std::size_t site, int change) { in_transit_[site] += change; }
 
-  // Called by gateways.
+  // The gateways call the following functions.
   std::uint64_t NextId() { return ++last_id_; }
-  void Asked(const Ask& ask);
-  void Ran(const Ask& ask);
-  // Its final answer: from servers (worth counts if in time), or a refusal.
-  void Answered(const Ask& ask, bool elsewhere);
-  void GivenUp(const Ask& ask, std::optional<overflow::Why> why = std::nullopt);
-  void CountSpilled(const Ask& ask);
+  void CountReceived(const ModelRequest& request);
+  void CountRun(const ModelRequest& request);
+  // Counts a final response of a server. Its weight counts as served if it meets the latency objective.
+  void CountAnswer(const ModelRequest& request, bool elsewhere);
+  // Counts a final rejection.
+  void CountGivenUp(const ModelRequest& request, std::optional<overflow::RejectReason> reason = std::nullopt);
+  void CountForwarded(const ModelRequest& request);
 
  private:
-  bool Final(const Ask& ask);
+  // Records the final response of a request, and returns whether the tallies count the request.
+  bool RecordFinal(const ModelRequest& request);
 
-  const SpillFederationOptions options_;
+  const OverflowFederationOptions options_;
   World world_;
   overflow::Directory directory_;
   std::deque<Servers> servers_;
   std::vector<double> load_;
-  std::vector<int> coming_;
+  std::vector<int> in_transit_;
   std::vector<std::optional<Holder>> holders_;
   std::uint64_t last_token_ = 0, last_id_ = 0;
   std::vector<Tally> tallies_;
   Moment count_from_{0};
-  std::map<std::uint64_t, int> unsafe_runs_;
-  std::vector<bool> final_;  // by id
-  overflow::Price price_;
+  std::map<std::uint64_t, int> non_idempotent_runs_;  // by request id
+  std::vector<bool> has_final_;                       // by request id
+  overflow::AdmissionThreshold threshold_;
   std::uint64_t ran_twice_ = 0, answered_twice_ = 0;
 };
 
--- a/model/overflow/gateway.h
+++ b/model/overflow/gateway.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A gateway of the model: its clients, its site's servers, and what it hands on.
+// A gateway of the model: its clients, its part of the site's servers, and the requests that it forwards.
 #ifndef LOAD_BALANCER_MODEL_OVERFLOW_GATEWAY_H_
 #define LOAD_BALANCER_MODEL_OVERFLOW_GATEWAY_H_
 
@@ -19,54 +19,62 @@
 
 namespace load_balancer::model {
 
-class SpillFederation;
+class OverflowFederation;
 
-class SpillGateway : public Program {
+// OverflowGateway is the program of one gateway in the model's world.
+class OverflowGateway : public Program {
  public:
-  // `site` and `gateway` are its numbers. `federation` and `host` outlive this.
-  SpillGateway(SpillFederation& federation, Host& host, std::size_t site, std::size_t gateway);
+  // `site` and `gateway` are the gateway's numbers. `federation` and `host` must outlive this object.
+  OverflowGateway(OverflowFederation& federation, Host& host, std::size_t site, std::size_t gateway);
 
   void Receive(const Packet& packet) override;
   void Tick() override;
   Time Next() const override;
 
-  const overflow::Spill& spill() const { return spill_; }
+  const overflow::OverflowRouter& router() const { return router_; }
 
  private:
-  // A request handed on, until its answer or its time-out.
+  // Pending is a forwarded request until its response or its timeout.
   struct Pending {
-    Ask ask;
-    overflow::Neighbour at;
+    ModelRequest request;
+    overflow::RemoteGateway destination;
     Time timeout{};
-    std::set<std::string> tried;  // without estimates
+    std::set<std::string> tried;  // sites; used by Strategy::kRandom
   };
 
+  // Handles the arrival of the next request of a client.
   void Arrive();
-  void Refuse(const Ask& ask);
-  // Without estimates: sends it to some neighbour that it has not been to, or gives it up.
-  void HandOn(Pending pending);
-  std::optional<overflow::Neighbour> PickRandom(const std::set<std::string>& tried);
-  // Without a network: it arrives after the way, at whichever neighbour has the most room at that moment.
-  void SendKnowing(const Ask& ask);
-  // The same, to whichever has the most room now of those that it has not been to.
-  void SendInformed(const Ask& ask, std::set<std::size_t> tried);
+  // Handles a request that the own site has rejected, as the strategy says.
+  void HandleRejected(const ModelRequest& request);
+  // Sends the request to a random site that it has not been sent to, or gives it up. For Strategy::kRandom.
+  void ForwardRandomly(Pending pending);
+  std::optional<overflow::RemoteGateway> PickRandom(const std::set<std::string>& tried);
+  // Forwards the request without the network. After the propagation time it reaches the site that has the
+  // most free cores at that moment. For Strategy::kOracle.
+  void ForwardByOracle(const ModelRequest& request);
+  // Forwards the request in the same manner, but to the site that has the most free cores now, of those that
+  // have not been tried. For Strategy::kInformed.
+  void ForwardInformed(const ModelRequest& request, std::set<std::size_t> tried);
   void Send(Pending pending);
-  void Handle(const overflow::Event& event, const Ask& ask);
-  void Ended(overflow::SpillAnswered answer);
+  // Passes the event to the router and carries out its actions. `request` is the one that the event concerns.
+  void Handle(const overflow::Event& event, const ModelRequest& request);
+  void HandleEnd(overflow::ForwardEnded ended);
+  // Reports the gateway's spare capacity to the holder of the publisher lease, and ticks the router.
   void Report();
-  void TellEstimate();
-  std::size_t Below(std::size_t bound) { return static_cast<std::size_t>(random_() % bound); }
+  void PublishEstimate();
+  // Returns a random index below `bound`.
+  std::size_t RandomIndex(std::size_t bound) { return static_cast<std::size_t>(random_() % bound); }
 
-  SpillFederation& federation_;
+  OverflowFederation& federation_;
   Host& host_;
   const std::size_t site_, gateway_;
-  const overflow::Neighbour self_;
+  const overflow::RemoteGateway self_;
   Clients clients_;
   std::mt19937_64 random_;
-  Meter meter_;
-  overflow::Spill spill_;
-  std::optional<overflow::Ambassador> ambassador_;
-  std::uint64_t token_ = 0;  // under which it is that
+  SpareMeter meter_;
+  overflow::OverflowRouter router_;
+  std::optional<overflow::EstimatePublisher> publisher_;  // while this gateway holds the lease
+  std::uint64_t token_ = 0;                               // of that lease
   Time next_arrival_{}, next_report_{};
   std::map<std::uint64_t, Pending> pending_;
   std::set<std::pair<Time, std::uint64_t>> timeouts_;
--- a/model/overflow/meter.h
+++ b/model/overflow/meter.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Stands for the module's query of its spare: this gateway's part of the servers' capacity, less the own work
-// that it admits, as an exponentially weighted mean.
+// Replaces the decision module's report of its spare capacity: this gateway's part of the servers' capacity
+// less the work that it admits from its own clients, as an exponentially weighted mean.
 #ifndef LOAD_BALANCER_MODEL_OVERFLOW_METER_H_
 #define LOAD_BALANCER_MODEL_OVERFLOW_METER_H_
 
@@ -14,44 +14,46 @@
 
 namespace load_balancer::model {
 
-class Meter {
+// SpareMeter measures the admitted work of one gateway or site.
+class SpareMeter {
  public:
-  explicit Meter(Time now) : started_(now), at_(now), refused_at_(now - kMemory) {}
+  explicit SpareMeter(Time now) : started_(now), at_(now), rejected_at_(now - kTimeConstant) {}
 
   void Admitted(Time now, double work_ms) {
     Advance(now);
-    rate_ += work_ms / kMemory.count();
-    squares_ += work_ms * work_ms / kMemory.count();
+    rate_ += work_ms / kTimeConstant.count();
+    squares_ += work_ms * work_ms / kTimeConstant.count();
   }
-  // Own work admitted, ms a second.
+  // Returns the admitted work in ms per second.
   double Rate(Time now) {
     Advance(now);
     return rate_;
   }
-  void Refused(Time now) { refused_at_ = now; }
+  void Rejected(Time now) { rejected_at_ = now; }
 
-  // `capacity` in ms of work a second. The lower bound is 1.65 standard errors under the mean. Nothing while
-  // it has refused own traffic within its memory, or does not know yet.
-  overflow::MemberSpare Spare(Time now, double capacity, std::chrono::milliseconds wait) {
+  // Returns the spare capacity. `capacity` is in ms of work per second. The lower bound is 1.65 standard
+  // errors below the mean. The spare capacity is zero for one time constant after a rejection and for two
+  // time constants after the start, when the mean is not reliable yet.
+  overflow::MemberSpareCapacity Spare(Time now, double capacity, std::chrono::milliseconds wait) {
     Advance(now);
-    if (now - refused_at_ < kMemory || now - started_ < 2 * kMemory) return {0, 0, wait};
+    if (now - rejected_at_ < kTimeConstant || now - started_ < 2 * kTimeConstant) return {0, 0, wait};
     const double mean = std::max(0.0, capacity - rate_);
-    const double error = std::sqrt(squares_ / (2 * kMemory.count()));
+    const double error = std::sqrt(squares_ / (2 * kTimeConstant.count()));
     return {mean, std::max(0.0, mean - 1.65 * error), wait};
   }
 
  private:
-  static constexpr std::chrono::duration<double> kMemory{1};
+  static constexpr std::chrono::duration<double> kTimeConstant{1};  // of the exponential mean
 
   void Advance(Time now) {
-    const double kept = std::exp(-std::chrono::duration<double>(now - at_) / kMemory);
-    rate_ *= kept;
-    squares_ *= kept;
+    const double remaining = std::exp(-std::chrono::duration<double>(now - at_) / kTimeConstant);
+    rate_ *= remaining;
+    squares_ *= remaining;
     at_ = now;
   }
 
   Time started_, at_;
-  std::chrono::time_point<std::chrono::steady_clock, std::chrono::duration<double>> refused_at_;
+  std::chrono::time_point<std::chrono::steady_clock, std::chrono::duration<double>> rejected_at_;
   double rate_ = 0, squares_ = 0;
 };
 
--- a/model/overflow/servers.cpp
+++ b/model/overflow/servers.cpp
@@ -6,8 +6,9 @@
 namespace load_balancer::model {
 namespace {
 
-constexpr std::chrono::milliseconds kMostWait{100};
-constexpr double kShareSeconds = 0.1;  // of its rate that the share of spilled work may gather
+constexpr std::chrono::milliseconds kMaxWait{100};
+// Depth of the token bucket, as the time in seconds that its rate takes to fill it.
+constexpr double kBucketSeconds = 0.1;
 
 Moment Ms(double ms) {
   return std::chrono::duration_cast<Moment>(std::chrono::duration<double, std::milli>(ms));
@@ -15,17 +16,17 @@
 
 }  // namespace
 
-Servers::Servers(World& world, int cores, double most_part)
+Servers::Servers(World& world, int cores, double offered_fraction)
     : world_(world),
       cores_(cores),
-      most_part_(most_part),
+      offered_fraction_(offered_fraction),
       meter_(Time(world.now())),
-      share_(Time(world.now())) {}
+      bucket_(Time(world.now())) {}
 
 Moment Servers::Wait() const { return cores_ > 0 ? Ms(queued_ / cores_) : Moment::max(); }
 
-bool Servers::Own(double work, Done done) {
-  if (cores_ == 0 || Wait() > kMostWait) return false;
+bool Servers::ServeOwn(double work, Done done) {
+  if (cores_ == 0 || Wait() > kMaxWait) return false;
   meter_.Admitted(Time(world_.now()), work);
   if (queue_.empty() && free() > 0) {
     Start(work, true, std::move(done));
@@ -36,34 +37,35 @@
   return true;
 }
 
-void Servers::UpdateShare() {
+void Servers::UpdateBucket() {
   const Time now(world_.now());
-  const double rate = most_part_ * std::max(0.0, capacity() - meter_.Rate(now));
-  share_.Set(now, rate, rate * kShareSeconds);
+  const double rate = offered_fraction_ * std::max(0.0, capacity() - meter_.Rate(now));
+  bucket_.SetRate(now, rate, rate * kBucketSeconds);
 }
 
-bool Servers::Takes(double work) {
-  UpdateShare();
-  return queue_.empty() && free() > 0 && share_.Has(Time(world_.now()), std::min(work, share_.depth()));
+bool Servers::CanServeForwarded(double work) {
+  UpdateBucket();
+  return queue_.empty() && free() > 0 &&
+         bucket_.HasAtLeast(Time(world_.now()), std::min(work, bucket_.depth()));
 }
 
-bool Servers::Spilled(double work, Done done) {
-  if (!Takes(work)) return false;
-  share_.Take(work);
+bool Servers::ServeForwarded(double work, Done done) {
+  if (!CanServeForwarded(work)) return false;
+  bucket_.Take(work);
   Start(work, false, std::move(done));
   return true;
 }
 
-void Servers::Start(double work, bool own, Done done) {
-  ++(own ? own_ : spilled_);
-  world_.At(world_.now() + Ms(work), [this, own, done = std::move(done)] {
-    --(own ? own_ : spilled_);
+void Servers::Start(double work, bool is_own, Done done) {
+  ++(is_own ? own_ : forwarded_);
+  world_.At(world_.now() + Ms(work), [this, is_own, done = std::move(done)] {
+    --(is_own ? own_ : forwarded_);
     done();
     while (!queue_.empty() && free() > 0) {
-      auto [next, then] = std::move(queue_.front());
+      auto [next_work, next_done] = std::move(queue_.front());
       queue_.pop_front();
-      queued_ -= next;
-      Start(next, true, std::move(then));
+      queued_ -= next_work;
+      Start(next_work, true, std::move(next_done));
     }
   });
 }
--- a/model/overflow/servers.h
+++ b/model/overflow/servers.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A site's servers as one pool of cores with a queue for own traffic. Spilled requests stand behind it: one
-// is taken only if it can go at once, and only as far as a part of what own traffic leaves free. A request
-// under way is not broken off, so a spilled one may still make an own one wait; that is what the model is to
-// show.
+// A site's servers as one pool of cores with a queue for the site's own requests. Forwarded requests have a
+// lower priority: one is admitted only if it can start at once, and all of them only up to a fraction of the
+// capacity that own requests leave free. A running request is not interrupted, so a forwarded one can still
+// delay an own one. The model exists to show this effect.
 #ifndef LOAD_BALANCER_MODEL_OVERFLOW_SERVERS_H_
 #define LOAD_BALANCER_MODEL_OVERFLOW_SERVERS_H_
 
@@ -17,43 +17,45 @@
 
 namespace load_balancer::model {
 
+// Servers holds the state of one site's pool.
 class Servers {
  public:
   using Done = std::function<void()>;
 
-  // `world` outlives this. `most_part` as the spill section's.
-  Servers(World& world, int cores, double most_part);
-
-  // False: refused at once, as the queue is as long as it may be. `work` in ms of one core.
-  bool Own(double work, Done done);
-  // False: refused at once.
-  bool Spilled(double work, Done done);
-  // Whether Spilled would take it now.
-  bool Takes(double work);
-  // Spilled work that it would take lately, ms a second.
-  double Offer() {
-    UpdateShare();
-    return share_.rate();
+  // `world` must outlive this object. `offered_fraction` is the setting of overflow::Options.
+  Servers(World& world, int cores, double offered_fraction);
+
+  // Runs or queues a request of the site's own clients. Returns false if it is rejected because the queue is
+  // full. `work` is in ms of one core.
+  bool ServeOwn(double work, Done done);
+  // Runs a forwarded request. Returns false if it is rejected.
+  bool ServeForwarded(double work, Done done);
+  // Returns whether ServeForwarded would admit the request now.
+  bool CanServeForwarded(double work);
+  // Returns the rate at which forwarded work is admitted at present, in ms per second.
+  double OfferedCapacity() {
+    UpdateBucket();
+    return bucket_.rate();
   }
-  int free() const { return cores_ - own_ - spilled_; }
+  int free() const { return cores_ - own_ - forwarded_; }
 
-  // Cores that are there from now on; what is under way on those lost is finished.
+  // Sets the number of cores from now on. Requests that run on removed cores are finished.
   void Resize(int cores) { cores_ = cores; }
-  double capacity() const { return 1000.0 * cores_; }  // ms of work a second
-  Moment Wait() const;                                 // of an own request that comes now
+  double capacity() const { return 1000.0 * cores_; }  // ms of work per second
+  Moment Wait() const;                                 // of an own request that arrives now
 
  private:
-  void Start(double work, bool own, Done done);
-  void UpdateShare();
+  void Start(double work, bool is_own, Done done);
+  void UpdateBucket();
 
   World& world_;
   int cores_;
-  const double most_part_;
-  int own_ = 0, spilled_ = 0;
+  const double offered_fraction_;
+  int own_ = 0, forwarded_ = 0;  // running requests
   std::deque<std::pair<double, Done>> queue_;
-  double queued_ = 0;  // ms of work
-  Meter meter_;        // of own work
-  overflow::Share share_;
+  double queued_ = 0;             // ms of work
+  SpareMeter meter_;              // of the site's own work
+  overflow::TokenBucket bucket_;  // of forwarded work
 };
 
 }  // namespace load_balancer::model
--- a/model/overflow/traffic.h
+++ b/model/overflow/traffic.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// What clients ask of the gateways of the model, and what is counted of it.
+// The requests that clients send to the gateways of the model, and the counts of what becomes of them.
 #ifndef LOAD_BALANCER_MODEL_OVERFLOW_TRAFFIC_H_
 #define LOAD_BALANCER_MODEL_OVERFLOW_TRAFFIC_H_
 
@@ -16,41 +16,44 @@
 
 namespace load_balancer::model {
 
-struct Demand {
+// RequestClass describes one class of requests.
+struct RequestClass {
   Idempotency idempotency;
-  double share;  // of all requests
+  double fraction;  // of all requests
   double priority_weight, work_ms;
   std::chrono::milliseconds latency_objective, deadline;
 };
-inline constexpr std::array<Demand, 3> kDemands{
+inline constexpr std::array<RequestClass, 3> kRequestClasses{
     {{Idempotency::kIdempotent, 0.6, 1, 15, std::chrono::milliseconds(400), std::chrono::milliseconds(1000)},
      {Idempotency::kNotIdempotent, 0.3, 4, 25, std::chrono::milliseconds(800),
       std::chrono::milliseconds(1500)},
      {Idempotency::kIdempotent, 0.1, 0.5, 50, std::chrono::milliseconds(1000),
       std::chrono::milliseconds(2000)}}};
-inline constexpr double kMeanWork = 0.6 * 15 + 0.3 * 25 + 0.1 * 50;  // ms
+inline constexpr double kMeanWorkMs = 0.6 * 15 + 0.3 * 25 + 0.1 * 50;  // over all classes
 
-struct Ask {
+// ModelRequest is one request of a client.
+struct ModelRequest {
   std::uint64_t id = 0;
-  std::size_t site = 0;  // where it came in
-  const Demand* demand = nullptr;
-  double work_ms = 0;  // half to one and a half times its demand's
+  std::size_t site = 0;  // at which it arrived
+  const RequestClass* request_class = nullptr;
+  double work_ms = 0;  // 50 % to 150 % of the work of its class
   std::uint64_t key = 0;
-  Moment at{};  // true time
+  Moment at{};  // true time of its arrival
 };
 
-// By site of entry.
+// Tally counts the requests that arrived at one site. The weights are sums of priority weights.
 struct Tally {
-  std::uint64_t asked = 0, answered = 0, given_up = 0, spilled = 0;
-  double offered = 0, own = 0, elsewhere = 0;  // worth; of the latter two what was answered within its aim
-  std::array<double, overflow::kWhys> lost{};  // worth given up by estimates, by Why
-  double late = 0;                             // worth answered past its aim
+  std::uint64_t received = 0, answered = 0, given_up = 0, forwarded = 0;
+  // Weight of all requests, and of those answered within the latency objective at this site or at others.
+  double offered = 0, own = 0, elsewhere = 0;
+  std::array<double, overflow::kReasonCount> lost{};  // weight that Strategy::kEstimates gave up, by reason
+  double late = 0;                                    // weight of those answered past the latency objective
   double served() const { return own + elsewhere; }
   void Add(const Tally& other) {
-    asked += other.asked;
+    received += other.received;
     answered += other.answered;
     given_up += other.given_up;
-    spilled += other.spilled;
+    forwarded += other.forwarded;
     offered += other.offered;
     own += other.own;
     elsewhere += other.elsewhere;
@@ -59,25 +62,27 @@
   }
 };
 
-// One gateway's clients: a Poisson process whose draws depend on the seed alone, so that the same requests
-// come whatever becomes of them.
+// Clients generates the requests of one gateway as a Poisson process. The draws depend only on the seed, so
+// that every run with the seed has the same requests, whatever becomes of them.
 class Clients {
  public:
   explicit Clients(std::uint64_t seed) : random_(seed) {}
-  // Until the next one, at `per_s` requests a second.
+  // Returns the time until the next request, at `per_s` requests per second.
   Moment Gap(double per_s) {
     const double s = std::exponential_distribution<double>(per_s)(random_);
     return std::chrono::duration_cast<Moment>(std::chrono::duration<double>(s));
   }
-  Ask Draw() {
-    double of = Unit();
-    std::size_t which = 0;
-    while (which + 1 < kDemands.size() && of >= kDemands[which].share) of -= kDemands[which++].share;
-    Ask ask;
-    ask.demand = &kDemands[which];
-    ask.work_ms = ask.demand->work_ms * (0.5 + Unit());
-    ask.key = Unit() < 0.5 ? 0 : 1 + static_cast<std::uint64_t>(Unit() * 500);
-    return ask;
+  // Returns the next request, without its id, site and time.
+  ModelRequest Draw() {
+    double point = Unit();
+    std::size_t index = 0;
+    while (index + 1 < kRequestClasses.size() && point >= kRequestClasses[index].fraction)
+      point -= kRequestClasses[index++].fraction;
+    ModelRequest request;
+    request.request_class = &kRequestClasses[index];
+    request.work_ms = request.request_class->work_ms * (0.5 + Unit());
+    request.key = Unit() < 0.5 ? 0 : 1 + static_cast<std::uint64_t>(Unit() * 500);
+    return request;
   }
 
  private:
