--- a/bench/spill_gossip.cpp
+++ b/bench/spill_gossip.cpp
@@ -160,11 +160,11 @@
   UnixMs interval = 500, seconds = 10, delay = 20;
   double loss = 0;
   app.add_option("--sites", sites, "numbers of sites");
-  app.add_option("--gateways", gateways, "of each site");
-  app.add_option("--interval-ms", interval, "between two estimates of a site");
-  app.add_option("--seconds", seconds, "virtual time of each run");
-  app.add_option("--way-ms", delay, "mean delay of a message");
-  app.add_option("--loss", loss, "of messages, 0 to 1");
+  app.add_option("--gateways", gateways, "gateways of each site");
+  app.add_option("--interval-ms", interval, "milliseconds between two estimates of a site");
+  app.add_option("--seconds", seconds, "seconds of virtual time of each run");
+  app.add_option("--way-ms", delay, "mean delay of a message in ms");
+  app.add_option("--loss", loss, "fraction of messages that are lost, 0 to 1");
   CLI11_PARSE(app, argc, argv);
 
   std::printf("| sites | members | bytes/s, mean | most | arrived | age p50 ms | p99 ms | refused |\n");
--- a/bench/spill_model.cpp
+++ b/bench/spill_model.cpp
@@ -78,24 +78,26 @@
     if (const double lost = sum.lost.at(static_cast<std::size_t>(i)) / sum.offered; lost > 0)
       std::printf("    %.4f %s\n", lost,
                   std::string(Name(static_cast<load_balancer::overflow::RejectReason>(i))).c_str());
-  std::printf("    %.4f answered past its aim\n", sum.late / sum.offered);
+  std::printf("    %.4f answered past the latency objective\n", sum.late / sum.offered);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app("Worth served with spill off, random, by estimates and all-knowing");
+  CLI::App app("Priority weight served with overflow off, random, by estimates, informed and all-knowing");
   std::vector<std::size_t> sites{2, 5, 20};
   int seconds = 120, skip = 0, seeds = 5, cores = 32, slack = 200;
   app.add_option("--sites", sites, "numbers of sites");
-  app.add_option("--seconds", seconds, "counted of each run");
-  app.add_option("--skip", skip, "seconds from the change on that are not counted");
-  app.add_option("--seeds", seeds, "runs of each");
-  app.add_option("--cores", cores, "of each site");
-  app.add_option("--slack-ms", slack, "of a share");
+  app.add_option("--seconds", seconds, "seconds of each run that are counted");
+  app.add_option("--skip", skip, "seconds after the beginning of the scenario that are not counted");
+  app.add_option("--seeds", seeds, "number of runs of each scenario");
+  app.add_option("--cores", cores, "cores of each site");
+  app.add_option("--slack-ms", slack,
+                 "depth of the token buckets, as the time in ms that their rate takes to fill them");
   bool causes = false;
   app.add_flag("--causes", causes,
-               "after each row, what the estimates lose by, in parts of the worth offered");
+               "print the weight that the estimates lose by reason after each row, as a fraction of the "
+               "weight offered");
   CLI11_PARSE(app, argc, argv);
 
   std::printf(
--- a/src/overflow/estimate.cpp
+++ b/src/overflow/estimate.cpp
@@ -20,16 +20,19 @@
 // Returns the number stored under `key`. Throws json::exception or std::invalid_argument.
 std::uint64_t ReadNumber(const json& value, const char* key, std::uint64_t max) {
   const json& number = value.at(key);
-  if (!number.is_number_unsigned() || number.get<std::uint64_t>() > max) throw std::invalid_argument(key);
+  if (!number.is_number_unsigned() || number.get<std::uint64_t>() > max)
+    throw std::invalid_argument(std::string(key) + " is not an unsigned integer within its range");
   return number.get<std::uint64_t>();
 }
 
 // Decodes an estimate. Throws json::exception or std::invalid_argument.
 Estimate Read(const json& value) {
-  if (!value.is_object() || value.size() != kKeyCount) throw std::invalid_argument("keys");
+  if (!value.is_object() || value.size() != kKeyCount)
+    throw std::invalid_argument("it is not an object with exactly the nine keys of an estimate");
   Estimate e;
   e.site = value.at("site").get<std::string>();
-  if (e.site.empty() || e.site.size() > kMaxNameBytes) throw std::invalid_argument("site");
+  if (e.site.empty() || e.site.size() > kMaxNameBytes)
+    throw std::invalid_argument("site is empty or longer than 64 bytes");
   e.token = ReadNumber(value, "token", UINT64_MAX);
   e.made_at = ReadNumber(value, "made_at", kMaxMs);
   e.mean = ReadNumber(value, "mean", kMaxSpare);
@@ -38,7 +41,7 @@
   e.members = ReadNumber(value, "members", kMaxMembers);
   e.over = value.at("over").get<bool>();
   e.for_ms = ReadNumber(value, "for_ms", kMaxMs);
-  if (e.over && e.mean > 0) throw std::invalid_argument("over");
+  if (e.over && e.mean > 0) throw std::invalid_argument("over is true although mean is above zero");
   return e;
 }
 
--- a/src/overflow/overflow_router.cpp
+++ b/src/overflow/overflow_router.cpp
@@ -105,7 +105,7 @@
   affinities_.Expire(now_);
   for (const RemoteGateway& gateway : remote_gateways_.EndEjections(now_))
     actions_->push_back(
-        Log{nullptr, "neighbour " + gateway.site + "/" + gateway.gateway + " is tried again"});
+        Log{nullptr, "gateway " + gateway.site + "/" + gateway.gateway + " is back in service"});
   UpdateBuckets();
   LogState();
   actions_->push_back(SetTimer{now_ + options_.estimate_interval});
@@ -238,9 +238,9 @@
   const bool is_forwarding = estimates_.MayForward(now_, own_site_);
   if (is_forwarding == is_forwarding_) return;
   is_forwarding_ = is_forwarding;
-  actions_->push_back(Log{nullptr, is_forwarding
-                                       ? "spilling begins: the site is over capacity"
-                                       : "spilling ends: the site has spare again, or its estimate is old"});
+  actions_->push_back(Log{
+      nullptr, is_forwarding ? "spilling begins: the site is over capacity"
+                             : "spilling ends: the site has spare capacity again, or its estimate is stale"});
 }
 
 std::size_t OverflowRouter::RandomIndex(std::size_t bound) {
--- a/src/overflow/section.cpp
+++ b/src/overflow/section.cpp
@@ -24,7 +24,7 @@
   section.Time("key_ttl_ms", 0, 600000, &options.key_ttl);
   // If one estimate is lost, the one before it must not be stale yet.
   if (overflow.on && options.staleness < options.estimate_interval * 2)
-    faults->push_back("spill.staleness_ms is under 2 times estimate_interval_ms");
+    faults->push_back("spill.staleness_ms is less than 2 times spill.estimate_interval_ms");
   return overflow;
 }
 
