--- a/model/system/checks.cpp
+++ b/model/system/checks.cpp
@@ -29,8 +29,8 @@
   const overflow::Options& spill = wiring_.spill;
   const std::size_t senders = (wiring_.sites.size() - 1) * federation.options().members;
   for (const std::string& site : wiring_.sites)
-    offers_.emplace(
-        site, OfferCheck(spill.staleness + spill.most_skew + spill.estimate_interval, spill.slack, senders));
+    offers_.emplace(site, OfferCheck(spill.staleness + spill.max_clock_skew + spill.estimate_interval,
+                                     spill.slack, senders));
 }
 
 void Checks::Break(std::string line) {
@@ -78,7 +78,7 @@
   if (over > 0) Break(what + ", which is " + std::to_string(over) + " ms of work over its offer" + At(now()));
   // A member's word counts for as long as an estimate does, and so does an estimate made of it.
   const overflow::Options& spill = wiring_.spill;
-  const Moment lives = 2 * spill.staleness + spill.most_skew + 2 * spill.estimate_interval;
+  const Moment lives = 2 * spill.staleness + spill.max_clock_skew + 2 * spill.estimate_interval;
   const auto since = no_spare_since_.find(to);
   if (since != no_spare_since_.end() && now() - since->second > lives)
     Break(what + ", which has had no spare since" + At(since->second) + At(now()));
--- a/model/system/checks.h
+++ b/model/system/checks.h
@@ -26,7 +26,7 @@
   using Try = std::pair<CallId, int>;
   static constexpr Moment kSample = std::chrono::milliseconds(100);
 
-  // `skew_kept`: all wall clocks are within overflow::Options::most_skew of each other throughout.
+  // `skew_kept`: all wall clocks are within overflow::Options::max_clock_skew of each other throughout.
   // `tokens_grow`: tokens are kept, by disks or by wall clocks, as docs/leases.md has it.
   Checks(const Wiring& wiring, bool skew_kept, bool tokens_grow)
       : wiring_(wiring), skew_kept_(skew_kept), tokens_grow_(tokens_grow) {}
--- a/model/system/gateway.cpp
+++ b/model/system/gateway.cpp
@@ -23,7 +23,7 @@
       checks_(checks),
       quota_(host, *wide(), setup_.machine, wiring, checks),
       spill_(host, site(), *wide(), setup_.machine, wiring, checks, *this) {
-  Feed(OverflowShare{wiring.spill.most_part});
+  Feed(OverflowShare{wiring.spill.offered_fraction});
 }
 
 void SystemGateway::Receive(const Packet& packet) {
@@ -127,7 +127,7 @@
   const ClassSettings& rules =
       options_.settings.classes.at(static_cast<std::size_t>(request.ask.request_class));
   const Time now = host().Now();
-  overflow::Refused refused;
+  overflow::RejectedRequest refused;
   refused.request = id;
   refused.idempotency = rules.idempotency;
   refused.latency_objective_left =
@@ -137,7 +137,7 @@
   refused.priority_weight = rules.priority_weight;
   refused.key = request.ask.key;
   refused.within_budget = request.received.quota_status != QuotaStatus::kOverQuota;
-  refused.spilled = request.received.is_overflow;
+  refused.forwarded = request.received.is_overflow;
   refused.retry_after = retry_after;
   request.may_have_run = true;  // until it comes back as refused
   spill_.Offer(refused, request.ask, request.received);
--- a/model/system/scenario.cpp
+++ b/model/system/scenario.cpp
@@ -177,7 +177,7 @@
     forward += std::max(0.0, fault.figure);
     back += std::max(0.0, -fault.figure);
   }
-  return forward + back < static_cast<double>(wiring.spill.most_skew.count()) / 2;
+  return forward + back < static_cast<double>(wiring.spill.max_clock_skew.count()) / 2;
 }
 
 bool LosesDisks(const std::vector<Fault>& faults) {
--- a/model/system/scenario.h
+++ b/model/system/scenario.h
@@ -29,7 +29,7 @@
 SceneOptions SceneOf(std::uint64_t seed, const SystemOptions& options, const Wiring& wiring);
 // Of gateways and servers, in the order of their beginnings.
 std::vector<Fault> SystemFaults(std::uint64_t seed, const SystemOptions& options);
-// Whether, with these faults, all wall clocks stay within Options::most_skew of each other.
+// Whether, with these faults, all wall clocks stay within Options::max_clock_skew of each other.
 bool SkewKept(std::uint64_t seed, const std::vector<Fault>& faults, const Wiring& wiring);
 
 bool LosesDisks(const std::vector<Fault>& faults);
--- a/model/system/spill_side.cpp
+++ b/model/system/spill_side.cpp
@@ -11,9 +11,10 @@
 
 constexpr double kPerSecond = 1000;  // ms in a second
 
-overflow::SpillOutcome OutcomeOf(Ending ending) {
-  if (ending == Ending::kServed) return overflow::SpillOutcome::kOk;
-  return ending == Ending::kRefused ? overflow::SpillOutcome::kRefused : overflow::SpillOutcome::kMayHaveRun;
+overflow::ForwardOutcome OutcomeOf(Ending ending) {
+  if (ending == Ending::kServed) return overflow::ForwardOutcome::kOk;
+  return ending == Ending::kRefused ? overflow::ForwardOutcome::kRejected
+                                    : overflow::ForwardOutcome::kMayHaveRun;
 }
 
 }  // namespace
@@ -33,7 +34,7 @@
       next_look_(host.Now()) {}
 
 // ---- requests on their way ----------------------------------------------------------------------------
-void SpillSide::Offer(const overflow::Refused& refused, const ClientAsk& ask,
+void SpillSide::Offer(const overflow::RejectedRequest& refused, const ClientAsk& ask,
                       const RequestReceived& received) {
   Open& open = open_[refused.request];
   open.ask = ask;
@@ -51,16 +52,16 @@
   for (const auto& action : actions) std::visit([this](const auto& a) { Do(a); }, action);
 }
 
-void SpillSide::Do(const overflow::SendTo& action) {
+void SpillSide::Do(const overflow::ForwardTo& action) {
   const auto found = open_.find(action.request);
   if (found == open_.end()) return;
   Open& open = found->second;
-  open.at = action.neighbour;
+  open.at = action.destination;
   open.sent = host_.Now();
   open.timeout = open.sent + action.timeout;
   ClientAsk ask = open.ask;
   ask.left = action.timeout;
-  ask.mark = overflow::MarkOf({own_site_, host_.Name()});
+  ask.mark = overflow::FormatMark({own_site_, host_.Name()});
   checks_.Spilled(own_site_, open.at.site, open.received, {ask.call, ask.tried});
   host_.Send(wiring_.addresses.at(open.at.gateway), std::move(ask), kAskBytes);
 }
@@ -68,7 +69,7 @@
 void SpillSide::Receive(const Endpoint& from, const ClientAnswer& answer) {
   if (!answer.estimate.empty())
     if (const auto estimate = overflow::FromJson(nlohmann::json::parse(answer.estimate)))
-      Feed(overflow::EstimateHeard{*estimate, host_.Wall()});
+      Feed(overflow::EstimateReceived{*estimate, host_.Wall()});
   const auto found = std::find_if(open_.begin(), open_.end(), [&](const auto& each) {
     const Open& open = each.second;
     return open.ask.call == answer.call && open.ask.tried == answer.tried && open.timeout != Time::max() &&
@@ -77,16 +78,16 @@
   if (found != open_.end()) OnDone(found->first, OutcomeOf(answer.ending));
 }
 
-void SpillSide::OnDone(RequestId request, overflow::SpillOutcome outcome) {
+void SpillSide::OnDone(RequestId request, overflow::ForwardOutcome outcome) {
   Open& open = open_.at(request);
-  const overflow::Neighbour neighbour = open.at;
+  const overflow::RemoteGateway neighbour = open.at;
   const Span took = host_.Now() - open.sent;
   open.timeout = Time::max();
-  if (outcome == overflow::SpillOutcome::kOk) {
+  if (outcome == overflow::ForwardOutcome::kOk) {
     open_.erase(request);
     requests_.OnSpillServed(request);
   }
-  Feed(overflow::SpillAnswered{request, neighbour, outcome, took, std::nullopt});
+  Feed(overflow::ForwardEnded{request, neighbour, outcome, took, std::nullopt});
 }
 
 void SpillSide::Do(const overflow::GiveUp& action) {
@@ -98,11 +99,12 @@
 // ---- requests that come from others -------------------------------------------------------------------
 bool SpillSide::TakeMark(ClientAsk* ask, const Endpoint& peer) const {
   const std::string mark = std::exchange(ask->mark, "");
-  return !mark.empty() && overflow::JudgeMark(wiring_.directory, own_site_, mark, peer.address()).has_value();
+  return !mark.empty() &&
+         overflow::VerifyMark(wiring_.directory, own_site_, mark, peer.address()).has_value();
 }
 
 std::string SpillSide::EstimateText() const {
-  const overflow::Estimate* estimate = spill_.EstimateOf(own_site_);
+  const overflow::Estimate* estimate = spill_.FindEstimate(own_site_);
   return estimate ? overflow::ToJson(*estimate).dump() : "";
 }
 
@@ -111,7 +113,7 @@
   const auto estimate = overflow::FromJson(fact.value);
   if (estimate && fact.key == "estimate/" + estimate->site &&
       fact.duty == Wiring::AmbassadorOf(estimate->site))
-    Feed(overflow::EstimateHeard{*estimate, host_.Wall()});
+    Feed(overflow::EstimateReceived{*estimate, host_.Wall()});
 }
 
 Time SpillSide::Next() const {
@@ -125,7 +127,7 @@
   std::vector<RequestId> late;
   for (const auto& [request, open] : open_)
     if (open.timeout <= now) late.push_back(request);
-  for (const RequestId request : late) OnDone(request, overflow::SpillOutcome::kMayHaveRun);
+  for (const RequestId request : late) OnDone(request, overflow::ForwardOutcome::kMayHaveRun);
   if (now < next_look_) return;
   next_look_ = now + wiring_.spill.estimate_interval;
   Look();
@@ -150,12 +152,12 @@
       const auto [before, fresh] = present_.try_emplace(name, present);
       if (!fresh && before->second == present) continue;
       before->second = present;
-      Feed(overflow::Presence{{site, name}, present});
+      Feed(overflow::PresenceChanged{{site, name}, present});
     }
   }
 }
 
-overflow::MemberSpare SpillSide::OwnSpare() const {
+overflow::MemberSpareCapacity SpillSide::OwnSpare() const {
   const load_balancer::SpareCapacity spare = requests_.SpareNow();
   return {spare.work_per_ms * kPerSecond, spare.work_per_ms_lower_bound * kPerSecond,
           std::chrono::ceil<std::chrono::milliseconds>(spare.wait)};
@@ -163,8 +165,8 @@
 
 // To the ambassador, wherever it is.
 void SpillSide::TellSpare() {
-  const overflow::MemberSpare spare = OwnSpare();
-  if (ambassador_) ambassador_->Heard(host_.Now(), host_.Name(), spare);
+  const overflow::MemberSpareCapacity spare = OwnSpare();
+  if (ambassador_) ambassador_->RecordMember(host_.Now(), host_.Name(), spare);
   const std::string holder = site_.HolderOf(duty_);
   const auto member = site_.membership().others().find(holder);
   if (holder == host_.Name() || member == site_.membership().others().end()) return;
@@ -175,8 +177,8 @@
 void SpillSide::HearSpare(const std::string& member, const nlohmann::json& payload) {
   if (!ambassador_) return;
   const auto wait = std::chrono::milliseconds(payload.at("wait_ms").get<std::int64_t>());
-  ambassador_->Heard(host_.Now(), member,
-                     {payload.at("mean").get<double>(), payload.at("low").get<double>(), wait});
+  ambassador_->RecordMember(host_.Now(), member,
+                            {payload.at("mean").get<double>(), payload.at("low").get<double>(), wait});
 }
 
 void SpillSide::MakeEstimate() {
@@ -188,22 +190,23 @@
   }
   if (std::exchange(office_, proof->token()) != proof->token()) {
     ambassador_.emplace(wiring_.spill, own_site_);
-    ambassador_->Heard(host_.Now(), host_.Name(), OwnSpare());
+    ambassador_->RecordMember(host_.Now(), host_.Name(), OwnSpare());
     return;  // the others are heard until the next time
   }
-  const auto estimate = ambassador_->Make(host_.Now(), host_.Wall(), *proof);
+  const auto estimate = ambassador_->MakeEstimate(host_.Now(), host_.Wall(), *proof);
   if (!estimate) return;
   if (!wide_.Publish(*proof, "estimate/" + own_site_, overflow::ToJson(*estimate), wiring_.spill.staleness))
     return;
   checks_.Acted(machine_, kSitePool, duty_, proof->token());
-  checks_.Estimated(own_site_, std::min(wiring_.spill.most_part * static_cast<double>(estimate->mean),
+  checks_.Estimated(own_site_, std::min(wiring_.spill.offered_fraction * static_cast<double>(estimate->mean),
                                         static_cast<double>(estimate->low)));
-  Feed(overflow::EstimateHeard{*estimate, host_.Wall()});
+  Feed(overflow::EstimateReceived{*estimate, host_.Wall()});
 }
 
 bool SpillSide::HasEstimateOf(const std::string& site) const {
-  const overflow::Estimate* estimate = spill_.EstimateOf(site);
-  const auto lives = static_cast<std::uint64_t>((wiring_.spill.staleness + wiring_.spill.most_skew).count());
+  const overflow::Estimate* estimate = spill_.FindEstimate(site);
+  const auto lives =
+      static_cast<std::uint64_t>((wiring_.spill.staleness + wiring_.spill.max_clock_skew).count());
   return estimate && estimate->made_at + lives > host_.Wall();
 }
 
--- a/model/system/spill_side.h
+++ b/model/system/spill_side.h
@@ -37,7 +37,7 @@
   SpillSide(Host& host, PoolMember& site, PoolMember& wide, std::size_t machine, const Wiring& wiring,
             Checks& checks, SpillHost& requests);
 
-  void Offer(const overflow::Refused& refused, const ClientAsk& ask, const RequestReceived& received);
+  void Offer(const overflow::RejectedRequest& refused, const ClientAsk& ask, const RequestReceived& received);
   void Gone(RequestId request);
   // A neighbour's answer, if anybody here waits for it.
   void Receive(const Endpoint& from, const ClientAnswer& answer);
@@ -58,21 +58,21 @@
   struct Open {
     ClientAsk ask;
     RequestReceived received;
-    overflow::Neighbour at;
+    overflow::RemoteGateway at;
     Time sent{}, timeout = Time::max();
   };
   void Feed(const overflow::Event& event);
-  void Do(const overflow::SendTo& action);
+  void Do(const overflow::ForwardTo& action);
   void Do(const overflow::GiveUp& action);
   void Do(const overflow::Log&) {}
   void Do(const overflow::SetTimer&) {}  // Look comes as often
-  void OnDone(RequestId request, overflow::SpillOutcome outcome);
+  void OnDone(RequestId request, overflow::ForwardOutcome outcome);
 
   void Look();
   void LookAtPresence();
   void TellSpare();
   void MakeEstimate();
-  overflow::MemberSpare OwnSpare() const;
+  overflow::MemberSpareCapacity OwnSpare() const;
 
   Host& host_;
   PoolMember& site_;
@@ -82,10 +82,10 @@
   const std::string own_site_, duty_;
   Checks& checks_;
   SpillHost& requests_;
-  overflow::Spill spill_;
+  overflow::OverflowRouter spill_;
   std::map<RequestId, Open> open_;
   std::map<std::string, bool> present_;  // gateways of other sites, as last told
-  std::optional<overflow::Ambassador> ambassador_;
+  std::optional<overflow::EstimatePublisher> ambassador_;
   fleet::FencingToken office_ = 0;  // the lease that the ambassador is of
   Time next_look_;
 };
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -55,7 +55,7 @@
   state::StateSection state;
   fleet::SitesSection sites;
   quota::QuotaSection quota;
-  overflow::SpillSection spill;
+  overflow::OverflowSection spill;
   std::shared_ptr<const nlohmann::json> file;  // without what is known
 };
 
--- a/src/proxy/config/across.cpp
+++ b/src/proxy/config/across.cpp
@@ -34,8 +34,8 @@
   if (config.quota.on && config.sites.on)
     quota::CheckQuota(config.quota, LayoutOf(config.sites), {config.tenants.begin(), config.tenants.end()},
                       config.sites.lease_term, config.sites.lease_drift, &faults);
-  overflow::CheckSpill(config.spill, DirectoryOf(config.sites), config.sites.site, config.fleet.lease_term,
-                       &faults);
+  overflow::CheckOverflowSection(config.spill, DirectoryOf(config.sites), config.sites.site,
+                                 config.fleet.lease_term, &faults);
   if (!faults.empty()) throw BadConfig(std::move(faults));
 }
 
--- a/src/proxy/config/reader.cpp
+++ b/src/proxy/config/reader.cpp
@@ -154,7 +154,7 @@
     faults->push_back("name is not 1 to 64 bytes without blanks, as a member of a fleet needs");
   config->sites = fleet::ReadSites(root, faults);
   config->quota = quota::ReadQuota(root, faults);
-  config->spill = overflow::ReadSpill(root, faults);
+  config->spill = overflow::ReadOverflowSection(root, faults);
 }
 
 }  // namespace
--- a/src/proxy/failure_kinds.cpp
+++ b/src/proxy/failure_kinds.cpp
@@ -19,7 +19,7 @@
   add(fleet::kFleetFailures);
   add(fleet::kLeaseFailures);
   add(state::kStateFailures);
-  add(overflow::kSpillFailures);
+  add(overflow::kOverflowFailures);
   add(quota::kFailures);
   return all;
 }
--- a/src/proxy/federation/link.cpp
+++ b/src/proxy/federation/link.cpp
@@ -17,7 +17,7 @@
   };
   federation_ = std::make_unique<Federation>(io, config, votes, *site, connections, buffers,
                                              static_cast<SpillHost&>(*this));
-  if (config.spill.on) module_.Feed(OverflowShare{config.spill.options.most_part});
+  if (config.spill.on) module_.Feed(OverflowShare{config.spill.options.offered_fraction});
 }
 
 bool FederationLink::Admit(const ClientRequest& request, Responder& responder, Pending* pending,
@@ -52,7 +52,7 @@
   const ClassSettings& rules = pending->config->settings.classes[pending->received.request_class];
   const auto span = [](Duration d) { return std::chrono::duration_cast<Span>(d); };
   const TimePoint now = module_.Now();
-  overflow::Refused refused;
+  overflow::RejectedRequest refused;
   refused.request = request;
   refused.idempotency = rules.idempotency;
   refused.latency_objective_left = span(pending->came + rules.latency_objective - now);
@@ -61,7 +61,7 @@
   refused.priority_weight = rules.priority_weight;
   refused.key = pending->key;
   refused.within_budget = pending->received.quota_status != QuotaStatus::kOverQuota;
-  refused.spilled = pending->received.is_overflow;
+  refused.forwarded = pending->received.is_overflow;
   refused.retry_after = span(retry_after);
   pending->may_have_run = true;  // until it comes back as refused
   spill()->Offer(refused, pending->message);
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -33,17 +33,17 @@
   return {sites.gateways.at(sites.site).at(self).clients.address(), 0};
 }
 
-overflow::SpillOutcome OutcomeOf(Outcome outcome) {
+overflow::ForwardOutcome OutcomeOf(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk:
-      return overflow::SpillOutcome::kOk;
+      return overflow::ForwardOutcome::kOk;
     case Outcome::kOverloaded:
-      return overflow::SpillOutcome::kRefused;
+      return overflow::ForwardOutcome::kRejected;
     case Outcome::kConnectFailed:
     case Outcome::kNotSent:
-      return overflow::SpillOutcome::kNotRun;
+      return overflow::ForwardOutcome::kNotRun;
     default:
-      return overflow::SpillOutcome::kMayHaveRun;
+      return overflow::ForwardOutcome::kMayHaveRun;
   }
 }
 
@@ -53,7 +53,7 @@
   return std::isfinite(figure) && figure > 0 ? figure : 0;
 }
 
-overflow::MemberSpare MemberSpareOf(const load_balancer::SpareCapacity& spare) {
+overflow::MemberSpareCapacity MemberSpareOf(const load_balancer::SpareCapacity& spare) {
   return {spare.work_per_ms * kPerSecond, spare.work_per_ms_lower_bound * kPerSecond,
           std::chrono::ceil<std::chrono::milliseconds>(spare.wait)};
 }
@@ -61,9 +61,9 @@
 }  // namespace
 
 SpillService::SpillService(asio::io_context& io, const fleet::SitesSection& sites,
-                           const overflow::SpillSection& section, const std::string& self, std::uint64_t seed,
-                           std::function<std::size_t()> most_connections, Buffers& buffers, Pool& pool,
-                           fleet::Node& site, SpillHost& host)
+                           const overflow::OverflowSection& section, const std::string& self,
+                           std::uint64_t seed, std::function<std::size_t()> most_connections,
+                           Buffers& buffers, Pool& pool, fleet::Node& site, SpillHost& host)
     : sites_(sites),
       options_(section.options),
       self_(self),
@@ -94,7 +94,8 @@
 }
 
 // ---- requests on their way ----------------------------------------------------------------------------
-void SpillService::Offer(const overflow::Refused& refused, std::shared_ptr<const HttpRequest> message) {
+void SpillService::Offer(const overflow::RejectedRequest& refused,
+                         std::shared_ptr<const HttpRequest> message) {
   open_[refused.request].message = std::move(message);
   Feed(refused);
 }
@@ -114,35 +115,35 @@
   for (const auto& action : actions) std::visit([this](const auto& a) { Do(a); }, action);
 }
 
-void SpillService::Do(const overflow::SendTo& action) {
+void SpillService::Do(const overflow::ForwardTo& action) {
   const auto open = open_.find(action.request);
   if (open == open_.end()) return;
   const auto timeout = std::chrono::duration_cast<Duration>(action.timeout);
   Outgoing out;
   out.head = open->second.message->base();
-  out.head.set(std::string(overflow::kMarkHeader), overflow::MarkOf({sites_.site, self_}));
+  out.head.set(std::string(overflow::kMarkHeader), overflow::FormatMark({sites_.site, self_}));
   out.whole = {open->second.message, &open->second.message->body()};
   AttemptEvents events;
   const auto sent = Steady::now();
-  events.begun = [this, request = action.request, neighbour = action.neighbour, sent](AnswerHead head) {
+  events.begun = [this, request = action.request, neighbour = action.destination, sent](AnswerHead head) {
     if (open_.erase(request) == 0) return head.body->Abandon();
     host_.OnSpillBegun(request, std::move(head));
-    Feed(overflow::SpillAnswered{request, neighbour, overflow::SpillOutcome::kOk, Steady::now() - sent,
-                                 std::nullopt});
+    Feed(overflow::ForwardEnded{request, neighbour, overflow::ForwardOutcome::kOk, Steady::now() - sent,
+                                std::nullopt});
   };
-  events.done = [this, request = action.request, neighbour = action.neighbour, sent](AttemptResult result) {
+  events.done = [this, request = action.request, neighbour = action.destination, sent](AttemptResult result) {
     OnDone(request, neighbour, sent, std::move(result));
   };
   open->second.attempt =
-      neighbours_.Send(numbers_.at(action.neighbour), std::move(out), timeout, std::move(events));
+      neighbours_.Send(numbers_.at(action.destination), std::move(out), timeout, std::move(events));
 }
 
-void SpillService::OnDone(RequestId request, const overflow::Neighbour& neighbour, Steady::time_point sent,
-                          AttemptResult result) {
-  const overflow::SpillOutcome outcome = OutcomeOf(result.outcome);
-  if (outcome == overflow::SpillOutcome::kOk && open_.erase(request) > 0)
+void SpillService::OnDone(RequestId request, const overflow::RemoteGateway& neighbour,
+                          Steady::time_point sent, AttemptResult result) {
+  const overflow::ForwardOutcome outcome = OutcomeOf(result.outcome);
+  if (outcome == overflow::ForwardOutcome::kOk && open_.erase(request) > 0)
     host_.OnSpillServed(request, std::move(result.response), std::move(result.hold));
-  Feed(overflow::SpillAnswered{request, neighbour, outcome, Steady::now() - sent, std::nullopt});
+  Feed(overflow::ForwardEnded{request, neighbour, outcome, Steady::now() - sent, std::nullopt});
 }
 
 void SpillService::Do(const overflow::GiveUp& action) {
@@ -164,8 +165,8 @@
   const auto mark = message->find(header);
   if (mark == message->end()) return false;
   const bool single = message->count(header) == 1;
-  const auto judged = overflow::JudgeMark(DirectoryOf(sites_), sites_.site,
-                                          {mark->value().data(), mark->value().size()}, peer);
+  const auto judged = overflow::VerifyMark(DirectoryOf(sites_), sites_.site,
+                                           {mark->value().data(), mark->value().size()}, peer);
   message->erase(header);
   if (judged) return single;
   if (Steady::now() >= next_complaint_) {
@@ -176,7 +177,7 @@
 }
 
 std::string SpillService::EstimateText() const {
-  const overflow::Estimate* estimate = spill_.EstimateOf(sites_.site);
+  const overflow::Estimate* estimate = spill_.FindEstimate(sites_.site);
   return estimate ? overflow::ToJson(*estimate).dump() : "";
 }
 
@@ -187,7 +188,7 @@
   const auto value = nlohmann::json::parse(text->value().begin(), text->value().end(), nullptr,
                                            /*allow_exceptions=*/false);
   if (const auto estimate = overflow::FromJson(value))
-    Feed(overflow::EstimateHeard{*estimate, UnixMilliseconds()});
+    Feed(overflow::EstimateReceived{*estimate, UnixMilliseconds()});
   else
     log::Warn("spill", estimate.error());
 }
@@ -196,7 +197,7 @@
   const auto estimate = overflow::FromJson(fact.value);
   if (!estimate) return log::Warn("spill", estimate.error());
   if (fact.key == "estimate/" + estimate->site && fact.duty == DutyOf(estimate->site))
-    Feed(overflow::EstimateHeard{*estimate, UnixMilliseconds()});
+    Feed(overflow::EstimateReceived{*estimate, UnixMilliseconds()});
 }
 
 void SpillService::Look() {
@@ -218,14 +219,14 @@
     const auto [before, fresh] = present_.try_emplace(neighbour.gateway, found->second);
     if (!fresh && before->second == found->second) continue;
     before->second = found->second;
-    Feed(overflow::Presence{neighbour, found->second});
+    Feed(overflow::PresenceChanged{neighbour, found->second});
   }
 }
 
 // To the ambassador, wherever it is.
 void SpillService::TellSpare() {
-  const overflow::MemberSpare spare = MemberSpareOf(host_.SpareNow());
-  if (ambassador_) ambassador_->Heard(Steady::now(), self_, spare);
+  const overflow::MemberSpareCapacity spare = MemberSpareOf(host_.SpareNow());
+  if (ambassador_) ambassador_->RecordMember(Steady::now(), self_, spare);
   const std::string holder = site_.HolderOf(duty_);
   const std::string name = holder.substr(0, holder.find('/'));
   if (!site_.membership() || name.empty() || name == self_) return;
@@ -239,7 +240,8 @@
 void SpillService::HearSpare(const std::string& member, const nlohmann::json& payload) {
   if (!ambassador_ || !payload.is_object()) return;
   const auto wait = std::chrono::milliseconds(static_cast<std::int64_t>(FigureIn(payload, "wait_ms")));
-  ambassador_->Heard(Steady::now(), member, {FigureIn(payload, "mean"), FigureIn(payload, "low"), wait});
+  ambassador_->RecordMember(Steady::now(), member,
+                            {FigureIn(payload, "mean"), FigureIn(payload, "low"), wait});
 }
 
 void SpillService::MakeEstimate() {
@@ -251,16 +253,16 @@
   }
   if (std::exchange(office_, proof->token()) != proof->token()) {
     ambassador_.emplace(options_, sites_.site);
-    ambassador_->Heard(Steady::now(), self_, MemberSpareOf(host_.SpareNow()));
+    ambassador_->RecordMember(Steady::now(), self_, MemberSpareOf(host_.SpareNow()));
     log::Info("spill", fmt::format("duty={} token={} makes the site's estimates", duty_, office_));
     return;  // the others are heard until the next time
   }
-  const auto estimate = ambassador_->Make(Steady::now(), UnixMilliseconds(), *proof);
+  const auto estimate = ambassador_->MakeEstimate(Steady::now(), UnixMilliseconds(), *proof);
   if (!estimate) return;
   const auto published = pool_.node().Publish(*proof, "estimate/" + sites_.site, overflow::ToJson(*estimate),
                                               options_.staleness);
   if (!published) return log::Warn("spill", published.error());
-  Feed(overflow::EstimateHeard{*estimate, UnixMilliseconds()});
+  Feed(overflow::EstimateReceived{*estimate, UnixMilliseconds()});
 }
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/federation/spill_service.h
+++ b/src/proxy/federation/spill_service.h
@@ -2,7 +2,7 @@
 //
 // Spill on this gateway's sockets and clock: requests that the module has refused on their way to a neighbour
 // site and back, the site's spare on its way to the others, and the mark of requests that come from them.
-// Decides nothing: src/spill does.
+// Decides nothing: src/overflow does.
 #ifndef LOAD_BALANCER_PROXY_FEDERATION_SPILL_SERVICE_H_
 #define LOAD_BALANCER_PROXY_FEDERATION_SPILL_SERVICE_H_
 
@@ -46,12 +46,12 @@
 
   // `site` is the site's own fleet; all that is given outlives this.
   SpillService(boost::asio::io_context& io, const fleet::SitesSection& sites,
-               const overflow::SpillSection& section, const std::string& self, std::uint64_t seed,
+               const overflow::OverflowSection& section, const std::string& self, std::uint64_t seed,
                std::function<std::size_t()> most_connections, Buffers& buffers, Pool& pool, fleet::Node& site,
                SpillHost& host);
 
   // The module has refused `message`, whole; its final answer comes from here.
-  void Offer(const overflow::Refused& refused, std::shared_ptr<const HttpRequest> message);
+  void Offer(const overflow::RejectedRequest& refused, std::shared_ptr<const HttpRequest> message);
   void Gone(RequestId request);
 
   // Whether a request comes from another site's gateway; takes the mark off it either way.
@@ -69,13 +69,13 @@
     AttemptId attempt = 0;  // the last that was sent
   };
   void Feed(const overflow::Event& event);
-  void Do(const overflow::SendTo& action);
+  void Do(const overflow::ForwardTo& action);
   void Do(const overflow::GiveUp& action);
   void Do(const overflow::Log& action);
   void Do(const overflow::SetTimer&) {}  // Look comes as often
 
   void OnHead(const boost::beast::http::response_header<>& head);
-  void OnDone(RequestId request, const overflow::Neighbour& neighbour, Steady::time_point sent,
+  void OnDone(RequestId request, const overflow::RemoteGateway& neighbour, Steady::time_point sent,
               AttemptResult result);
 
   void Look();
@@ -90,12 +90,12 @@
   Pool& pool_;
   fleet::Node& site_;
   SpillHost& host_;
-  overflow::Spill spill_;
-  std::map<overflow::Neighbour, ServerId> numbers_;
+  overflow::OverflowRouter spill_;
+  std::map<overflow::RemoteGateway, ServerId> numbers_;
   Backends neighbours_;
   std::map<RequestId, Open> open_;
   std::map<std::string, bool> present_;  // gateways of other sites, as last told
-  std::optional<overflow::Ambassador> ambassador_;
+  std::optional<overflow::EstimatePublisher> ambassador_;
   fleet::FencingToken office_ = 0;  // the lease that the ambassador is of
   Steady::time_point next_complaint_{};
   boost::asio::steady_timer timer_;
--- a/tests/compatibility/configuration_fields.cpp
+++ b/tests/compatibility/configuration_fields.cpp
@@ -121,17 +121,17 @@
   return fields;
 }
 
-json FieldsOf(const overflow::SpillSection& spill) {
+json FieldsOf(const overflow::OverflowSection& spill) {
   const overflow::Options& options = spill.options;
   return {{"on", spill.on},
-          {"most_part", options.most_part},
+          {"most_part", options.offered_fraction},
           {"estimate_interval", options.estimate_interval.count()},
           {"staleness", options.staleness.count()},
-          {"way", options.way.count()},
-          {"least_worth_per_work", options.least_worth_per_work},
+          {"way", options.propagation_time.count()},
+          {"least_worth_per_work", options.min_weight_per_work},
           {"slack", options.slack.count()},
           {"key_ttl", options.key_ttl.count()},
-          {"most_skew", options.most_skew.count()}};
+          {"most_skew", options.max_clock_skew.count()}};
 }
 
 json FieldsOf(const quota::QuotaSection& quota) {
--- a/tests/compatibility/names.cpp
+++ b/tests/compatibility/names.cpp
@@ -65,7 +65,7 @@
   const auto encode = [] {
     const overflow::Estimate estimate{"MUC", 7, 1764600000300, 900, 800, 35, 3, false, 60};
     std::ostringstream lines;
-    lines << overflow::kMarkHeader << kBetween << overflow::MarkOf({"MUC", "n1"}) << '\n'
+    lines << overflow::kMarkHeader << kBetween << overflow::FormatMark({"MUC", "n1"}) << '\n'
           << overflow::kEstimateHeader << kBetween << overflow::ToJson(estimate).dump() << '\n';
     return BytesOf(lines.str());
   };
@@ -73,7 +73,7 @@
     const std::string lines = TextOf(bytes);
     const auto address = boost::asio::ip::make_address("127.0.0.1");
     const overflow::Directory sites = {{"MUC", {{"n1", {{address, 7950}, {address, 8080}}}}}, {"PAR", {}}};
-    const auto from = overflow::JudgeMark(sites, "PAR", ValueOf(lines, overflow::kMarkHeader), address);
+    const auto from = overflow::VerifyMark(sites, "PAR", ValueOf(lines, overflow::kMarkHeader), address);
     if (!from) throw std::runtime_error(from.error().Text());
     const auto estimate = overflow::FromJson(json::parse(ValueOf(lines, overflow::kEstimateHeader)));
     if (!estimate) throw std::runtime_error(estimate.error().Text());
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -92,7 +92,7 @@
     auto message = std::make_shared<HttpRequest>(http::verb::get, "/look/it", 11);
     message->set("Req-Id", "1");
     message->prepare_payload();
-    overflow::Refused refused;
+    overflow::RejectedRequest refused;
     refused.request = ++last_;
     refused.idempotency = idempotency;
     refused.latency_objective_left = refused.deadline_left = std::chrono::seconds(10);
