--- a/model/system/scenario.cpp
+++ b/model/system/scenario.cpp
@@ -177,7 +177,7 @@
     forward += std::max(0.0, fault.magnitude);
     back += std::max(0.0, -fault.magnitude);
   }
-  return forward + back < static_cast<double>(wiring.spill.most_skew.count()) / 2;
+  return forward + back < static_cast<double>(wiring.spill.max_clock_skew.count()) / 2;
 }
 
 bool LosesDisks(const std::vector<Fault>& faults) {
--- /dev/null
+++ b/src/overflow/hysteresis.h
@@ -0,0 +1,57 @@
+// SPDX-License-Identifier: Apache-2.0
+//
+// Detects whether a site is over capacity, with hysteresis. A site is over capacity once its spare capacity
+// has been zero without interruption for a set time, and no longer once there has been spare capacity without
+// interruption for another set time.
+#ifndef LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
+#define LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
+
+#include <optional>
+
+#include "base/time.h"
+
+namespace load_balancer::overflow {
+
+// Hysteresis holds the state of one site: over capacity or not, and since when.
+class Hysteresis {
+ public:
+  // `zero_time` is how long the spare capacity must be zero before the site counts as over capacity, and
+  // `spare_time` how long it must be above zero before the site no longer does.
+  Hysteresis(Span zero_time, Span spare_time) : zero_time_(zero_time), spare_time_(spare_time) {}
+
+  // Records whether the spare capacity is zero at `now`. The first call sets the state without a delay.
+  void Update(Time now, bool is_zero) {
+    if (!since_) {
+      over_ = is_zero;
+      since_ = now;
+    }
+    if (is_zero == over_) {
+      if (differs_since_ && !over_) since_ = now;
+      differs_since_.reset();
+      return;
+    }
+    if (!differs_since_) differs_since_ = now;
+    if (now - *differs_since_ < (is_zero ? zero_time_ : spare_time_)) return;
+    over_ = is_zero;
+    since_ = is_zero ? *differs_since_ : now;
+    differs_since_.reset();
+  }
+
+  bool over() const { return over_; }
+  // Returns how long the state has been settled. While the site is over capacity, this is the time since the
+  // spare capacity fell to zero. Otherwise it is the time since the site was over capacity or its spare
+  // capacity was last zero, and zero while the spare capacity is zero.
+  Span SettledFor(Time now) const {
+    return since_ && (over_ || !differs_since_) ? now - *since_ : Span::zero();
+  }
+
+ private:
+  Span zero_time_, spare_time_;
+  bool over_ = false;
+  // `differs_since_` is when the updates began to contradict the state.
+  std::optional<Time> since_, differs_since_;
+};
+
+}  // namespace load_balancer::overflow
+
+#endif  // LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
--- a/src/proxy/config.h
+++ b/src/proxy/config.h
@@ -19,8 +19,8 @@
 #include "fleet/section.h"
 #include "load_balancer/balancer.h"
 #include "members.h"
+#include "overflow/section.h"
 #include "quota/section.h"
-#include "spill/section.h"
 #include "state/section.h"
 
 namespace load_balancer::proxy {
@@ -55,7 +55,7 @@
   state::StateSection state;
   fleet::SitesSection sites;
   quota::QuotaSection quota;
-  spill::SpillSection spill;
+  overflow::OverflowSection spill;
   std::shared_ptr<const nlohmann::json> file;  // without what is known
 };
 
--- a/src/proxy/failure_kinds.cpp
+++ b/src/proxy/failure_kinds.cpp
@@ -3,9 +3,9 @@
 
 #include "fleet/failures.h"
 #include "fleet/lease/failures.h"
+#include "overflow/failures.h"
 #include "proxy/failures.h"
 #include "quota/failures.h"
-#include "spill/failures.h"
 #include "state/failures.h"
 
 namespace load_balancer::proxy {
@@ -19,7 +19,7 @@
   add(fleet::kFleetFailures);
   add(fleet::kLeaseFailures);
   add(state::kStateFailures);
-  add(spill::kSpillFailures);
+  add(overflow::kOverflowFailures);
   add(quota::kFailures);
   return all;
 }
