--- a/src/proxy/backend/connection.h
+++ b/src/proxy/backend/connection.h
@@ -10,8 +10,8 @@
 #include <memory>
 #include <string>
 
-#include "backend/answer_reader.h"
 #include "backend/request_writer.h"
+#include "backend/response_reader.h"
 #include "backends.h"
 #include "clock.h"
 
--- a/src/proxy/backend/answer_reader.cpp
+++ b/src/proxy/backend/response_reader.cpp
@@ -1,5 +1,5 @@
 // SPDX-License-Identifier: Apache-2.0
-#include "backend/answer_reader.h"
+#include "backend/response_reader.h"
 
 #include <chrono>
 
--- a/src/proxy/backend/answer_reader.h
+++ b/src/proxy/backend/response_reader.h
@@ -2,8 +2,8 @@
 //
 // An answer on its way from a backend: what has come of it, and whether it is held until it is whole or has
 // to be passed on.
-#ifndef LOAD_BALANCER_PROXY_BACKEND_ANSWER_READER_H_
-#define LOAD_BALANCER_PROXY_BACKEND_ANSWER_READER_H_
+#ifndef LOAD_BALANCER_PROXY_BACKEND_RESPONSE_READER_H_
+#define LOAD_BALANCER_PROXY_BACKEND_RESPONSE_READER_H_
 
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
@@ -107,4 +107,4 @@
 
 }  // namespace load_balancer::proxy
 
-#endif  // LOAD_BALANCER_PROXY_BACKEND_ANSWER_READER_H_
+#endif  // LOAD_BALANCER_PROXY_BACKEND_RESPONSE_READER_H_
--- a/src/proxy/client/answer_writer.h
+++ b/src/proxy/client/response_writer.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The answer on its way to a client: its head, and its body whole or piece by piece.
-#ifndef LOAD_BALANCER_PROXY_CLIENT_ANSWER_WRITER_H_
-#define LOAD_BALANCER_PROXY_CLIENT_ANSWER_WRITER_H_
+#ifndef LOAD_BALANCER_PROXY_CLIENT_RESPONSE_WRITER_H_
+#define LOAD_BALANCER_PROXY_CLIENT_RESPONSE_WRITER_H_
 
 #include <boost/beast/core/tcp_stream.hpp>
 #include <boost/beast/http/buffer_body.hpp>
@@ -52,4 +52,4 @@
 
 }  // namespace load_balancer::proxy
 
-#endif  // LOAD_BALANCER_PROXY_CLIENT_ANSWER_WRITER_H_
+#endif  // LOAD_BALANCER_PROXY_CLIENT_RESPONSE_WRITER_H_
--- a/src/proxy/client/session.h
+++ b/src/proxy/client/session.h
@@ -10,8 +10,8 @@
 #include <memory>
 #include <string>
 
-#include "client/answer_writer.h"
 #include "client/request_reader.h"
+#include "client/response_writer.h"
 #include "clients.h"
 
 namespace load_balancer::proxy {
--- a/tests/backend/bench.h
+++ b/tests/backend/backends_fixture.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Backends on an event loop that the test runs itself, step by step; the test is the backend.
-#ifndef LOAD_BALANCER_TESTS_BACKEND_BENCH_H_
-#define LOAD_BALANCER_TESTS_BACKEND_BENCH_H_
+#ifndef LOAD_BALANCER_TESTS_BACKEND_BACKENDS_FIXTURE_H_
+#define LOAD_BALANCER_TESTS_BACKEND_BACKENDS_FIXTURE_H_
 
 #include <gtest/gtest.h>
 
@@ -98,4 +98,4 @@
 
 }  // namespace load_balancer::testing
 
-#endif  // LOAD_BALANCER_TESTS_BACKEND_BENCH_H_
+#endif  // LOAD_BALANCER_TESTS_BACKEND_BACKENDS_FIXTURE_H_
--- a/tests/backend/held_listener.h
+++ b/tests/backend/blocked_listener.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A listening socket to which no connection comes up until the test lets it.
-#ifndef LOAD_BALANCER_TESTS_BACKEND_HELD_LISTENER_H_
-#define LOAD_BALANCER_TESTS_BACKEND_HELD_LISTENER_H_
+#ifndef LOAD_BALANCER_TESTS_BACKEND_BLOCKED_LISTENER_H_
+#define LOAD_BALANCER_TESTS_BACKEND_BLOCKED_LISTENER_H_
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -67,4 +67,4 @@
 
 }  // namespace load_balancer::testing
 
-#endif  // LOAD_BALANCER_TESTS_BACKEND_HELD_LISTENER_H_
+#endif  // LOAD_BALANCER_TESTS_BACKEND_BLOCKED_LISTENER_H_
--- a/tests/backend/deadline_test.cpp
+++ b/tests/backend/deadline_test.cpp
@@ -7,8 +7,8 @@
 #include <string>
 #include <thread>
 
-#include "backend/bench.h"
-#include "backend/held_listener.h"
+#include "backend/backends_fixture.h"
+#include "backend/blocked_listener.h"
 
 namespace load_balancer::testing {
 namespace {
--- a/tests/backend/second_answer_test.cpp
+++ b/tests/backend/duplicate_response_test.cpp
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <thread>
 
-#include "backend/bench.h"
+#include "backend/backends_fixture.h"
 
 namespace load_balancer::testing {
 namespace {
--- a/tests/backend/early_answer_test.cpp
+++ b/tests/backend/early_response_test.cpp
@@ -6,7 +6,7 @@
 #include <memory>
 #include <string>
 
-#include "backend/bench.h"
+#include "backend/backends_fixture.h"
 
 namespace load_balancer::testing {
 namespace {
--- a/tests/backend/gone_test.cpp
+++ b/tests/backend/gone_test.cpp
@@ -6,8 +6,8 @@
 #include <chrono>
 #include <thread>
 
-#include "backend/bench.h"
-#include "backend/held_listener.h"
+#include "backend/backends_fixture.h"
+#include "backend/blocked_listener.h"
 
 namespace load_balancer::testing {
 namespace {
--- a/tests/backend/odd_answers_test.cpp
+++ b/tests/backend/response_framing_test.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "backend/bench.h"
+#include "backend/backends_fixture.h"
 
 namespace load_balancer::testing {
 namespace {
--- a/tests/backend/written_test.cpp
+++ b/tests/backend/written_test.cpp
@@ -4,7 +4,7 @@
 // ends between the write and the news of it.
 #include <gtest/gtest.h>
 
-#include "backend/bench.h"
+#include "backend/backends_fixture.h"
 
 namespace load_balancer::testing {
 namespace {
--- a/tests/backends_test.cpp
+++ b/tests/backends_test.cpp
@@ -9,7 +9,7 @@
 #include <optional>
 #include <thread>
 
-#include "backend/bench.h"
+#include "backend/backends_fixture.h"
 
 namespace load_balancer::testing {
 namespace {
