--- a/src/proxy/backend/connection.cpp
+++ b/src/proxy/backend/connection.cpp
@@ -16,16 +16,17 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-constexpr std::chrono::seconds kStall{10};  // for a piece of a body to be taken, or to come
-constexpr const char* kTimeLeft = "Req-Deadline-Ms";
+constexpr std::chrono::seconds kPieceTimeout{10};  // for a piece of a body to be written or received
+constexpr const char* kTimeLeftHeader = "Req-Deadline-Ms";
 
 Steady::duration ToSteady(Duration d) { return std::chrono::ceil<Steady::duration>(d); }
 
-// 503 and 504 alone may come from anything on the way; only the backend's own word proves that it never ran.
-Outcome OutcomeOf(const AnswerReader::Head& response, bool of_proxy) {
+// Returns the outcome of a response. Any intermediary may send a 503 or 504; only with the header
+// Srv-Declined does it prove that the request did not run.
+Outcome OutcomeOf(const ResponseReader::Head& response, bool from_proxy) {
   const unsigned status = response.result_int();
   if (status == 200) return Outcome::kOk;
-  if (of_proxy && (status == 503 || status == 429)) return Outcome::kOverloaded;
+  if (from_proxy && (status == 503 || status == 429)) return Outcome::kOverloaded;
   if ((status == 503 || status == 504) && response["Srv-Declined"] == "1") return Outcome::kOverloaded;
   return Outcome::kError;
 }
@@ -35,27 +36,28 @@
 Backends::Connection::Connection(Backends& owner, ServerId server, std::uint64_t generation)
     : owner_(&owner), server_(server), generation_(generation), socket_(owner.io_), timer_(owner.io_) {}
 
-void Backends::Connection::Assign(AttemptId attempt, Outgoing request, Duration timeout,
+void Backends::Connection::Assign(AttemptId attempt, OutgoingRequest request, Duration timeout,
                                   AttemptEvents events) {
-  ++use_;
+  ++use_number_;
   attempt_ = attempt;
   request_ = std::move(request);
   events_ = std::move(events);
   deadline_ = Steady::now() + ToSteady(timeout);
   phase_ = Phase::kConnecting;
-  awaiting_head_ = reading_ = begun_ = ended_ = false;
+  awaiting_head_ = read_in_progress_ = streaming_ = response_complete_ = false;
 }
 
 void Backends::Connection::Open(const Tcp::endpoint& address, Duration connect_timeout) {
   Error error;
   socket_.open(address.protocol(), error);
-  if (const auto& local = owner_->limits_.local; local && !error) socket_.bind(*local, error);
+  if (const auto& local_address = owner_->limits_.local_address; local_address && !error)
+    socket_.bind(*local_address, error);
   if (!error) socket_.set_option(Tcp::no_delay(true), error);
   if (!error) socket_.non_blocking(true, error);
-  if (error) return FinishSoon(Outcome::kNotSent);  // out of descriptors
+  if (error) return FinishSoon(Outcome::kNotSent);  // for example, no descriptor is left
   SetTimer(std::min(deadline_, Steady::now() + ToSteady(connect_timeout)));
   socket_.async_connect(address, [self = shared_from_this()](const Error& failed) {
-    if (!self->Out()) return;
+    if (!self->HasAttempt()) return;
     if (failed) return self->Finish(Outcome::kConnectFailed);
     self->Write();
   });
@@ -63,7 +65,7 @@
 
 void Backends::Connection::Reuse() {
   Error ignored;
-  socket_.cancel(ignored);  // the watch for its end
+  socket_.cancel(ignored);  // cancels the wait of WatchIdle
   ClearTimer();
   Write();
 }
@@ -73,44 +75,44 @@
 }
 
 void Backends::Connection::Finish(Outcome outcome, HttpResponse response) {
-  if (!Out()) return;
+  if (!HasAttempt()) return;
   const auto self = shared_from_this();
   const AttemptEvents events = std::exchange(events_, {});
   const OnPiece on_piece = std::exchange(on_piece_, nullptr);
-  Buffers::Hold hold = reader_.TakeHold();
-  const bool reusable =
-      outcome != Outcome::kCancelled && phase_ == Phase::kReading && Written() && reader_.Reusable();
-  if (owner_ && phase_ == Phase::kReading && reader_.Exceeded()) owner_->OnUnasked(server_);
+  Buffers::Reservation reservation = reader_.TakeReservation();
+  const bool reusable = outcome != Outcome::kCancelled && phase_ == Phase::kReading && IsWritten() &&
+                        reader_.IsConnectionReusable();
+  if (owner_ && phase_ == Phase::kReading && reader_.HasExcessBytes()) owner_->OnUnexpectedBytes(server_);
   const auto body = std::exchange(request_.body, nullptr);
-  // Closed before anybody hears of the end: the next attempt must not find this one on an open connection.
-  // What a write or read under way still uses ends with it.
+  // The connection is closed before the end of the attempt is reported, so that the next attempt cannot count
+  // it as an open connection. A write or read in progress keeps the memory that it uses until it has ended.
   if (reusable && owner_) {
     request_ = {};
     writer_.Clear();
     reader_.Clear();
-    owner_->Keep(self);
+    owner_->KeepIdle(self);
   } else {
     Close();
   }
   if (body) body->Abandon();
   if (on_piece) on_piece(Piece::Broken());
-  events.done({outcome, std::move(response), std::move(hold)});
+  events.done({outcome, std::move(response), std::move(reservation)});
 }
 
-bool Backends::Connection::Alive() {
+bool Backends::Connection::IsReusable() {
   Error error;
   char byte;
   socket_.receive(asio::buffer(&byte, 1), Tcp::socket::message_peek, error);
-  if (!error && owner_) owner_->OnUnasked(server_);
+  if (!error && owner_) owner_->OnUnexpectedBytes(server_);
   return error == asio::error::would_block || error == asio::error::try_again;
 }
 
-void Backends::Connection::WatchIdle(Duration at_most) {
+void Backends::Connection::WatchIdle(Duration max_idle) {
   idle_since_ = Steady::now();
-  SetTimer(idle_since_ + ToSteady(at_most));
-  socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), use = use_](const Error&) {
-    if (use != self->use_) return;
-    self->Alive();  // tells the owner if it is an answer that nobody asked for
+  SetTimer(idle_since_ + ToSteady(max_idle));
+  socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), use = use_number_](const Error&) {
+    if (use != self->use_number_) return;
+    self->IsReusable();  // reports unexpected bytes to the owner
     self->Close();
   });
 }
@@ -121,50 +123,51 @@
   Error ignored;
   socket_.close(ignored);
   ClearTimer();
-  if (owner_) owner_->Drop(this);
+  if (owner_) owner_->Remove(this);
 }
 
-void Backends::Connection::Orphan() {
+void Backends::Connection::DetachFromOwner() {
   owner_ = nullptr;
   events_ = {};
   on_piece_ = nullptr;
-  reader_.TakeHold();
+  reader_.TakeReservation();
   Close();
 }
 
-// One that has run out while something else came first may be waiting for its turn: it is as void as one
-// that was cancelled in time.
+// The handler of a timer that has already expired may be queued in the event loop, where it cannot be
+// cancelled. The timer number makes it ineffective.
 void Backends::Connection::ClearTimer() {
-  ++timer_set_;
+  ++timer_number_;
   timer_.cancel();
 }
 
 void Backends::Connection::SetTimer(Steady::time_point at) {
   timer_.expires_at(at);
-  timer_.async_wait([self = shared_from_this(), set = ++timer_set_](const Error& cancelled) {
-    if (cancelled || self->closed_ || set != self->timer_set_) return;
-    if (!self->Out()) return self->Close();  // idle for too long
-    if (self->HeldBack()) return self->Begin();
-    self->FinishUnanswered(Outcome::kTimeout);
+  timer_.async_wait([self = shared_from_this(), set = ++timer_number_](const Error& cancelled) {
+    if (cancelled || self->closed_ || set != self->timer_number_) return;
+    if (!self->HasAttempt()) return self->Close();  // idle for too long
+    if (self->IsBuffering()) return self->StartStreaming();
+    self->FinishWithoutResponse(Outcome::kTimeout);
   });
 }
 
-// Some of an answer has come that does not tell its length.
-bool Backends::Connection::HeldBack() const {
-  return phase_ == Phase::kReading && !begun_ && reader_.got() > 0 && outcome_ == Outcome::kOk &&
-         reader_.Unmeasured() && Steady::now() < deadline_;
+// Returns whether part of a response of unknown length is buffered.
+bool Backends::Connection::IsBuffering() const {
+  return phase_ == Phase::kReading && !streaming_ && reader_.body_bytes() > 0 && outcome_ == Outcome::kOk &&
+         reader_.HasUnknownLength() && Steady::now() < deadline_;
 }
 
-// Nothing has run unless the last byte was written, whether or not the event loop has heard of that yet.
-void Backends::Connection::FinishUnanswered(Outcome outcome) {
-  Finish(Written() ? outcome : Outcome::kConnectFailed);
+// Finishes an attempt that got no response. The request cannot have run unless its last byte was written,
+// even if the handler of that write has not been called yet.
+void Backends::Connection::FinishWithoutResponse(Outcome outcome) {
+  Finish(IsWritten() ? outcome : Outcome::kConnectFailed);
 }
 
 // ---- writing ------------------------------------------------------------------------------------------
 auto Backends::Connection::OnWritten(bool last) {
-  return [self = shared_from_this(), use = use_, last](const Error& failed) {
-    if (use != self->use_ || self->phase_ != Phase::kSending || !self->Out()) return;
-    if (failed) return self->OnUnwritable();
+  return [self = shared_from_this(), use = use_number_, last](const Error& failed) {
+    if (use != self->use_number_ || self->phase_ != Phase::kSending || !self->HasAttempt()) return;
+    if (failed) return self->OnWriteFailed();
     if (!last) return self->WriteNext();
     self->writer_.DropPiece();
     self->phase_ = Phase::kReading;
@@ -173,18 +176,18 @@
   };
 }
 
-// An answer that is already on its way may say why.
-void Backends::Connection::OnUnwritable() {
-  if (!awaiting_head_) return FinishUnanswered(Outcome::kReset);
+// Waits a while for a response that is already being read, as it may contain the reason.
+void Backends::Connection::OnWriteFailed() {
+  if (!awaiting_head_) return FinishWithoutResponse(Outcome::kReset);
   phase_ = Phase::kReading;
-  SetTimer(Steady::now() + kStall);
+  SetTimer(Steady::now() + kPieceTimeout);
 }
 
 void Backends::Connection::Write() {
-  // A connection may have come up late: what was left as the attempt was made is no longer so.
+  // Connecting may have taken some time, so the remaining time is computed when the request is written.
   const auto left = std::chrono::floor<std::chrono::milliseconds>(deadline_ - Steady::now());
   if (left.count() <= 0) return FinishSoon(Outcome::kNotSent);
-  request_.head.set(kTimeLeft, std::to_string(left.count()));
+  request_.head.set(kTimeLeftHeader, std::to_string(left.count()));
   phase_ = Phase::kSending;
   writer_.Begin(std::move(request_.head));
   if (request_.body) {
@@ -192,31 +195,34 @@
     return WriteNext();
   }
   SetTimer(deadline_);
-  writer_.Write(socket_, *request_.whole, true, OnWritten(true));
+  writer_.Write(socket_, *request_.complete_body, true, OnWritten(true));
 }
 
-// A backend may answer before it has read all; the rest is then of no use to it. Until the head of that
-// answer is in, the request goes on: there may be interim ones before it, for which a backend that waits for
-// the rest does not stop.
+// A server may respond before it has read the complete request and then does not need the rest. The request
+// is sent on until the head of the final response has been received, because interim responses may precede it
+// and the server may still wait for the rest of the request.
 void Backends::Connection::WatchForEarlyAnswer() {
-  socket_.async_wait(Tcp::socket::wait_read, [self = shared_from_this(), use = use_](const Error& failed) {
-    if (failed || use != self->use_ || self->phase_ != Phase::kSending || !self->Out()) return;
-    self->Read();
-  });
+  socket_.async_wait(
+      Tcp::socket::wait_read, [self = shared_from_this(), use = use_number_](const Error& failed) {
+        if (failed || use != self->use_number_ || self->phase_ != Phase::kSending || !self->HasAttempt())
+          return;
+        self->Read();
+      });
 }
 
 void Backends::Connection::WriteNext() {
-  ClearTimer();  // whoever sends has a limit of its own
-  request_.body->Next([weak = weak_from_this(), use = use_](Piece piece) {
+  ClearTimer();  // the sender of the body has its own time limit
+  request_.body->Next([weak = weak_from_this(), use = use_number_](Piece piece) {
     const auto self = weak.lock();
-    if (self && use == self->use_ && self->phase_ == Phase::kSending && self->Out())
+    if (self && use == self->use_number_ && self->phase_ == Phase::kSending && self->HasAttempt())
       self->WritePiece(std::move(piece));
   });
 }
 
 void Backends::Connection::WritePiece(Piece piece) {
-  if (piece.failed) return FinishSoon(Outcome::kCancelled);  // this may be from within Send
-  SetTimer(Steady::now() + kStall);
+  if (piece.failed)
+    return FinishSoon(Outcome::kCancelled);  // may run within Send, which must not call `done`
+  SetTimer(Steady::now() + kPieceTimeout);
   if (piece.last) deadline_ = piece.due;
   writer_.WritePiece(socket_, std::move(piece.bytes), piece.last, OnWritten(piece.last));
 }
@@ -225,88 +231,90 @@
 void Backends::Connection::Read() {
   awaiting_head_ = true;
   reader_.Begin();
-  reader_.ReadHead(socket_, [self = shared_from_this(), use = use_](const Error& failed) {
-    if (use != self->use_ || !self->Out()) return;
-    if (failed) return self->FinishUnanswered(Outcome::kReset);
+  reader_.ReadHead(socket_, [self = shared_from_this(), use = use_number_](const Error& failed) {
+    if (use != self->use_number_ || !self->HasAttempt()) return;
+    if (failed) return self->FinishWithoutResponse(Outcome::kReset);
     self->OnHead();
   });
 }
 
 void Backends::Connection::OnHead() {
-  if (reader_.Interim()) return Read();
+  if (reader_.IsInterim()) return Read();
   awaiting_head_ = false;
   if (std::exchange(phase_, Phase::kReading) == Phase::kSending)
-    SetTimer(Written() ? deadline_ : Steady::now() + kStall);
+    SetTimer(IsWritten() ? deadline_ : Steady::now() + kPieceTimeout);
   const Limits& limits = owner_->limits_;
-  outcome_ = OutcomeOf(reader_.head(), limits.proxies);
+  outcome_ = OutcomeOf(reader_.head(), limits.servers_are_proxies);
   if (limits.on_head) limits.on_head(reader_.head());
   reader_.BeginBody(owner_->buffers_);
   ReadPiece();
 }
 
 void Backends::Connection::ReadPiece() {
-  if (reader_.Done()) return OnPieceRead({}, 0);
-  reading_ = true;
-  if (begun_) SetTimer(Steady::now() + kStall);
-  if (HeldBack()) SetTimer(std::min(deadline_, reader_.hold_until()));
-  reader_.ReadPiece(socket_, owner_->buffers_.piece(),
-                    [self = shared_from_this(), use = use_](const Error& failed) {
-                      if (use != self->use_ || !self->Out()) return;
-                      self->reading_ = false;
-                      self->OnPieceRead(failed, self->reader_.Came());
+  if (reader_.IsDone()) return OnPieceRead({}, 0);
+  read_in_progress_ = true;
+  if (streaming_) SetTimer(Steady::now() + kPieceTimeout);
+  if (IsBuffering()) SetTimer(std::min(deadline_, reader_.buffer_until()));
+  reader_.ReadPiece(socket_, owner_->buffers_.piece_bytes(),
+                    [self = shared_from_this(), use = use_number_](const Error& failed) {
+                      if (use != self->use_number_ || !self->HasAttempt()) return;
+                      self->read_in_progress_ = false;
+                      self->OnPieceRead(failed, self->reader_.LastPieceBytes());
                     });
 }
 
 void Backends::Connection::OnPieceRead(const Error& failed, std::size_t n) {
-  if (begun_) ClearTimer();  // whoever reads the answer has a limit of its own
+  if (streaming_) ClearTimer();  // the reader of the response has its own time limit
   if (failed) {
-    if (begun_)
-      log::Warn("backends",
-                Failure(kAnswerBroken, "server " + std::to_string(server_) + " broke off an answer after " +
-                                           std::to_string(reader_.got()) + " bytes: " + failed.message()));
-    return FinishUnanswered(Outcome::kReset);
+    if (streaming_)
+      log::Warn(
+          "backends",
+          Failure(kAnswerBroken, "server " + std::to_string(server_) + " broke off an answer after " +
+                                     std::to_string(reader_.body_bytes()) + " bytes: " + failed.message()));
+    return FinishWithoutResponse(Outcome::kReset);
   }
-  reader_.Count(n);
-  ended_ = reader_.Done();
-  if (outcome_ != Outcome::kOk) return OnUnwanted();
-  reader_.Keep(n);
-  if (begun_) return on_piece_ ? Give() : void();
-  const bool held = reader_.Hold(n);
-  if (ended_) return Finish(Outcome::kOk, reader_.Whole());
-  reader_.TooLarge(held) && reader_.got() > 0 ? Begin() : ReadPiece();
+  reader_.CountBodyBytes(n);
+  response_complete_ = reader_.IsDone();
+  if (outcome_ != Outcome::kOk) return DiscardBody();
+  reader_.AppendPiece(n);
+  if (streaming_) return on_piece_ ? DeliverPiece() : void();
+  const bool reserved = reader_.Reserve(n);
+  if (response_complete_) return Finish(Outcome::kOk, reader_.TakeComplete());
+  reader_.MustStream(reserved) && reader_.body_bytes() > 0 ? StartStreaming() : ReadPiece();
 }
 
-// The body of anything but an answer that is served is of no use to anybody.
-void Backends::Connection::OnUnwanted() {
-  if (ended_ || reader_.got() > kMostWhole) return Finish(outcome_);
+// Reads and drops the body of a response that is not passed to the client.
+void Backends::Connection::DiscardBody() {
+  if (response_complete_ || reader_.body_bytes() > kMaxBufferedMessageBytes) return Finish(outcome_);
   ReadPiece();
 }
 
-// From here on the answer is passed on: nothing can take its place any more.
-void Backends::Connection::Begin() {
-  AnswerHead head = reader_.PassOn();
+// Passes the head to the client and streams the body. After this the response cannot be replaced by that of
+// another attempt.
+void Backends::Connection::StartStreaming() {
+  ResponseHead head = reader_.StartStreaming();
   head.body = shared_from_this();
-  begun_ = true;
+  streaming_ = true;
   ClearTimer();
-  if (reading_) SetTimer(Steady::now() + kStall);
-  events_.begun(std::move(head));
+  if (read_in_progress_) SetTimer(Steady::now() + kPieceTimeout);
+  events_.stream_started(std::move(head));
 }
 
 void Backends::Connection::Next(OnPiece on_piece) {
-  if (!Out()) return on_piece(Piece::Broken());
+  if (!HasAttempt()) return on_piece(Piece::Broken());
   on_piece_ = std::move(on_piece);
-  if (reader_.Holds() || ended_) return Give();
-  if (!reading_) ReadPiece();
+  if (reader_.HasUndelivered() || response_complete_) return DeliverPiece();
+  if (!read_in_progress_) ReadPiece();
 }
 
-void Backends::Connection::Give() {
+void Backends::Connection::DeliverPiece() {
   Piece piece;
-  piece.bytes = reader_.Take();
-  piece.last = ended_;
+  piece.bytes = reader_.TakeBuffered();
+  piece.last = response_complete_;
   const auto on_piece = std::exchange(on_piece_, nullptr);
   const auto self = shared_from_this();
   on_piece(std::move(piece));
-  if (ended_) Finish(Outcome::kOk);
+  if (response_complete_) Finish(Outcome::kOk);
 }
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/backend/connection.h
+++ b/src/proxy/backend/connection.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One connection to a backend and the attempt on it, if any.
+// Backends::Connection is a connection to a server with the current attempt on it, if any.
 #ifndef LOAD_BALANCER_PROXY_BACKEND_CONNECTION_H_
 #define LOAD_BALANCER_PROXY_BACKEND_CONNECTION_H_
 
@@ -17,8 +17,8 @@
 
 namespace load_balancer::proxy {
 
-// Once closed it is never used again, so that an answer which comes after its attempt's time-out has nowhere
-// to go. It is the source of an answer that is passed on.
+// A closed connection is never used again, so a response that arrives after the timeout of its attempt is
+// dropped. The connection is also the BodySource of a response that is streamed.
 class Backends::Connection : public BodySource, public std::enable_shared_from_this<Connection> {
  public:
   Connection(Backends& owner, ServerId server, std::uint64_t generation);
@@ -26,78 +26,84 @@
   ServerId server() const { return server_; }
   std::uint64_t generation() const { return generation_; }
   Steady::time_point idle_since() const { return idle_since_; }
-  // An attempt is out, of which the backend has seen nothing.
-  bool Unbegun() const { return Out() && phase_ == Phase::kConnecting; }
+  // Returns whether an attempt is in progress of which no byte has been sent.
+  bool IsConnecting() const { return HasAttempt() && phase_ == Phase::kConnecting; }
 
-  // This attempt is out, and its last byte has not been written.
-  bool Unwritten(AttemptId attempt) const { return Out() && attempt_ == attempt && !Written(); }
+  // Returns whether this attempt is in progress and its last byte has not been written.
+  bool IsIncompletelyWritten(AttemptId attempt) const {
+    return HasAttempt() && attempt_ == attempt && !IsWritten();
+  }
 
-  // Takes the attempt; then one of Open, Reuse and FinishSoon begins it.
-  void Assign(AttemptId attempt, Outgoing request, Duration timeout, AttemptEvents events);
+  // Assigns an attempt. The caller then calls exactly one of Open, Reuse and FinishSoon.
+  void Assign(AttemptId attempt, OutgoingRequest request, Duration timeout, AttemptEvents events);
   void Open(const boost::asio::ip::tcp::endpoint& address, Duration connect_timeout);
   void Reuse();
-  // An attempt that ends before it has begun; its result still comes from the event loop.
+  // Finishes the attempt from the event loop instead of within this call.
   void FinishSoon(Outcome outcome);
-  // Ends the attempt, if one is out.
+  // Ends the attempt, if one is in progress, and reports its outcome.
   void Finish(Outcome outcome, HttpResponse response = {});
 
-  // Whether the backend has neither closed it in the meantime, where writing would end as a reset that may
-  // have run, nor sent anything.
-  bool Alive();
-  // Closes by itself after so long, or when the backend says anything.
-  void WatchIdle(Duration at_most);
+  // Returns whether the server has neither closed the idle connection nor sent any bytes. A request written
+  // to a closed connection ends as a reset, after which it is unknown whether the request ran.
+  bool IsReusable();
+  // Closes the connection when it has been idle for `max_idle`, or when the server sends anything or closes
+  // it.
+  void WatchIdle(Duration max_idle);
   void Close();
-  // The owner goes: nothing may be reported any more.
-  void Orphan();
+  // Closes the connection without reporting anything, as the owner is being destroyed.
+  void DetachFromOwner();
 
-  // ---- the answer as a source -------------------------------------------------------------------------
+  // ---- BodySource: the body of the response
+  // -------------------------------------------------------------------------
   void Next(OnPiece on_piece) override;
   void Abandon() override { Finish(Outcome::kCancelled); }
-  bool Spent() const override { return true; }
+  bool HasStarted() const override { return true; }
 
  private:
   using Error = boost::system::error_code;
   enum class Phase { kConnecting, kSending, kReading };
 
-  bool Out() const { return static_cast<bool>(events_.done); }
-  // The backend may begin the request: the system has its last byte.
-  bool Written() const { return phase_ != Phase::kConnecting && writer_.Written(); }
-  bool HeldBack() const;
+  bool HasAttempt() const { return static_cast<bool>(events_.done); }
+  // Returns whether the operating system has accepted the last byte, so that the server may start the
+  // request.
+  bool IsWritten() const { return phase_ != Phase::kConnecting && writer_.IsWritten(); }
+  bool IsBuffering() const;
   void ClearTimer();
   void SetTimer(Steady::time_point at);
-  void FinishUnanswered(Outcome outcome);
+  void FinishWithoutResponse(Outcome outcome);
 
   void Write();
   void WatchForEarlyAnswer();
   void WriteNext();
   void WritePiece(Piece piece);
   auto OnWritten(bool last);
-  void OnUnwritable();
+  void OnWriteFailed();
 
   void Read();
   void OnHead();
   void ReadPiece();
   void OnPieceRead(const Error& failed, std::size_t n);
-  void OnUnwanted();
-  void Begin();
-  void Give();
+  void DiscardBody();
+  void StartStreaming();
+  void DeliverPiece();
 
   Backends* owner_;
   ServerId server_;
   std::uint64_t generation_;
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
-  Outgoing request_;
+  OutgoingRequest request_;
   RequestWriter writer_;
-  AnswerReader reader_;
+  ResponseReader reader_;
   AttemptId attempt_ = 0;
-  AttemptEvents events_;  // set while an attempt is out
+  AttemptEvents events_;  // set while an attempt is in progress
   OnPiece on_piece_;
   Outcome outcome_ = Outcome::kUnknown;
   Steady::time_point deadline_{}, idle_since_{};
-  std::uint64_t use_ = 0, timer_set_ = 0;
+  std::uint64_t use_number_ = 0, timer_number_ = 0;
   Phase phase_ = Phase::kConnecting;
-  bool awaiting_head_ = false, reading_ = false, begun_ = false, ended_ = false, closed_ = false;
+  bool awaiting_head_ = false, read_in_progress_ = false, streaming_ = false, response_complete_ = false,
+       closed_ = false;
 };
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/backend/request_writer.h
+++ b/src/proxy/backend/request_writer.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A request on its way to a backend: its head, and its body whole or piece by piece.
+// RequestWriter writes a request to a server: the head, then the body, either complete or in pieces.
 #ifndef LOAD_BALANCER_PROXY_BACKEND_REQUEST_WRITER_H_
 #define LOAD_BALANCER_PROXY_BACKEND_REQUEST_WRITER_H_
 
@@ -18,35 +18,37 @@
 
 namespace load_balancer::proxy {
 
-// Writes at once what the system takes, so that Written() holds at every moment: whoever breaks a request off
-// between the write and the news of it has to know whether the backend may begin it.
+// Writes synchronously as much as the socket accepts, so that IsWritten() is always up to date. Code that
+// cancels a request between the write and its completion handler must know whether the server may have
+// started it.
 class RequestWriter {
  public:
-  // `head` with its framing.
+  // Starts a request. `head` includes Content-Length or Transfer-Encoding.
   void Begin(boost::beast::http::request_header<> head) {
     message_.emplace(std::move(head));
     serializer_.emplace(*message_);
   }
 
-  // The head, if it has not gone yet, and the body's next bytes, which stay until `done(error_code)`; that is
-  // not called from within. The socket does not block.
+  // Writes `bytes`, the next bytes of the body, and before them the head if that has not been written yet.
+  // `bytes` must stay valid until `done(error_code)`, which is never called within this call. The socket must
+  // be non-blocking.
   template <typename Done>
   void Write(boost::asio::ip::tcp::socket& socket, const std::string& bytes, bool last, Done done) {
     message_->body() = {bytes.empty() ? nullptr : const_cast<char*>(bytes.data()), bytes.size(), !last};
-    GoOn(socket, std::move(done));
+    ContinueWriting(socket, std::move(done));
   }
-  // The same with bytes that are kept here.
+  // Does the same as Write, but stores the bytes until they are written.
   template <typename Done>
   void WritePiece(boost::asio::ip::tcp::socket& socket, std::string bytes, bool last, Done done) {
     piece_ = std::move(bytes);
     Write(socket, piece_, last, std::move(done));
   }
 
-  // The system has taken the last byte.
-  bool Written() const { return serializer_ && serializer_->is_done(); }
-  // All has been written.
+  // Returns whether the operating system has accepted the last byte of the request.
+  bool IsWritten() const { return serializer_ && serializer_->is_done(); }
+  // Frees the stored bytes. Called when the request has been written completely.
   void DropPiece() { piece_ = {}; }
-  // Nothing is being written.
+  // Frees all memory of the request. No write may be in progress.
   void Clear() {
     DropPiece();
     serializer_.reset();
@@ -58,18 +60,18 @@
   using Error = boost::system::error_code;
 
   template <typename Done>
-  void GoOn(boost::asio::ip::tcp::socket& socket, Done done) {
-    Error failed;
-    while (!failed && !serializer_->is_done()) boost::beast::http::write_some(socket, *serializer_, failed);
-    if (failed == boost::asio::error::would_block) return WaitForRoom(socket, std::move(done));
-    if (failed == boost::beast::http::error::need_buffer) failed = {};
-    boost::asio::post(socket.get_executor(), [done = std::move(done), failed]() mutable { done(failed); });
+  void ContinueWriting(boost::asio::ip::tcp::socket& socket, Done done) {
+    Error error;
+    while (!error && !serializer_->is_done()) boost::beast::http::write_some(socket, *serializer_, error);
+    if (error == boost::asio::error::would_block) return WaitUntilWritable(socket, std::move(done));
+    if (error == boost::beast::http::error::need_buffer) error = {};
+    boost::asio::post(socket.get_executor(), [done = std::move(done), error]() mutable { done(error); });
   }
   template <typename Done>
-  void WaitForRoom(boost::asio::ip::tcp::socket& socket, Done done) {
+  void WaitUntilWritable(boost::asio::ip::tcp::socket& socket, Done done) {
     socket.async_wait(boost::asio::ip::tcp::socket::wait_write,
-                      [this, &socket, done = std::move(done)](const Error& failed) mutable {
-                        failed ? done(failed) : GoOn(socket, std::move(done));
+                      [this, &socket, done = std::move(done)](const Error& error) mutable {
+                        error ? done(error) : ContinueWriting(socket, std::move(done));
                       });
   }
 
--- a/src/proxy/backend/response_reader.cpp
+++ b/src/proxy/backend/response_reader.cpp
@@ -10,57 +10,57 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::size_t kMostHeader = 16 * 1024;
-constexpr std::size_t kMostChunkHeader = 4 * 1024;
-// An answer that does not tell its length, and is not whole by then, is passed on.
-constexpr std::chrono::milliseconds kHoldBack{100};
+constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
+constexpr std::size_t kMaxChunkHeaderBytes = 4 * 1024;
+// A response of unknown length that is not complete after this time is streamed.
+constexpr std::chrono::milliseconds kBufferTime{100};
 
 }  // namespace
 
-AnswerReader::AnswerReader() : buffer_(kMostHeader + kMostChunkHeader) {}
+ResponseReader::ResponseReader() : buffer_(kMaxHeaderBytes + kMaxChunkHeaderBytes) {}
 
-void AnswerReader::Begin() {
-  whole_ = {};
-  got_ = 0;
+void ResponseReader::Begin() {
+  buffered_ = {};
+  body_bytes_ = 0;
   parser_.emplace();
   parser_->body_limit(boost::none);
-  parser_->header_limit(kMostHeader);
+  parser_->header_limit(kMaxHeaderBytes);
 }
 
-// Nothing asks for a switch of protocols: that would be the answer.
-bool AnswerReader::Interim() const {
+// The proxy never requests a protocol switch, so a 101 counts as a final response.
+bool ResponseReader::IsInterim() const {
   return head().result_int() < 200 && head().result() != http::status::switching_protocols;
 }
 
-void AnswerReader::BeginBody(Buffers& buffers) {
-  hold_ = Buffers::Hold(buffers);
-  hold_until_ = Steady::now() + kHoldBack;
+void ResponseReader::BeginBody(Buffers& buffers) {
+  reservation_ = Buffers::Reservation(buffers);
+  buffer_until_ = Steady::now() + kBufferTime;
 }
 
-bool AnswerReader::TooLarge(bool held) const {
+bool ResponseReader::MustStream(bool reserved) const {
   const auto length = parser_->content_length();
-  return !held || got_ >= kMostWhole || (length && *length > kMostWhole) ||
-         (!length && Steady::now() >= hold_until_);
+  return !reserved || body_bytes_ >= kMaxBufferedMessageBytes ||
+         (length && *length > kMaxBufferedMessageBytes) || (!length && Steady::now() >= buffer_until_);
 }
 
-HttpResponse AnswerReader::Whole() {
+HttpResponse ResponseReader::TakeComplete() {
   HttpResponse response(std::move(parser_->get().base()));
-  response.body() = std::move(whole_);
+  response.body() = std::move(buffered_);
   return response;
 }
 
-AnswerHead AnswerReader::PassOn() {
-  AnswerHead answer;
+ResponseHead ResponseReader::StartStreaming() {
+  ResponseHead result;
   if (const auto type = head().find(http::field::content_type); type != head().end())
-    answer.content_type.assign(type->value().data(), type->value().size());
-  if (const auto length = parser_->content_length()) answer.length = *length;
-  hold_.Release();
-  return answer;
+    result.content_type.assign(type->value().data(), type->value().size());
+  if (const auto length = parser_->content_length()) result.length = *length;
+  reservation_.Release();
+  return result;
 }
 
-void AnswerReader::Clear() {
+void ResponseReader::Clear() {
   parser_.reset();
-  whole_ = {}, in_ = {};
+  buffered_ = {}, piece_ = {};
   buffer_.shrink_to_fit();
 }
 
--- a/src/proxy/backend/response_reader.h
+++ b/src/proxy/backend/response_reader.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// An answer on its way from a backend: what has come of it, and whether it is held until it is whole or has
-// to be passed on.
+// ResponseReader reads the response of a server. It buffers the body until the response is complete, or
+// decides that the body has to be streamed.
 #ifndef LOAD_BALANCER_PROXY_BACKEND_RESPONSE_READER_H_
 #define LOAD_BALANCER_PROXY_BACKEND_RESPONSE_READER_H_
 
@@ -22,17 +22,17 @@
 
 namespace load_balancer::proxy {
 
-struct AnswerHead;
+struct ResponseHead;
 
-class AnswerReader {
+class ResponseReader {
  public:
   using Head = boost::beast::http::response_header<>;
 
-  AnswerReader();
+  ResponseReader();
 
-  // Another answer, or after an interim one the one that is still to come.
+  // Starts to read a response. After an interim (1xx) response it starts to read the next one.
   void Begin();
-  // `done(error_code)` once the head is in.
+  // Reads the head and calls `done(error_code)` when it is complete.
   template <typename Done>
   void ReadHead(boost::asio::ip::tcp::socket& socket, Done done) {
     boost::beast::http::async_read_header(socket, buffer_, *parser_,
@@ -40,16 +40,17 @@
                                                                    std::size_t) mutable { done(failed); });
   }
   const Head& head() const { return parser_->get(); }
-  // The answer proper is still to come.
-  bool Interim() const;
+  // Returns whether the response is an interim one (1xx), which the final response follows.
+  bool IsInterim() const;
 
-  // Its head is in: what follows is held in `buffers` for a while.
+  // Starts to read the body. Called when the head is complete. The body is buffered for some time, with
+  // memory reserved from `buffers`.
   void BeginBody(Buffers& buffers);
-  // Up to `most` bytes more; `done(error_code)`.
+  // Reads up to `max_bytes` bytes of the body and calls `done(error_code)`.
   template <typename Done>
-  void ReadPiece(boost::asio::ip::tcp::socket& socket, std::size_t most, Done done) {
-    in_.resize(most);
-    parser_->get().body() = {in_.data(), in_.size(), true};
+  void ReadPiece(boost::asio::ip::tcp::socket& socket, std::size_t max_bytes, Done done) {
+    piece_.resize(max_bytes);
+    parser_->get().body() = {piece_.data(), piece_.size(), true};
     boost::beast::http::async_read_some(
         socket, buffer_, *parser_,
         [done = std::move(done)](boost::system::error_code failed, std::size_t) mutable {
@@ -57,52 +58,55 @@
           done(failed);
         });
   }
-  // Bytes of the piece that was read last.
-  std::size_t Came() const { return in_.size() - parser_->get().body().size; }
-  // Of the body, with those that were of no use.
-  std::size_t got() const { return got_; }
-  void Count(std::size_t n) { got_ += n; }
-  // The whole message is in.
-  bool Done() const { return parser_->is_done(); }
-  // It is whole, and more has come after it.
-  bool Exceeded() const { return Done() && buffer_.size() > 0; }
-  // The connection can carry another one.
-  bool Reusable() const {
-    return Done() && parser_->keep_alive() && buffer_.size() == 0 &&
+  // Returns the size of the piece that was read last.
+  std::size_t LastPieceBytes() const { return piece_.size() - parser_->get().body().size; }
+  // Returns the number of bytes of the body received so far, including discarded ones.
+  std::size_t body_bytes() const { return body_bytes_; }
+  void CountBodyBytes(std::size_t n) { body_bytes_ += n; }
+  // Returns whether the response has been received completely.
+  bool IsDone() const { return parser_->is_done(); }
+  // Returns whether more bytes have been received after the complete response.
+  bool HasExcessBytes() const { return IsDone() && buffer_.size() > 0; }
+  // Returns whether the connection can be used for another request.
+  bool IsConnectionReusable() const {
+    return IsDone() && parser_->keep_alive() && buffer_.size() == 0 &&
            head().result() != boost::beast::http::status::switching_protocols;
   }
 
-  // The last piece is added to what nobody has had yet.
-  void Keep(std::size_t n) { whole_.append(in_, 0, n); }
-  // Counts them as held; false if there is no room for them.
-  bool Hold(std::size_t n) { return hold_.Grow(n); }
-  // What nobody has had yet.
-  bool Holds() const { return !whole_.empty(); }
-  std::string Take() { return std::exchange(whole_, {}); }
+  // Appends the first `n` bytes of the last piece to the buffered body.
+  void AppendPiece(std::size_t n) { buffered_.append(piece_, 0, n); }
+  // Reserves memory for `n` more bytes. Returns false if the limit does not allow it.
+  bool Reserve(std::size_t n) { return reservation_.Grow(n); }
+  // HasUndelivered returns whether buffered bytes have not been delivered. TakeBuffered removes and returns
+  // them.
+  bool HasUndelivered() const { return !buffered_.empty(); }
+  std::string TakeBuffered() { return std::exchange(buffered_, {}); }
 
-  // It does not tell its length.
-  bool Unmeasured() const { return !parser_->content_length(); }
-  // Until then such a one is held.
-  Steady::time_point hold_until() const { return hold_until_; }
-  // It is too large, or too slow, to be held until it is whole; `held` says whether there was room.
-  bool TooLarge(bool held) const;
+  // Returns whether the response has no Content-Length.
+  bool HasUnknownLength() const { return !parser_->content_length(); }
+  // Returns until when a response of unknown length is buffered.
+  Steady::time_point buffer_until() const { return buffer_until_; }
+  // Returns whether the response is too large or too slow to be buffered completely. `reserved` says whether
+  // memory for its last piece could be reserved.
+  bool MustStream(bool reserved) const;
 
-  // All of it, with its memory.
-  HttpResponse Whole();
-  Buffers::Hold TakeHold() { return std::move(hold_); }
-  // From here on it is passed on, but for the source of its body.
-  AnswerHead PassOn();
-  // Nothing is being read.
+  // Returns the complete response. TakeReservation returns the memory reserved for its body.
+  HttpResponse TakeComplete();
+  Buffers::Reservation TakeReservation() { return std::move(reservation_); }
+  // Releases the reservation and returns the head of a response that is streamed from now on. The caller sets
+  // the `body` of the result.
+  ResponseHead StartStreaming();
+  // Frees all memory of the response. No read may be in progress.
   void Clear();
 
  private:
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::response_parser<boost::beast::http::buffer_body>> parser_;
-  std::string in_;     // the piece being read
-  std::string whole_;  // read, and not given to anybody yet
-  std::size_t got_ = 0;
-  Buffers::Hold hold_;
-  Steady::time_point hold_until_{};
+  std::string piece_;     // the last piece, or the one being read
+  std::string buffered_;  // received bytes of the body that have not been delivered
+  std::size_t body_bytes_ = 0;
+  Buffers::Reservation reservation_;
+  Steady::time_point buffer_until_{};
 };
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -16,13 +16,15 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-constexpr double kIdleShare = 0.8;  // of the time after which backends close: ours must come first
+constexpr double kIdleShare =
+    0.8;  // of the time after which servers close idle connections; the proxy must close first
 
-// Nothing in an answer says which request it is of. One that comes a second time, some ms late, would be
-// taken for that of the next request on its connection. So once more has come than was asked for, connections
-// rest between two requests for a while, and a late answer finds them idle.
-constexpr std::chrono::milliseconds kRest{50};
-constexpr std::chrono::seconds kWary{60};
+// A response does not say to which request it belongs. A duplicate that arrives some ms late would be taken
+// for the response to the next request on its connection. After unexpected bytes, connections therefore stay
+// idle for kMinIdleBeforeReuse between two requests during the next kDuplicatesExpected, so that a duplicate
+// arrives on an idle connection.
+constexpr std::chrono::milliseconds kMinIdleBeforeReuse{50};
+constexpr std::chrono::seconds kDuplicatesExpected{60};
 
 }  // namespace
 
@@ -33,7 +35,7 @@
   const auto live = std::move(live_);
   live_.clear();
   for (const auto& [key, weak] : live) {
-    if (const auto connection = weak.lock()) connection->Orphan();
+    if (const auto connection = weak.lock()) connection->DetachFromOwner();
   }
 }
 
@@ -50,11 +52,10 @@
   const auto found = backends_.find(server);
   if (found == backends_.end()) return;
   found->second.usable = false;
-  Renew(found->second);
+  CloseIdleAndRetireOpen(found->second);
 }
 
-// Nothing that is open now is used again.
-void Backends::Renew(Backend& backend) {
+void Backends::CloseIdleAndRetireOpen(Backend& backend) {
   ++backend.generation;
   const auto idle = std::exchange(backend.idle, {});
   for (const auto& connection : idle) connection->Close();
@@ -63,27 +64,28 @@
 void Backends::Detach(ServerId server) {
   Backend& backend = backends_[server];
   backend.detached = true;
-  Renew(backend);
-  std::vector<std::shared_ptr<Connection>> unbegun;
+  CloseIdleAndRetireOpen(backend);
+  std::vector<std::shared_ptr<Connection>> connecting;
   for (const auto& [key, weak] : live_) {
     const auto connection = weak.lock();
-    if (connection && connection->server() == server && connection->Unbegun()) unbegun.push_back(connection);
+    if (connection && connection->server() == server && connection->IsConnecting())
+      connecting.push_back(connection);
   }
-  for (const auto& connection : unbegun) connection->Finish(Outcome::kNotSent);
+  for (const auto& connection : connecting) connection->Finish(Outcome::kNotSent);
 }
 
 void Backends::Attach(ServerId server) {
   Backend& backend = backends_[server];
   backend.detached = false;
-  Renew(backend);
+  CloseIdleAndRetireOpen(backend);
 }
 
-void Backends::SetTimes(Duration connect_timeout, Duration conn_idle) {
+void Backends::SetTimeouts(Duration connect_timeout, Duration conn_idle) {
   const bool shorter = conn_idle < limits_.conn_idle;
   limits_.connect_timeout = connect_timeout;
   limits_.conn_idle = conn_idle;
   if (!shorter) return;
-  // What stands idle waits for the time of before, and backends may now close it first.
+  // Timers of idle connections still use the longer time, so servers might close them first.
   std::vector<ServerId> servers;
   for (const auto& [server, backend] : backends_) servers.push_back(server);
   for (const ServerId server : servers) CloseIdle(server);
@@ -107,7 +109,7 @@
   for (const auto& connection : idle) connection->Close();
 }
 
-AttemptId Backends::Send(ServerId server, Outgoing request, Duration timeout, AttemptEvents events) {
+AttemptId Backends::Send(ServerId server, OutgoingRequest request, Duration timeout, AttemptEvents events) {
   const AttemptId attempt = ++last_attempt_;
   Backend& backend = backends_[server];
   std::shared_ptr<Connection> connection = TakeIdle(backend);
@@ -121,9 +123,9 @@
   ++open_;
   connection->Assign(attempt, std::move(request), timeout, std::move(events));
   if (backend.address.port() == 0) {
-    connection->FinishSoon(Outcome::kConnectFailed);  // it never had an address
-  } else if (open_ > limits_.connections() && !CloseOldestIdle()) {
-    // A limit of this proxy's own says nothing of the backend: the attempt was never made.
+    connection->FinishSoon(Outcome::kConnectFailed);  // the address of the server was never set
+  } else if (open_ > limits_.max_connections() && !CloseOldestIdle()) {
+    // The limit of the proxy says nothing about the server, so this is not a failure of the server.
     connection->FinishSoon(Outcome::kNotSent);
   } else {
     ++opened_;
@@ -132,34 +134,35 @@
   return attempt;
 }
 
-void Backends::GiveUp(AttemptId attempt) {
+void Backends::CancelIfUnwritten(AttemptId attempt) {
   for (const auto& [key, weak] : live_) {
     const auto connection = weak.lock();
-    if (connection && connection->Unwritten(attempt)) return connection->Finish(Outcome::kNotSent);
+    if (connection && connection->IsIncompletelyWritten(attempt))
+      return connection->Finish(Outcome::kNotSent);
   }
 }
 
 std::shared_ptr<Backends::Connection> Backends::TakeIdle(Backend& backend) {
   for (;;) {
     const auto now = Steady::now();
-    const auto rested = now < wary_until_ ? now - kRest : now;
+    const auto idle_before = now < duplicates_expected_until_ ? now - kMinIdleBeforeReuse : now;
     auto& idle = backend.idle;
     const auto newest = std::find_if(idle.rbegin(), idle.rend(),
-                                     [&](const auto& each) { return each->idle_since() <= rested; });
+                                     [&](const auto& each) { return each->idle_since() <= idle_before; });
     if (newest == idle.rend()) return nullptr;
     const auto connection = *newest;
     idle.erase(std::next(newest).base());
-    if (connection->Alive()) return connection;
+    if (connection->IsReusable()) return connection;
     connection->Close();
   }
 }
 
-void Backends::OnUnasked(ServerId server) {
+void Backends::OnUnexpectedBytes(ServerId server) {
   const auto now = Steady::now();
-  if (now >= wary_until_)
+  if (now >= duplicates_expected_until_)
     log::Info("backends", "server " + std::to_string(server) +
                               " sent more than was asked for: connections rest between two requests");
-  wary_until_ = now + kWary;
+  duplicates_expected_until_ = now + kDuplicatesExpected;
 }
 
 bool Backends::CloseOldestIdle() {
@@ -173,7 +176,7 @@
   return oldest != nullptr;
 }
 
-void Backends::Keep(const std::shared_ptr<Connection>& connection) {
+void Backends::KeepIdle(const std::shared_ptr<Connection>& connection) {
   Backend& backend = backends_[connection->server()];
   if (!backend.usable || backend.detached || backend.generation != connection->generation())
     return connection->Close();
@@ -181,7 +184,7 @@
   connection->WatchIdle(limits_.conn_idle * kIdleShare);
 }
 
-void Backends::Drop(const Connection* connection) {
+void Backends::Remove(const Connection* connection) {
   if (live_.erase(connection) > 0) --open_;
   const auto found = backends_.find(connection->server());
   if (found == backends_.end()) return;
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Attempts at backends and the pool of connections that carries them. It decides nothing: each Send is one
-// attempt on one connection and ends in exactly one result.
+// Backends sends attempts to servers over a pool of connections. It makes no load-balancing decisions: each
+// Send is one attempt on one connection and has exactly one result.
 #ifndef LOAD_BALANCER_PROXY_BACKENDS_H_
 #define LOAD_BALANCER_PROXY_BACKENDS_H_
 
@@ -25,34 +25,36 @@
 
 namespace load_balancer::proxy {
 
-// What is passed on of an answer as soon as it has begun; the rest is its body.
-struct AnswerHead {
-  std::string content_type;             // empty: none
-  std::optional<std::uint64_t> length;  // if the backend has told it
+// ResponseHead is the part of a streamed response that is passed on first. `body` provides the rest.
+struct ResponseHead {
+  std::string content_type;             // empty if the response has none
+  std::optional<std::uint64_t> length;  // the Content-Length, if the response has one
   std::shared_ptr<BodySource> body;
 };
 
+// AttemptResult is how an attempt ended.
 struct AttemptResult {
   Outcome outcome = Outcome::kUnknown;
-  HttpResponse response{};  // of kOk, whole; empty if it had begun before
-  Buffers::Hold hold{};     // of its body
+  HttpResponse response{};  // the complete response if the outcome is kOk; empty if it was streamed
+  Buffers::Reservation reservation{};  // the memory of the response body
 };
 
-// What becomes of an attempt: if `begun` is called, the answer is on its way, and how the attempt ends says
-// whether it has come whole.
+// AttemptEvents reports the progress of an attempt. `stream_started` is called only if the response is
+// streamed; the outcome passed to `done` then says whether it was complete.
 struct AttemptEvents {
-  std::function<void(AnswerHead)> begun;
+  std::function<void(ResponseHead)> stream_started;
   std::function<void(AttemptResult)> done;
 };
 
-// Names an attempt from its Send on; 0: none.
+// Identifies an attempt after Send; 0 means none.
 using AttemptId = std::uint64_t;
 
-// A request on its way to a backend.
-struct Outgoing {
-  boost::beast::http::request_header<> head;  // framing included; not what time is left
-  std::shared_ptr<const std::string> whole;   // its body; or
-  std::shared_ptr<BodySource> body;           // what of it is passed on
+// OutgoingRequest is a request to a server. Its body is streamed if `body` is set.
+struct OutgoingRequest {
+  boost::beast::http::request_header<>
+      head;  // includes Content-Length or Transfer-Encoding, but not Req-Deadline-Ms
+  std::shared_ptr<const std::string> complete_body;  // a completely buffered body
+  std::shared_ptr<BodySource> body;                  // a streamed body
 };
 
 class Backends {
@@ -60,11 +62,15 @@
   struct Limits {
     Duration connect_timeout{250};
     Duration conn_idle{15000};
-    std::function<std::size_t()> connections = [] { return std::size_t{300}; };  // over all backends, now
-    std::optional<boost::asio::ip::tcp::endpoint> local{};  // where connections come from, if that matters
-    bool proxies = false;  // what answers is a proxy: its 429 and 503 say that nothing has run
+    std::function<std::size_t()> max_connections = [] {
+      return std::size_t{300};
+    };  // current limit over all servers
+    std::optional<boost::asio::ip::tcp::endpoint>
+        local_address{};  // source address of connections, if it is prescribed
+    bool servers_are_proxies =
+        false;  // the servers are proxies, whose 429 and 503 mean that the request did not run
     std::function<void(const boost::beast::http::response_header<>&)>
-        on_head{};  // of each answer, before its end
+        on_head{};  // called with the head of each response, before the response is complete
   };
 
   Backends(boost::asio::io_context& io, Limits limits, Buffers& buffers);
@@ -72,34 +78,38 @@
   Backends(const Backends&) = delete;
   Backends& operator=(const Backends&) = delete;
 
-  // Where a backend listens now, and since when it runs. Idle connections to what has moved or restarted go.
+  // Sets the address of a server and when it was started. If either has changed, its idle connections are
+  // closed.
   void Set(ServerId server, const boost::asio::ip::tcp::endpoint& address, double up_since);
-  // Nothing new will go there: idle connections go, and so do those in use when their answers are in.
+  // Removes a server that gets no more requests. Its idle connections are closed at once and the others when
+  // their responses are complete.
   void Retire(ServerId server);
-  // All but those that a complete list names.
+  // Retires all servers that are not in `named`, the ids of a complete list.
   void RetireOthers(const std::unordered_set<ServerId>& named);
   void CloseIdle(ServerId server);
-  // Operators take a backend out: what stands idle goes, and attempts end that have not written a byte.
+  // Takes a server out of service for maintenance. Closes its idle connections and ends attempts that have
+  // not written a byte.
   void Detach(ServerId server);
-  // It is back, as another process.
+  // Puts a server back into service. It counts as a new process, so no connection is reused.
   void Attach(ServerId server);
-  // Closes what has stood idle for longest, until so many are open or none is idle.
+  // Closes idle connections, the longest idle first, until at most `connections` are open or none is idle.
   void Shrink(std::size_t connections);
 
-  // One attempt. `done` is called once, never from within this call, and not after the destructor. The
-  // time-out counts from this call; of a body that is passed on, from when its last piece says. The backend
-  // is told what is left of it as the request is written, in whole ms; where that is none, nothing is
-  // written.
-  AttemptId Send(ServerId server, Outgoing request, Duration timeout, AttemptEvents events);
-  // The request is over: an attempt whose last byte has not been written ends as kNotSent, and the backend
-  // never begins it. One that has been written goes on, as does what has ended already.
-  void GiveUp(AttemptId attempt);
+  // Starts an attempt. `done` is called exactly once, never within this call and never after the destructor.
+  // The timeout starts with this call; for a streamed body, the last piece replaces the deadline. The header
+  // Req-Deadline-Ms tells the server the time that is left when the request is written, rounded down to ms.
+  // If none is left, nothing is written.
+  AttemptId Send(ServerId server, OutgoingRequest request, Duration timeout, AttemptEvents events);
+  // Cancels an attempt whose request is no longer needed. If its last byte has not been written, it ends as
+  // kNotSent and the server never starts it. Otherwise it continues. Has no effect on an attempt that has
+  // ended.
+  void CancelIfUnwritten(AttemptId attempt);
 
-  // From the next connections on; what stands idle is closed if it may not any more for as long.
-  void SetTimes(Duration connect_timeout, Duration conn_idle);
+  // Sets the timeouts for new connections. If `conn_idle` becomes shorter, all idle connections are closed.
+  void SetTimeouts(Duration connect_timeout, Duration conn_idle);
 
   std::size_t connections() const { return open_; }
-  std::size_t opened() const { return opened_; }  // since the start
+  std::size_t opened() const { return opened_; }  // since the process started
 
  private:
   class Connection;
@@ -107,18 +117,20 @@
   struct Backend {
     boost::asio::ip::tcp::endpoint address;
     double up_since = 0;
-    std::uint64_t generation = 0;  // connections of an older one are not kept
+    std::uint64_t generation = 0;  // connections of an older generation are not reused
     bool usable = false, detached = false;
-    std::vector<std::shared_ptr<Connection>> idle;  // the most recently used last
+    std::vector<std::shared_ptr<Connection>> idle;  // most recently used last
   };
 
+  // Returns an idle connection that can be reused, or null.
   std::shared_ptr<Connection> TakeIdle(Backend& backend);
-  // More has come on a connection than its requests asked for.
-  void OnUnasked(ServerId server);
+  // Reports bytes on a connection that belong to no request, such as a duplicate response.
+  void OnUnexpectedBytes(ServerId server);
   bool CloseOldestIdle();
-  void Renew(Backend& backend);
-  void Keep(const std::shared_ptr<Connection>& connection);
-  void Drop(const Connection* connection);
+  // Closes idle connections and starts a new generation, so that no connection now open is reused.
+  void CloseIdleAndRetireOpen(Backend& backend);
+  void KeepIdle(const std::shared_ptr<Connection>& connection);
+  void Remove(const Connection* connection);
 
   boost::asio::io_context& io_;
   Limits limits_;
@@ -127,7 +139,7 @@
   std::unordered_map<const Connection*, std::weak_ptr<Connection>> live_;
   std::size_t open_ = 0, opened_ = 0;
   AttemptId last_attempt_ = 0;
-  Steady::time_point wary_until_{};
+  Steady::time_point duplicates_expected_until_{};
 };
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/body.h
+++ b/src/proxy/body.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Bodies that are passed on piece by piece, and the memory that holds bodies.
+// Bodies that are streamed in pieces, and the accounting of memory for buffered bodies.
 #ifndef LOAD_BALANCER_PROXY_BODY_H_
 #define LOAD_BALANCER_PROXY_BODY_H_
 
@@ -13,15 +13,18 @@
 
 namespace load_balancer::proxy {
 
-// A message is held whole up to this; only what is held whole can be sent again.
-inline constexpr std::size_t kMostWhole = 64 * 1024;
+// Bodies up to this size are buffered completely; larger ones are streamed. Only a completely buffered
+// request can be sent again.
+inline constexpr std::size_t kMaxBufferedMessageBytes = 64 * 1024;
 
+// Piece is a part of a streamed body.
 struct Piece {
   std::string bytes;
-  bool last = false;         // the body ends with it
-  bool failed = false;       // the body breaks off: nothing else comes
-  Steady::time_point due{};  // of a request's last piece: when its answer is due
+  bool last = false;         // the body ends with this piece
+  bool failed = false;       // the body cannot be completed; no more pieces follow
+  Steady::time_point due{};  // in the last piece of a request: when the response is due
 
+  // Returns the piece that reports a body that cannot be completed.
   static Piece Broken() {
     Piece piece;
     piece.failed = true;
@@ -29,40 +32,43 @@
   }
 };
 
-// The rest of a body. It is read only as pieces are asked for, which is how the sender is held back.
+// BodySource provides a body, or the rest of one, in pieces. It reads from the sender only when a piece is
+// requested, which gives backpressure.
 class BodySource {
  public:
   using OnPiece = std::function<void(Piece)>;
   virtual ~BodySource() = default;
-  // One at a time; may call back at once.
+  // Requests the next piece. Only one call may be outstanding. `on_piece` may be called within this call.
   virtual void Next(OnPiece on_piece) = 0;
-  // Nobody asks any more.
+  // Tells the source that no more pieces will be requested.
   virtual void Abandon() = 0;
-  // A piece has been given: from then on the body cannot be had again.
-  virtual bool Spent() const = 0;
+  // Returns whether a piece has been requested. The body cannot be read again from its start after that.
+  virtual bool HasStarted() const = 0;
 };
 
-// Bounds what is held whole, over all messages; pieces are bounded by the number of connections.
+// Buffers limits the memory of completely buffered bodies over all messages. The memory of streamed pieces is
+// limited by the number of connections instead.
 class Buffers {
  public:
-  // `others` tells what other processes hold of the same memory.
-  Buffers(std::size_t most, std::size_t piece, std::function<std::size_t()> others)
-      : most_(most), piece_(piece), others_(std::move(others)) {}
+  // `max_bytes` limits all reservations together. `used_by_others` returns the bytes that other processes
+  // have reserved from the same limit. `piece_bytes` is the maximum size of a streamed piece.
+  Buffers(std::size_t max_bytes, std::size_t piece_bytes, std::function<std::size_t()> used_by_others)
+      : max_bytes_(max_bytes), piece_bytes_(piece_bytes), used_by_others_(std::move(used_by_others)) {}
   Buffers(const Buffers&) = delete;
   Buffers& operator=(const Buffers&) = delete;
 
-  std::size_t piece() const { return piece_; }  // bytes, at most
-  std::size_t held() const { return held_; }
+  std::size_t piece_bytes() const { return piece_bytes_; }  // maximum size of a piece
+  std::size_t reserved() const { return reserved_; }
 
-  // A message's part.
-  class Hold {
+  // Reservation is the memory that one message has reserved. The destructor releases it.
+  class Reservation {
    public:
-    Hold() = default;
-    explicit Hold(Buffers& owner) : owner_(&owner) {}
-    ~Hold() { Release(); }
-    Hold(Hold&& other) noexcept
+    Reservation() = default;
+    explicit Reservation(Buffers& owner) : owner_(&owner) {}
+    ~Reservation() { Release(); }
+    Reservation(Reservation&& other) noexcept
         : owner_(std::exchange(other.owner_, nullptr)), size_(std::exchange(other.size_, 0)) {}
-    Hold& operator=(Hold&& other) noexcept {
+    Reservation& operator=(Reservation&& other) noexcept {
       if (this != &other) {
         Release();
         owner_ = std::exchange(other.owner_, nullptr);
@@ -70,16 +76,16 @@
       }
       return *this;
     }
-    // False, and nothing has changed, where there is no room.
+    // Reserves `n` more bytes. Returns false and changes nothing if that would exceed the limit.
     bool Grow(std::size_t n) {
-      if (!owner_ || owner_->held_ + n + owner_->others_() > owner_->most_) return false;
-      owner_->held_ += n;
+      if (!owner_ || owner_->reserved_ + n + owner_->used_by_others_() > owner_->max_bytes_) return false;
+      owner_->reserved_ += n;
       size_ += n;
       return true;
     }
-    // For good.
+    // Releases all bytes. Grow always fails afterwards.
     void Release() {
-      if (owner_) owner_->held_ -= std::exchange(size_, 0);
+      if (owner_) owner_->reserved_ -= std::exchange(size_, 0);
       owner_ = nullptr;
     }
 
@@ -89,9 +95,9 @@
   };
 
  private:
-  std::size_t most_, piece_;
-  std::function<std::size_t()> others_;
-  std::size_t held_ = 0;
+  std::size_t max_bytes_, piece_bytes_;
+  std::function<std::size_t()> used_by_others_;
+  std::size_t reserved_ = 0;
 };
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/client/peer_end.cpp
+++ b/src/proxy/client/peer_end.cpp
@@ -5,9 +5,9 @@
 
 namespace load_balancer::proxy {
 
-bool PeerEnded(int socket) {
-  pollfd look{socket, POLLRDHUP, 0};
-  return ::poll(&look, 1, 0) > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+bool PeerHasClosed(int socket) {
+  pollfd entry{socket, POLLRDHUP, 0};
+  return ::poll(&entry, 1, 0) > 0 && (entry.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/client/peer_end.h
+++ b/src/proxy/client/peer_end.h
@@ -1,14 +1,14 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The end of a peer's sending, seen without reading what came before it.
+// Detects that a peer has closed its connection, even when unread bytes precede the close.
 #ifndef LOAD_BALANCER_PROXY_CLIENT_PEER_END_H_
 #define LOAD_BALANCER_PROXY_CLIENT_PEER_END_H_
 
 namespace load_balancer::proxy {
 
-// Whether the peer of this connected socket has closed or reset it, as far as the system has heard; false
-// where the system does not say.
-bool PeerEnded(int socket);
+// Returns whether the peer of this connected socket has closed or reset the connection, as far as the
+// operating system knows. Returns false if the operating system cannot tell.
+bool PeerHasClosed(int socket);
 
 }  // namespace load_balancer::proxy
 
--- a/src/proxy/client/replies.cpp
+++ b/src/proxy/client/replies.cpp
@@ -13,13 +13,13 @@
 
 constexpr const char* kText = "text/plain";
 
-HttpResponse WithAdvice(HttpResponse refusal, Duration retry_after) {
+HttpResponse WithRetryAfter(HttpResponse rejection, Duration retry_after) {
   if (retry_after.count() > 0) {
     char seconds[32];
     std::snprintf(seconds, sizeof seconds, "%.3f", retry_after.count() / 1000);
-    refusal.set(http::field::retry_after, seconds);
+    rejection.set(http::field::retry_after, seconds);
   }
-  return refusal;
+  return rejection;
 }
 
 }  // namespace
@@ -31,20 +31,20 @@
   return response;
 }
 
-HttpResponse RefusedReply(Duration retry_after) {
-  return WithAdvice(PlainReply(http::status::service_unavailable, "refused; trying again is harmless\n"),
-                    retry_after);
+HttpResponse RejectedReply(Duration retry_after) {
+  return WithRetryAfter(PlainReply(http::status::service_unavailable, "refused; trying again is harmless\n"),
+                        retry_after);
 }
 
 HttpResponse OverBudgetReply(Duration retry_after) {
-  return WithAdvice(
+  return WithRetryAfter(
       PlainReply(http::status::too_many_requests, "over the budget; trying again is harmless\n"),
       retry_after);
 }
 
-HttpResponse UnreadableReply(const boost::system::error_code& failed) {
-  if (failed == http::error::body_limit) return PlainReply(http::status::payload_too_large, "too large\n");
-  if (failed == http::error::header_limit || failed == http::error::buffer_overflow)
+HttpResponse ParseErrorReply(const boost::system::error_code& error) {
+  if (error == http::error::body_limit) return PlainReply(http::status::payload_too_large, "too large\n");
+  if (error == http::error::header_limit || error == http::error::buffer_overflow)
     return PlainReply(http::status::request_header_fields_too_large, "header too large\n");
   return PlainReply(http::status::bad_request, "malformed\n");
 }
--- a/src/proxy/client/replies.h
+++ b/src/proxy/client/replies.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The answers that this proxy gives by itself.
+// Responses that the proxy creates itself, without a server.
 #ifndef LOAD_BALANCER_PROXY_CLIENT_REPLIES_H_
 #define LOAD_BALANCER_PROXY_CLIENT_REPLIES_H_
 
@@ -13,14 +13,16 @@
 
 namespace load_balancer::proxy {
 
+// Returns a response with `text` as its plain-text body.
 HttpResponse PlainReply(boost::beast::http::status status, std::string text);
 
-// Trying again is harmless, and of use after `retry_after`; 0: no advice.
-HttpResponse RefusedReply(Duration retry_after);
+// Returns a 503 (RejectedReply) or a 429 (OverBudgetReply). The request has not run on any server, so a retry
+// is safe. `retry_after` becomes the Retry-After header; 0 omits the header.
+HttpResponse RejectedReply(Duration retry_after);
 HttpResponse OverBudgetReply(Duration retry_after);
 
-// To a request that could not be parsed.
-HttpResponse UnreadableReply(const boost::system::error_code& failed);
+// Returns the response to a request that could not be parsed because of `error`.
+HttpResponse ParseErrorReply(const boost::system::error_code& error);
 
 }  // namespace load_balancer::proxy
 
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -11,82 +11,85 @@
 
 namespace http = boost::beast::http;
 
-constexpr std::size_t kMostHeader = 16 * 1024;
-constexpr std::size_t kMostChunkHeader = 4 * 1024;
-constexpr std::uint64_t kMostBody = 32 * 1024 * 1024;  // of a request
-constexpr std::chrono::seconds kIdle{90};              // between requests
-// For a request's head to come: the first from the connection's start, others from their first byte. Whoever
-// sends no proper request is owed an error or a close within 3 s of connecting.
-constexpr std::chrono::milliseconds kComing{2500};
-// For its body: no longer than this between pieces, and this much over the time at this rate.
-constexpr std::chrono::milliseconds kBodyPause{2000};
-constexpr double kLeastRate = 16 * 1024;  // bytes a second; slow clients send four times as much
+constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
+constexpr std::size_t kMaxChunkHeaderBytes = 4 * 1024;
+constexpr std::uint64_t kMaxBodyBytes = 32 * 1024 * 1024;  // per request
+constexpr std::chrono::seconds kIdleTimeout{90};           // between two requests
+// Time for a complete head. It starts with the connection for the first request and with the first byte for
+// later ones. A client that sends no valid request must get an error or a close within 3 s of connecting.
+constexpr std::chrono::milliseconds kHeadTimeout{2500};
+// The body must not pause for longer than kMaxBodyPause, and must be complete no later than kMaxBodyPause
+// after the time that it takes at kMinBodyBytesPerSecond.
+constexpr std::chrono::milliseconds kMaxBodyPause{2000};
+constexpr double kMinBodyBytesPerSecond = 16 * 1024;  // slow clients send four times as much
 
 }  // namespace
 
-RequestReader::RequestReader() : buffer_(kMostHeader + kMostChunkHeader) {}
+RequestReader::RequestReader() : buffer_(kMaxHeaderBytes + kMaxChunkHeaderBytes) {}
 
-void RequestReader::Next() {
+void RequestReader::BeginRequest() {
   parser_.emplace();
-  parser_->header_limit(kMostHeader);
-  parser_->body_limit(kMostBody);
-  received_ = 0;
+  parser_->header_limit(kMaxHeaderBytes);
+  parser_->body_limit(kMaxBodyBytes);
+  body_bytes_ = 0;
   if (buffer_.size() > 0) {
-    began_ = heard_at_ = Steady::now();
-  } else if (!std::exchange(fresh_, false)) {
-    began_ = {};
+    head_began_ = last_received_at_ = Steady::now();
+  } else if (!std::exchange(is_first_request_, false)) {
+    head_began_ = {};
   }
 }
 
-boost::asio::mutable_buffer RequestReader::Room(std::size_t most) {
-  const std::size_t room = buffer_.max_size() - buffer_.size();
-  return room == 0 ? boost::asio::mutable_buffer() : buffer_.prepare(std::min(most, room));
+boost::asio::mutable_buffer RequestReader::PrepareRead(std::size_t max_bytes) {
+  const std::size_t free_bytes = buffer_.max_size() - buffer_.size();
+  return free_bytes == 0 ? boost::asio::mutable_buffer() : buffer_.prepare(std::min(max_bytes, free_bytes));
 }
 
-void RequestReader::Came(std::size_t n) {
-  buffer_.commit(n);
-  heard_at_ = Steady::now();
+void RequestReader::Received(std::size_t bytes) {
+  buffer_.commit(bytes);
+  last_received_at_ = Steady::now();
 }
 
-bool RequestReader::ParseHead(Error* failed) {
-  if (began_ == Steady::time_point{}) began_ = heard_at_;
-  while (!parser_->is_header_done() && buffer_.size() > 0 && !*failed)
-    buffer_.consume(parser_->put(buffer_.data(), *failed));
-  if (*failed == http::error::need_more) *failed = {};
+bool RequestReader::ParseHead(Error* error) {
+  if (head_began_ == Steady::time_point{}) head_began_ = last_received_at_;
+  while (!parser_->is_header_done() && buffer_.size() > 0 && !*error)
+    buffer_.consume(parser_->put(buffer_.data(), *error));
+  if (*error == http::error::need_more) *error = {};
   return parser_->is_header_done();
 }
 
-Steady::time_point RequestReader::HeadDue() const {
-  return began_ == Steady::time_point{} ? Steady::now() + kIdle : began_ + kComing;
+Steady::time_point RequestReader::HeadDeadline() const {
+  return head_began_ == Steady::time_point{} ? Steady::now() + kIdleTimeout : head_began_ + kHeadTimeout;
 }
 
-std::string RequestReader::Decode(std::size_t most, Error* failed) {
+std::string RequestReader::DecodeBody(std::size_t max_bytes, Error* error) {
   if (buffer_.size() == 0) return "";
-  std::string piece(most, '\0');
+  std::string piece(max_bytes, '\0');
   auto& body = parser_->get().body();
   body = {piece.data(), piece.size(), true};
-  while (!parser_->is_done() && buffer_.size() > 0 && !*failed)
-    buffer_.consume(parser_->put(buffer_.data(), *failed));
-  if (*failed == http::error::need_more || *failed == http::error::need_buffer) *failed = {};
+  while (!parser_->is_done() && buffer_.size() > 0 && !*error)
+    buffer_.consume(parser_->put(buffer_.data(), *error));
+  if (*error == http::error::need_more || *error == http::error::need_buffer) *error = {};
   piece.resize(piece.size() - body.size);
-  received_ += piece.size();
+  body_bytes_ += piece.size();
   return piece;
 }
 
-Steady::time_point RequestReader::BodyDue() const {
-  const auto at_rate = std::chrono::duration<double>(static_cast<double>(received_) / kLeastRate);
-  const auto in_time = body_began_ + kBodyPause + std::chrono::duration_cast<Steady::duration>(at_rate);
-  return std::min(in_time, Steady::now() + kBodyPause);
+Steady::time_point RequestReader::BodyDeadline() const {
+  const auto time_at_min_rate =
+      std::chrono::duration<double>(static_cast<double>(body_bytes_) / kMinBodyBytesPerSecond);
+  const auto total_deadline =
+      body_began_ + kMaxBodyPause + std::chrono::duration_cast<Steady::duration>(time_at_min_rate);
+  return std::min(total_deadline, Steady::now() + kMaxBodyPause);
 }
 
-void RequestReader::GoOn() {
-  heard_at_ = Steady::now();
-  body_began_ += heard_at_ - held_since_;
+void RequestReader::ResumeBodyTimer() {
+  last_received_at_ = Steady::now();
+  body_began_ += last_received_at_ - paused_since_;
 }
 
 boost::asio::mutable_buffer RequestReader::Discard() {
   buffer_.clear();
-  return buffer_.prepare(kMostChunkHeader);
+  return buffer_.prepare(kMaxChunkHeaderBytes);
 }
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/client/request_reader.h
+++ b/src/proxy/client/request_reader.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A client's requests, one after the other, as their bytes come: the parser, and by when more must have come.
-// Does no I/O.
+// RequestReader parses the requests of one client connection one after the other and computes the deadlines
+// for their next bytes. It does no I/O.
 #ifndef LOAD_BALANCER_PROXY_CLIENT_REQUEST_READER_H_
 #define LOAD_BALANCER_PROXY_CLIENT_REQUEST_READER_H_
 
@@ -23,54 +23,57 @@
 class RequestReader {
  public:
   using Error = boost::system::error_code;
-  static constexpr std::size_t kAll = std::numeric_limits<std::size_t>::max();
+  static constexpr std::size_t kNoLimit = std::numeric_limits<std::size_t>::max();
 
   RequestReader();
 
-  // The connection has begun.
-  void Open() { began_ = heard_at_ = Steady::now(); }
-  // Another request, of which some may be here already.
-  void Next();
+  // Starts the deadline for the head of the first request. Called when the client has connected.
+  void OnConnected() { head_began_ = last_received_at_ = Steady::now(); }
+  // Prepares the parser for the next request. Some of its bytes may already be in the buffer.
+  void BeginRequest();
 
-  // Room for the bytes that come next, `most` of them; empty if there is none.
-  boost::asio::mutable_buffer Room(std::size_t most = kAll);
-  void Came(std::size_t n);
-  // Gives back the memory of what has been parsed; no room may be in use.
-  void FreeRoom() { buffer_.shrink_to_fit(); }
-  // Bytes that have come and have not been parsed.
+  // Returns memory for at most `max_bytes` bytes to read into. The result is empty if the buffer is full.
+  boost::asio::mutable_buffer PrepareRead(std::size_t max_bytes = kNoLimit);
+  // Adds `bytes` bytes that have been read into the memory of PrepareRead.
+  void Received(std::size_t bytes);
+  // Frees the memory of parsed bytes. No memory of PrepareRead may be in use.
+  void FreeMemory() { buffer_.shrink_to_fit(); }
+  // Returns the number of bytes that have been received but not parsed.
   std::size_t unparsed() const { return buffer_.size(); }
-  // When bytes have come last, while a request comes.
-  Steady::time_point heard_at() const { return heard_at_; }
+  // Returns when bytes of the current request were last received.
+  Steady::time_point last_received_at() const { return last_received_at_; }
 
-  // Whether the head is whole.
-  bool ParseHead(Error* failed);
+  // Parses received bytes. Returns whether the head is complete.
+  bool ParseHead(Error* error);
   const boost::beast::http::request_header<>& head() const { return parser_->get().base(); }
   bool keep_alive() const { return parser_->keep_alive(); }
   boost::optional<std::uint64_t> content_length() const { return parser_->content_length(); }
-  // By when the head must have come, or, before its first byte, that one.
-  Steady::time_point HeadDue() const;
+  // Returns the deadline for the complete head, or for its first byte if none has been received.
+  Steady::time_point HeadDeadline() const;
 
-  // The head is in; the time of its body begins.
-  void BeginBody() { body_began_ = heard_at_ = Steady::now(); }
-  // The next piece of what has come, up to `most` bytes; empty if that is not enough for one.
-  std::string Decode(std::size_t most, Error* failed);
-  // The whole request is in.
-  bool Done() const { return parser_->is_done(); }
-  // By when more of the body must have come.
-  Steady::time_point BodyDue() const;
-  // Nobody asks for more of the body, and somebody does: its time stands still between.
-  void Hold() { held_since_ = Steady::now(); }
-  void GoOn();
+  // Starts the deadlines of the body. Called when the head is complete.
+  void BeginBody() { body_began_ = last_received_at_ = Steady::now(); }
+  // Decodes and returns up to `max_bytes` received bytes of the body. The result is empty if no byte of the
+  // body can be decoded yet.
+  std::string DecodeBody(std::size_t max_bytes, Error* error);
+  // Returns whether the request has been received and parsed completely.
+  bool IsDone() const { return parser_->is_done(); }
+  // Returns the deadline for the next bytes of the body.
+  Steady::time_point BodyDeadline() const;
+  // Pause and resume the deadlines of the body. Time in which nobody requests more of the body does not count
+  // against the client.
+  void PauseBodyTimer() { paused_since_ = Steady::now(); }
+  void ResumeBodyTimer();
 
-  // Forgets all that has come; room for what nobody will look at.
+  // Drops all received bytes and returns memory for input that will be ignored.
   boost::asio::mutable_buffer Discard();
 
  private:
   boost::beast::flat_buffer buffer_;
   std::optional<boost::beast::http::request_parser<boost::beast::http::buffer_body>> parser_;
-  std::size_t received_ = 0;  // of the body
-  Steady::time_point began_{}, body_began_{}, held_since_{}, heard_at_{};
-  bool fresh_ = true;  // nothing has been read yet
+  std::size_t body_bytes_ = 0;  // decoded bytes of the body
+  Steady::time_point head_began_{}, body_began_{}, paused_since_{}, last_received_at_{};
+  bool is_first_request_ = true;  // no request of this connection has been read
 };
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/client/response_writer.h
+++ b/src/proxy/client/response_writer.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The answer on its way to a client: its head, and its body whole or piece by piece.
+// ResponseWriter writes a response to a client: the head, then the body, either complete or in pieces.
 #ifndef LOAD_BALANCER_PROXY_CLIENT_RESPONSE_WRITER_H_
 #define LOAD_BALANCER_PROXY_CLIENT_RESPONSE_WRITER_H_
 
@@ -17,15 +17,16 @@
 
 namespace load_balancer::proxy {
 
-class AnswerWriter {
+class ResponseWriter {
  public:
   using Response = boost::beast::http::response<boost::beast::http::buffer_body>;
 
-  // What the next answer begins with; stays as it is from Begin on.
+  // Returns the head of the next response. It must not change after Begin.
   Response& head() { return response_; }
   void Begin() { serializer_.emplace(response_); }
 
-  // The head, if it has not gone yet, and the body's next bytes; `done(error_code)`.
+  // Writes `piece`, the next bytes of the body, and before it the head if that has not been written yet.
+  // `last` says that the body ends with `piece`. Calls `done(error_code)` when all of it is written.
   template <typename Done>
   void Write(boost::beast::tcp_stream& stream, std::string piece, bool last, Done done) {
     piece_ = std::move(piece);
@@ -38,7 +39,7 @@
         });
   }
 
-  // All of it has been written.
+  // Frees the memory of a response that has been written completely.
   void Clear() {
     piece_ = {};
     serializer_.reset();
@@ -47,7 +48,7 @@
  private:
   Response response_;
   std::optional<boost::beast::http::response_serializer<boost::beast::http::buffer_body>> serializer_;
-  std::string piece_;  // being written
+  std::string piece_;  // the bytes that are being written
 };
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/client/session.cpp
+++ b/src/proxy/client/session.cpp
@@ -19,29 +19,30 @@
 namespace http = boost::beast::http;
 using Tcp = asio::ip::tcp;
 
-constexpr std::size_t kFirstPiece = 1024;               // read of a next request before it is looked at
-constexpr std::chrono::milliseconds kLookForEnd{25};    // between two looks for the client's end
-constexpr std::chrono::seconds kSlowWrite{10};          // for an answer, or a piece of it, to be taken
-constexpr std::chrono::seconds kDrain{2};               // for the peer to notice the end
-constexpr std::chrono::milliseconds kLastAnswers{150};  // before the end of a stop
+constexpr std::size_t kFirstReadBytes = 1024;                 // first read of a request
+constexpr std::chrono::milliseconds kCloseCheckInterval{25};  // between two checks for a close by the client
+constexpr std::chrono::seconds kWriteTimeout{10};  // for a response, or a piece of one, to be written
+constexpr std::chrono::seconds kCloseTimeout{2};   // for the client to close its side
+constexpr std::chrono::milliseconds kResponseReserve{
+    150};  // responses are due this long before the deadline of a stop
 
 }  // namespace
 
 Clients::Session::Session(Clients& owner, Tcp::socket socket)
-    : owner_(&owner), stream_(std::move(socket)), look_(stream_.get_executor()) {}
+    : owner_(&owner), stream_(std::move(socket)), close_check_timer_(stream_.get_executor()) {}
 
 void Clients::Session::Start() {
   Error ignored;
   stream_.socket().set_option(Tcp::no_delay(true), ignored);
-  reader_.Open();
+  reader_.OnConnected();
   Read();
 }
 
-bool Clients::Session::Idle() {
-  return Reading() && !ending_ && in_head_ && reader_.unparsed() == 0 && !Unread();
+bool Clients::Session::IsIdle() {
+  return IsReading() && !end_requested_ && reading_head_ && reader_.unparsed() == 0 && !HasUnreadBytes();
 }
 
-bool Clients::Session::Unread() {
+bool Clients::Session::HasUnreadBytes() {
   Error error;
   return stream_.socket().available(error) > 0;
 }
@@ -50,24 +51,24 @@
   if (state_ == State::kClosed) return;
   state_ = State::kClosed;
   stream_.close();
-  look_.cancel();
-  if (const auto relay = std::exchange(relay_, nullptr)) relay->Abandon();
+  close_check_timer_.cancel();
+  if (const auto source = std::exchange(response_source_, nullptr)) source->Abandon();
   if (const auto on_piece = std::exchange(on_piece_, nullptr)) on_piece(Piece::Broken());
-  hold_.Release();
-  coming_ = {};
+  reservation_.Release();
+  incoming_ = {};
   if (owner_) owner_->Remove(this);
 }
 
-// What an unfinished read has brought, or the system has and this has not, is known only once the read has
-// come back: the end waits for that.
+// Bytes from an unfinished read, or unread bytes in the socket, are known only after the read has completed.
+// The shutdown therefore waits for the read.
 void Clients::Session::End() {
-  if (!Reading() || ending_) return;
-  ending_ = true;
+  if (!IsReading() || end_requested_) return;
+  end_requested_ = true;
   ending_since_ = Steady::now();
-  reading_ ? CancelRead() : ShutSending();
+  read_in_progress_ ? CancelRead() : ShutSending();
 }
 
-void Clients::Session::Orphan() {
+void Clients::Session::DetachFromOwner() {
   owner_ = nullptr;
   Close();
 }
@@ -75,127 +76,130 @@
 // ---- reading ------------------------------------------------------------------------------------------
 void Clients::Session::Read() {
   state_ = State::kReading;
-  in_head_ = true;
-  quiet_since_ = Steady::now();
-  body_ = {};
-  spent_ = false;
-  reader_.Next();
-  if (reading_) return CancelRead();
-  ReadOn();
+  reading_head_ = true;
+  idle_since_ = Steady::now();
+  buffered_body_ = {};
+  has_started_ = false;
+  reader_.BeginRequest();
+  if (read_in_progress_) return CancelRead();
+  ContinueHead();
 }
 
-void Clients::Session::ReadOn() { reader_.unparsed() > 0 ? ReadHead() : ReadMoreOfHead(); }
+void Clients::Session::ContinueHead() { reader_.unparsed() > 0 ? ReadHead() : ReadMoreOfHead(); }
 
 void Clients::Session::ReadMoreOfHead() {
-  stream_.expires_at(reader_.HeadDue());
+  stream_.expires_at(reader_.HeadDeadline());
   ReadSome();
 }
 
-// What the request that is being read needs next. The stream's time limit applies.
+// Reads the next bytes of the current request within the time limit of the stream.
 void Clients::Session::ReadSome() {
-  const bool rests = in_head_ && reader_.unparsed() == 0;
-  if (rests) reader_.FreeRoom();
-  const auto room = reader_.Room(rests      ? kFirstPiece
-                                 : in_head_ ? RequestReader::kAll
-                                            : owner_->buffers_.piece());
-  if (room.size() == 0) return OnUnreadable(http::error::header_limit);
-  ReadInto(room);
-}
-
-// Within the stream's time limit.
-void Clients::Session::ReadInto(const boost::asio::mutable_buffer& room) {
-  reading_ = true;
+  const bool between_requests = reading_head_ && reader_.unparsed() == 0;
+  if (between_requests) reader_.FreeMemory();
+  const auto buffer = reader_.PrepareRead(between_requests ? kFirstReadBytes
+                                          : reading_head_  ? RequestReader::kNoLimit
+                                                           : owner_->buffers_.piece_bytes());
+  if (buffer.size() == 0) return OnParseError(http::error::header_limit);
+  ReadInto(buffer);
+}
+
+// Reads into `buffer` within the time limit of the stream.
+void Clients::Session::ReadInto(const boost::asio::mutable_buffer& buffer) {
+  read_in_progress_ = true;
   stream_.async_read_some(
-      room, [self = shared_from_this()](const Error& failed, std::size_t n) { self->OnRead(failed, n); });
+      buffer, [self = shared_from_this()](const Error& failed, std::size_t n) { self->OnRead(failed, n); });
 }
 
-// Reads while nobody asks for more, as far as there is room: a client that closes its connection is seen
-// behind all that it has sent before, of this request or the next ones.
+// Reads while no more input is needed, as far as the buffer has space. The close of the connection is thereby
+// noticed after all bytes that the client has sent before, for this request or later ones.
 void Clients::Session::ReadAhead() {
-  if (reading_ || ended_) return;
-  const auto room = reader_.Room(following_ ? owner_->buffers_.piece() : kFirstPiece);
-  if (room.size() == 0) return LookForEnd();
-  reading_ = true;
+  if (read_in_progress_ || client_closed_) return;
+  const auto buffer =
+      reader_.PrepareRead(body_is_streaming_ ? owner_->buffers_.piece_bytes() : kFirstReadBytes);
+  if (buffer.size() == 0) return ScheduleCloseCheck();
+  read_in_progress_ = true;
   stream_.socket().async_read_some(
-      room, [self = shared_from_this()](const Error& failed, std::size_t n) { self->OnRead(failed, n); });
+      buffer, [self = shared_from_this()](const Error& failed, std::size_t n) { self->OnRead(failed, n); });
 }
 
-// The reader's bytes stay as they are until OnRead has come, which is at once.
+// The memory of the reader must stay valid until OnRead, which the event loop calls next.
 void Clients::Session::CancelRead() {
   Error ignored;
   stream_.socket().cancel(ignored);
 }
 
-// Of any read: one that has been cancelled may have brought bytes before.
+// Called at the end of each read. A cancelled read may still have received bytes.
 void Clients::Session::OnRead(const Error& failed, std::size_t n) {
-  reading_ = false;
+  read_in_progress_ = false;
   if (state_ == State::kClosed) return;
   const bool cancelled = failed == asio::error::operation_aborted;
-  if (state_ == State::kEnding) return failed && !cancelled ? Close() : DiscardRest();
-  if (failed && !cancelled) return OnClientEnd();
+  if (state_ == State::kEnding) return failed && !cancelled ? Close() : DiscardInput();
+  if (failed && !cancelled) return OnClientClosed();
   if (n > 0) {
-    reader_.Came(n);
-    owner_->Heard(this);
+    reader_.Received(n);
+    owner_->MarkActive(this);
   }
-  if (std::exchange(ending_, false) && n == 0 && !Unread()) return ShutSending();
-  if (Reading()) return in_head_ ? ReadOn() : ReadBody();
-  Holds() && on_piece_ ? GivePiece() : ReadAhead();
+  if (std::exchange(end_requested_, false) && n == 0 && !HasUnreadBytes()) return ShutSending();
+  if (IsReading()) return reading_head_ ? ContinueHead() : ReadBody();
+  IsPending() && on_piece_ ? DeliverPiece() : ReadAhead();
 }
 
-// Behind bytes that there is no room for.
-void Clients::Session::LookForEnd() {
-  look_.expires_after(kLookForEnd);
-  look_.async_wait([self = shared_from_this()](const Error& cancelled) {
-    if (cancelled || self->reading_ || !self->Owes()) return;
-    PeerEnded(self->stream_.socket().native_handle()) ? self->OnClientEnd() : self->ReadAhead();
+// Polls for a close by the client while unread bytes that do not fit into the buffer precede it.
+void Clients::Session::ScheduleCloseCheck() {
+  close_check_timer_.expires_after(kCloseCheckInterval);
+  close_check_timer_.async_wait([self = shared_from_this()](const Error& cancelled) {
+    if (cancelled || self->read_in_progress_ || !self->OwesResponse()) return;
+    PeerHasClosed(self->stream_.socket().native_handle()) ? self->OnClientClosed() : self->ReadAhead();
   });
 }
 
-// What is being written to it is still written; nothing that comes later would be for anybody.
-void Clients::Session::OnClientEnd() {
-  ended_ = true;
-  if (state_ != State::kWriting || relay_) Break();
+// Finishes the write of a complete response, but aborts a pending request or a streamed response, as nobody
+// would read it.
+void Clients::Session::OnClientClosed() {
+  client_closed_ = true;
+  if (state_ != State::kWriting || response_source_) AbortRequest();
 }
 
 void Clients::Session::ReadHead() {
   Error failed;
-  const bool whole = reader_.ParseHead(&failed);
-  if (failed) return OnUnreadable(failed);
-  whole ? OnHead() : ReadMoreOfHead();
+  const bool is_complete = reader_.ParseHead(&failed);
+  if (failed) return OnParseError(failed);
+  is_complete ? OnHead() : ReadMoreOfHead();
 }
 
 void Clients::Session::OnHead() {
-  in_head_ = false;
+  reading_head_ = false;
   reader_.BeginBody();
   HttpRequest message(reader_.head());
   version_ = message.version();
-  last_ = !reader_.keep_alive() || version_ < 11;
-  const bool has_body = !reader_.Done();
+  close_after_response_ = !reader_.keep_alive() || version_ < 11;
+  const bool has_body = !reader_.IsDone();
   if (message.method() == http::verb::get && message.target() == "/ready") {
-    last_ |= has_body;
+    close_after_response_ |= has_body;
     const bool ready = owner_->handler_.Ready();
     return Write(ready ? PlainReply(http::status::ok, "ready\n")
                        : PlainReply(http::status::service_unavailable, "not ready\n"));
   }
-  coming_ = {};
-  const bool waits = boost::beast::iequals(message[http::field::expect], "100-continue");
-  if (const auto complaint = Understand(std::move(message), owner_->handler_.InForce(), &coming_)) {
-    // Nobody can tell where the next request begins without reading on to it.
-    last_ |= has_body || complaint->status == http::status::not_implemented;
-    return Write(PlainReply(complaint->status, complaint->text + '\n'));
+  incoming_ = {};
+  const bool expects_continue = boost::beast::iequals(message[http::field::expect], "100-continue");
+  if (const auto error = ParseRequest(std::move(message), owner_->handler_.CurrentConfig(), &incoming_)) {
+    // The start of the next request can only be found by reading the body of this one.
+    close_after_response_ |= has_body || error->status == http::status::not_implemented;
+    return Write(PlainReply(error->status, error->text + '\n'));
   }
-  Error gone;
-  const auto peer = stream_.socket().remote_endpoint(gone);
-  coming_.spilled = spilled_ = owner_->handler_.TakeMark(&coming_.message, peer.address());
-  coming_.hold = Buffers::Hold(owner_->buffers_);
-  if (has_body && waits && reader_.unparsed() == 0) return Continue();
+  Error ignored;
+  const auto peer = stream_.socket().remote_endpoint(ignored);
+  incoming_.is_overflow = is_overflow_ =
+      owner_->handler_.TakeOverflowMark(&incoming_.message, peer.address());
+  incoming_.reservation = Buffers::Reservation(owner_->buffers_);
+  if (has_body && expects_continue && reader_.unparsed() == 0) return SendContinue();
   ReadBody();
 }
 
-void Clients::Session::Continue() {
+void Clients::Session::SendContinue() {
   const auto go_on = std::make_shared<http::response<http::empty_body>>(http::status::continue_, 11);
   http::async_write(stream_, *go_on, [self = shared_from_this(), go_on](const Error& failed, std::size_t) {
-    if (!self->Reading()) return;
+    if (!self->IsReading()) return;
     if (failed) return self->Close();
     self->ReadMoreOfBody();
   });
@@ -203,218 +207,225 @@
 
 void Clients::Session::ReadBody() {
   Error failed;
-  const std::string piece = reader_.Decode(owner_->buffers_.piece(), &failed);
-  if (failed) return OnUnreadable(failed);
-  const bool held = coming_.hold.Grow(piece.size());
-  body_ += piece;
-  if (reader_.Done()) return OnWhole();
+  const std::string piece = reader_.DecodeBody(owner_->buffers_.piece_bytes(), &failed);
+  if (failed) return OnParseError(failed);
+  const bool fits = incoming_.reservation.Grow(piece.size());
+  buffered_body_ += piece;
+  if (reader_.IsDone()) return OnCompleteBody();
   const auto length = reader_.content_length();
-  if (!body_.empty() && (!held || body_.size() >= kMostWhole || (length && *length > kMostWhole)))
-    return OnLarge();
+  if (!buffered_body_.empty() && (!fits || buffered_body_.size() >= kMaxBufferedMessageBytes ||
+                                  (length && *length > kMaxBufferedMessageBytes)))
+    return OnLargeBody();
   reader_.unparsed() > 0 && !piece.empty() ? ReadBody() : ReadMoreOfBody();
 }
 
 void Clients::Session::ReadMoreOfBody() {
-  stream_.expires_at(reader_.BodyDue());
+  stream_.expires_at(reader_.BodyDeadline());
   ReadSome();
 }
 
-void Clients::Session::OnWhole() {
-  if (coming_.message.method() == http::verb::get && !body_.empty())
+void Clients::Session::OnCompleteBody() {
+  if (incoming_.message.method() == http::verb::get && !buffered_body_.empty())
     return Write(PlainReply(http::status::bad_request, "a body where none belongs\n"));
-  coming_.message.body() = std::move(body_);
-  coming_.message.prepare_payload();
+  incoming_.message.body() = std::move(buffered_body_);
+  incoming_.message.prepare_payload();
   Submit();
 }
 
-// What has come waits for whoever asks for it, and no more is read until then than there is room for.
-void Clients::Session::OnLarge() {
-  if (coming_.message.method() == http::verb::get) {
-    last_ = true;
+// Streams the body. The bytes received so far are kept until a piece is requested, and until then reading
+// continues only as far as the buffer has space.
+void Clients::Session::OnLargeBody() {
+  if (incoming_.message.method() == http::verb::get) {
+    close_after_response_ = true;
     return Write(PlainReply(http::status::bad_request, "a body where none belongs\n"));
   }
-  following_ = true;
-  if (!reader_.content_length()) coming_.message.chunked(true);
-  coming_.hold.Release();
-  coming_.body = shared_from_this();
+  body_is_streaming_ = true;
+  if (!reader_.content_length()) incoming_.message.chunked(true);
+  incoming_.reservation.Release();
+  incoming_.body = shared_from_this();
   Submit();
 }
 
 void Clients::Session::Submit() {
   stream_.expires_never();
-  patience_ = coming_.patience;
-  coming_.due = Due();
-  reader_.Hold();
-  state_ = State::kHeld;
-  // It may be answered before its number is known here.
-  const RequestId request = owner_->handler_.OnRequest(std::move(coming_), shared_from_this());
-  request_ = request;
-  if (Holds() && !on_piece_) ReadAhead();
+  client_timeout_ = incoming_.client_timeout;
+  incoming_.due = ResponseDeadline();
+  reader_.PauseBodyTimer();
+  state_ = State::kPending;
+  // The response may be written within OnRequest, before the request's id is known here.
+  const RequestId request = owner_->handler_.OnRequest(std::move(incoming_), shared_from_this());
+  request_id_ = request;
+  if (IsPending() && !on_piece_) ReadAhead();
 }
 
-// At a stop, no later than there is somebody to answer.
-Steady::time_point Clients::Session::Due() const {
-  const auto due = Steady::now() + std::chrono::duration_cast<Steady::duration>(patience_);
-  return owner_->stopping_ ? std::min(due, owner_->end_ - kLastAnswers) : due;
+// Returns when the response is due. During a stop that is limited by the deadline of the stop.
+Steady::time_point Clients::Session::ResponseDeadline() const {
+  const auto due = Steady::now() + std::chrono::duration_cast<Steady::duration>(client_timeout_);
+  return owner_->stopping_ ? std::min(due, owner_->stop_deadline_ - kResponseReserve) : due;
 }
 
 void Clients::Session::Next(OnPiece on_piece) {
-  if (!Holds() || !following_) return on_piece(Piece::Broken());
+  if (!IsPending() || !body_is_streaming_) return on_piece(Piece::Broken());
   on_piece_ = std::move(on_piece);
-  spent_ = true;
-  reader_.GoOn();
-  if (reading_) return CancelRead();
-  GivePiece();
+  has_started_ = true;
+  reader_.ResumeBodyTimer();
+  if (read_in_progress_) return CancelRead();
+  DeliverPiece();
 }
 
-void Clients::Session::GivePiece() {
+void Clients::Session::DeliverPiece() {
   Piece piece;
   Error failed;
-  piece.bytes = body_.empty() ? reader_.Decode(owner_->buffers_.piece(), &failed) : std::exchange(body_, {});
-  if (failed) return OnUnreadable(failed);
-  piece.last = reader_.Done();
+  piece.bytes = buffered_body_.empty() ? reader_.DecodeBody(owner_->buffers_.piece_bytes(), &failed)
+                                       : std::exchange(buffered_body_, {});
+  if (failed) return OnParseError(failed);
+  piece.last = reader_.IsDone();
   if (piece.bytes.empty() && !piece.last) return ReadMoreOfBody();
-  reader_.Hold();
+  reader_.PauseBodyTimer();
   const auto on_piece = std::exchange(on_piece_, nullptr);
   if (piece.last) {
-    following_ = false;
+    body_is_streaming_ = false;
     stream_.expires_never();
-    piece.due = Due();
-    owner_->handler_.OnUploaded(request_, piece.due);
+    piece.due = ResponseDeadline();
+    owner_->handler_.OnUploaded(request_id_, piece.due);
   }
   if (on_piece) on_piece(std::move(piece));
-  if (Holds() && !on_piece_) ReadAhead();
+  if (IsPending() && !on_piece_) ReadAhead();
 }
 
-// The client has gone, or has taken too long.
-void Clients::Session::Break() {
-  if (Holds()) owner_->handler_.OnClientGone(request_);
+// Closes the connection of a client that has disconnected or was too slow.
+void Clients::Session::AbortRequest() {
+  if (IsPending()) owner_->handler_.OnClientGone(request_id_);
   Close();
 }
 
-void Clients::Session::OnUnreadable(const Error& failed) {
-  if (Holds()) {  // its body was being passed on
-    owner_->handler_.OnClientGone(request_);
+void Clients::Session::OnParseError(const Error& failed) {
+  if (IsPending()) {  // the body was being streamed
+    owner_->handler_.OnClientGone(request_id_);
     if (const auto on_piece = std::exchange(on_piece_, nullptr)) on_piece(Piece::Broken());
   }
-  last_ = true;
-  Write(UnreadableReply(failed));
+  close_after_response_ = true;
+  Write(ParseErrorReply(failed));
 }
 
 // ---- writing ------------------------------------------------------------------------------------------
-void Clients::Session::Served(HttpResponse answer, Buffers::Hold hold) {
-  if (!Holds()) return;
-  HttpResponse mine{http::status::ok, 11};
-  if (const auto type = answer.find(http::field::content_type); type != answer.end())
-    mine.set(http::field::content_type, type->value());
-  mine.body() = std::move(answer.body());
-  hold_ = std::move(hold);
-  Write(std::move(mine));
+void Clients::Session::Served(HttpResponse response, Buffers::Reservation reservation) {
+  if (!IsPending()) return;
+  HttpResponse reply{http::status::ok, 11};
+  if (const auto type = response.find(http::field::content_type); type != response.end())
+    reply.set(http::field::content_type, type->value());
+  reply.body() = std::move(response.body());
+  reservation_ = std::move(reservation);
+  Write(std::move(reply));
 }
 
-void Clients::Session::Refused(Duration retry_after) {
-  if (Holds()) Write(RefusedReply(retry_after));
+void Clients::Session::Rejected(Duration retry_after) {
+  if (IsPending()) Write(RejectedReply(retry_after));
 }
 
 void Clients::Session::OverBudget(Duration retry_after) {
-  if (Holds()) Write(OverBudgetReply(retry_after));
+  if (IsPending()) Write(OverBudgetReply(retry_after));
 }
 
 void Clients::Session::Failed() {
-  if (Holds()) Write(PlainReply(http::status::bad_gateway, "failed\n"));
+  if (IsPending()) Write(PlainReply(http::status::bad_gateway, "failed\n"));
 }
 
 void Clients::Session::Write(HttpResponse response) {
-  writer_.head() = AnswerWriter::Response(std::move(response.base()));
+  writer_.head() = ResponseWriter::Response(std::move(response.base()));
   writer_.head().content_length(response.body().size());
-  BeginAnswer();
-  WriteAnswer(std::move(response.body()), true);
+  BeginResponse();
+  WriteResponsePiece(std::move(response.body()), true);
 }
 
-void Clients::Session::Begun(AnswerHead head) {
-  if (!Holds()) return head.body->Abandon();
-  AnswerWriter::Response& answer = writer_.head();
-  answer = AnswerWriter::Response(http::status::ok, 11);
-  if (!head.content_type.empty()) answer.set(http::field::content_type, head.content_type);
+void Clients::Session::StreamStarted(ResponseHead head) {
+  if (!IsPending()) return head.body->Abandon();
+  ResponseWriter::Response& response = writer_.head();
+  response = ResponseWriter::Response(http::status::ok, 11);
+  if (!head.content_type.empty()) response.set(http::field::content_type, head.content_type);
   ends_with_connection_ = !head.length && version_ < 11;
   if (head.length) {
-    answer.content_length(*head.length);
+    response.content_length(*head.length);
   } else if (!ends_with_connection_) {
-    answer.chunked(true);
+    response.chunked(true);
   }
-  last_ |= ends_with_connection_;
-  relay_ = std::move(head.body);
-  BeginAnswer();
-  PullAnswer();
+  close_after_response_ |= ends_with_connection_;
+  response_source_ = std::move(head.body);
+  BeginResponse();
+  PullResponse();
 }
 
-void Clients::Session::BeginAnswer() {
+void Clients::Session::BeginResponse() {
   state_ = State::kWriting;
   on_piece_ = nullptr;
-  last_ |= owner_->draining_;
-  last_ |=
-      std::exchange(following_, false);  // of a request that has not come whole, nobody waits for the rest
-  writer_.head().keep_alive(!last_);
-  if (std::exchange(spilled_, false))
+  close_after_response_ |= owner_->draining_;
+  close_after_response_ |=
+      std::exchange(body_is_streaming_, false);  // the rest of an incomplete request is not read
+  writer_.head().keep_alive(!close_after_response_);
+  if (std::exchange(is_overflow_, false))
     if (const std::string estimate = owner_->handler_.EstimateText(); !estimate.empty())
       writer_.head().set(std::string(spill::kEstimateHeader), estimate);
   writer_.Begin();
-  if (reading_ && last_) CancelRead();  // it may wait for more of the body, for so long
+  if (read_in_progress_ && close_after_response_)
+    CancelRead();  // the read may be waiting for the rest of the body
   ReadAhead();
 }
 
-void Clients::Session::WriteAnswer(std::string piece, bool last) {
-  stream_.expires_after(kSlowWrite);
+void Clients::Session::WriteResponsePiece(std::string piece, bool last) {
+  stream_.expires_after(kWriteTimeout);
   writer_.Write(stream_, std::move(piece), last, [self = shared_from_this(), last](const Error& failed) {
     if (self->state_ != State::kWriting) return;
     if (failed) return self->Close();
-    last ? self->OnAnswerWritten() : self->PullAnswer();
+    last ? self->OnResponseWritten() : self->PullResponse();
   });
 }
 
-void Clients::Session::PullAnswer() {
-  stream_.expires_never();  // the source has limits of its own
-  relay_->Next([weak = weak_from_this()](Piece piece) {
+void Clients::Session::PullResponse() {
+  stream_.expires_never();  // the source has its own time limits
+  response_source_->Next([weak = weak_from_this()](Piece piece) {
     const auto self = weak.lock();
     if (!self || self->state_ != State::kWriting) return;
-    if (piece.failed) return self->BreakAnswer();
-    if (piece.last) self->relay_ = nullptr;
-    self->WriteAnswer(std::move(piece.bytes), piece.last);
+    if (piece.failed) return self->AbortResponse();
+    if (piece.last) self->response_source_ = nullptr;
+    self->WriteResponsePiece(std::move(piece.bytes), piece.last);
   });
 }
 
-// The client must be able to tell that its answer is not whole. Where only the connection's end says so, that
-// end is a reset; else it must not be one, which would take the answers before with it.
-void Clients::Session::BreakAnswer() {
-  relay_ = nullptr;
+// Ends a response that cannot be completed, so that the client notices that it is incomplete. If the end of
+// the connection marks the end of the body, the connection is reset. Otherwise it must not be reset, because
+// a reset could discard earlier responses that the client has not read.
+void Clients::Session::AbortResponse() {
+  response_source_ = nullptr;
   if (!ends_with_connection_) return ShutSending();
   Error ignored;
   stream_.socket().set_option(asio::socket_base::linger(true, 0), ignored);
   Close();
 }
 
-void Clients::Session::OnAnswerWritten() {
+void Clients::Session::OnResponseWritten() {
   writer_.Clear();
-  hold_.Release();
-  if (last_) return ShutSending();
-  if (ended_) return Close();
-  answered_ = true;
+  reservation_.Release();
+  if (close_after_response_) return ShutSending();
+  if (client_closed_) return Close();
+  has_answered_ = true;
   Read();
-  if (owner_ && owner_->waiting_for_room_) owner_->Accept();
+  if (owner_ && owner_->waiting_for_capacity_) owner_->Accept();
 }
 
-// Guards against a reset overtaking the answer: with unread input left, a plain close would send one.
+// Shuts down the sending side instead of closing the socket. A close with unread input would send a reset,
+// which can discard a response that the client has not read.
 void Clients::Session::ShutSending() {
   state_ = State::kEnding;
   ending_since_ = Steady::now();
   Error ignored;
   stream_.socket().shutdown(Tcp::socket::shutdown_send, ignored);
-  DiscardRest();
+  DiscardInput();
 }
 
-void Clients::Session::DiscardRest() {
-  if (reading_) return CancelRead();
-  stream_.expires_at(ending_since_ + kDrain);  // of it all: a peer must not hold the place by sending on
+void Clients::Session::DiscardInput() {
+  if (read_in_progress_) return CancelRead();
+  stream_.expires_at(ending_since_ +
+                     kCloseTimeout);  // in total, so that a client cannot keep the connection by sending
   ReadInto(reader_.Discard());
 }
 
--- a/src/proxy/client/session.h
+++ b/src/proxy/client/session.h
@@ -1,6 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// One client's connection: reads a request, and writes the one answer to it before it reads the next.
+// Clients::Session is the connection of one client. It reads a request and writes its only response before it
+// parses the next request.
 #ifndef LOAD_BALANCER_PROXY_CLIENT_SESSION_H_
 #define LOAD_BALANCER_PROXY_CLIENT_SESSION_H_
 
@@ -16,123 +17,129 @@
 
 namespace load_balancer::proxy {
 
-// It is the source of a request's body that is passed on.
+// The session is also the BodySource of a request whose body is streamed to a server.
 class Clients::Session : public Responder, public BodySource, public std::enable_shared_from_this<Session> {
  public:
   Session(Clients& owner, boost::asio::ip::tcp::socket socket);
 
+  // The position in the owner's list of sessions.
   std::list<std::shared_ptr<Session>>::iterator place;
 
   void Start();
-  // At once, whatever of it is under way: its client may see a reset.
+  // Closes the connection at once, even during a request or response. The client may see a reset.
   void Close();
-  // Ends a connection on which nothing is owed: its client sees a clean end and has some time to close its
-  // side. A request that comes before the end is served first.
+  // Ends an idle connection: shuts down the sending side, so that the client sees a clean end of the stream
+  // and has some time to close its side. A request that arrives before the shutdown is served first.
   void End();
-  // Has been told to end, or ends after its last answer; since when.
-  bool Ending() const { return ending_ || state_ == State::kEnding; }
+  // Returns whether the connection is ending, either because of End or after its last response.
+  bool IsEnding() const { return end_requested_ || state_ == State::kEnding; }
   Steady::time_point ending_since() const { return ending_since_; }
-  // Its client can see the end.
-  bool Shut() const { return state_ == State::kEnding; }
-  // The owner goes: nothing may be reported any more.
-  void Orphan();
-
-  // Between requests, with none on its way as far as can be seen.
-  bool Idle();
-  bool IdleSince(Steady::time_point before) { return quiet_since_ <= before && Idle(); }
-  // Has had an answer.
-  bool Answered() const { return answered_; }
-  bool Reading() const { return state_ == State::kReading; }
-  // Within a request that has not come whole, of which nothing has been seen since then.
-  bool StoppedSince(Steady::time_point before) const {
-    return Reading() && !ending_ && reader_.heard_at() <= before;
+  // Returns whether the sending side is shut down, which the client can see.
+  bool IsSendingShut() const { return state_ == State::kEnding; }
+  // Closes the connection without reporting it to the owner, which is being destroyed.
+  void DetachFromOwner();
+
+  // Returns whether the connection is between two requests and no byte of the next one has been received.
+  bool IsIdle();
+  bool IsIdleSince(Steady::time_point since) { return idle_since_ <= since && IsIdle(); }
+  // Returns whether a response has been written on this connection.
+  bool HasAnswered() const { return has_answered_; }
+  bool IsReading() const { return state_ == State::kReading; }
+  // Returns whether a request is incomplete and none of its bytes has been received after `since`.
+  bool IsStalledSince(Steady::time_point since) const {
+    return IsReading() && !end_requested_ && reader_.last_received_at() <= since;
   }
-  // Bytes have come that nobody has read: the rest of a request, or a whole one, may be among them.
-  bool Unread();
-  // Owes an answer, or the rest of one.
-  bool Owes() const { return Holds() || state_ == State::kWriting; }
-
-  // ---- the answer -------------------------------------------------------------------------------------
-  void Served(HttpResponse answer, Buffers::Hold hold) override;
-  void Begun(AnswerHead head) override;
-  void Refused(Duration retry_after) override;
+  // Returns whether the socket has bytes that have not been read. They may contain the rest of a request or a
+  // complete one.
+  bool HasUnreadBytes();
+  // Returns whether a response, or the rest of one, is still to be written.
+  bool OwesResponse() const { return IsPending() || state_ == State::kWriting; }
+
+  // ---- Responder: the response to the request
+  // -------------------------------------------------------------------------------------
+  void Served(HttpResponse response, Buffers::Reservation reservation) override;
+  void StreamStarted(ResponseHead head) override;
+  void Rejected(Duration retry_after) override;
   void Failed() override;
   void OverBudget(Duration retry_after) override;
 
-  // ---- the request's body as a source -----------------------------------------------------------------
+  // ---- BodySource: the body of the request
+  // -----------------------------------------------------------------
   void Next(OnPiece on_piece) override;
   void Abandon() override { on_piece_ = nullptr; }
-  bool Spent() const override { return spent_; }
+  bool HasStarted() const override { return has_started_; }
 
  private:
-  // kEnding: the sending side is shut, and what comes is not looked at any more.
-  enum class State { kReading, kHeld, kWriting, kEnding, kClosed };
+  // kPending: the request has been handed to the handler and has no response yet. kEnding: the sending side
+  // is shut down and further input is discarded.
+  enum class State { kReading, kPending, kWriting, kEnding, kClosed };
   using Error = boost::system::error_code;
 
-  bool Holds() const { return state_ == State::kHeld; }
+  bool IsPending() const { return state_ == State::kPending; }
 
   void Read();
-  void ReadOn();
+  void ContinueHead();
   void ReadMoreOfHead();
   void ReadSome();
-  void ReadInto(const boost::asio::mutable_buffer& room);
+  void ReadInto(const boost::asio::mutable_buffer& buffer);
   void ReadAhead();
   void OnRead(const Error& failed, std::size_t n);
   void CancelRead();
-  void LookForEnd();
-  void OnClientEnd();
+  void ScheduleCloseCheck();
+  void OnClientClosed();
   void ReadHead();
   void OnHead();
-  void Continue();
+  void SendContinue();
   void ReadBody();
   void ReadMoreOfBody();
-  void OnWhole();
-  void OnLarge();
+  void OnCompleteBody();
+  void OnLargeBody();
   void Submit();
-  Steady::time_point Due() const;
-  void GivePiece();
-  void OnUnreadable(const Error& failed);
-  void Break();
+  Steady::time_point ResponseDeadline() const;
+  void DeliverPiece();
+  void OnParseError(const Error& failed);
+  void AbortRequest();
 
   void Write(HttpResponse response);
-  void BeginAnswer();
-  void WriteAnswer(std::string piece, bool last);
-  void OnAnswerWritten();
-  void PullAnswer();
-  void BreakAnswer();
+  void BeginResponse();
+  void WriteResponsePiece(std::string piece, bool last);
+  void OnResponseWritten();
+  void PullResponse();
+  void AbortResponse();
   void ShutSending();
-  void DiscardRest();
+  void DiscardInput();
 
   Clients* owner_;
   boost::beast::tcp_stream stream_;
-  boost::asio::steady_timer look_;  // for the client's end, while the reader has no room
+  boost::asio::steady_timer
+      close_check_timer_;  // checks for a close by the client while the reader's buffer is full
   State state_ = State::kReading;
 
-  // The request.
+  // State of the request.
   RequestReader reader_;
-  ClientRequest coming_;
-  std::string body_;  // read, and not given to anybody yet
+  ClientRequest incoming_;
+  std::string buffered_body_;  // decoded bytes that have not been handed on
   unsigned version_ = 11;
-  Duration patience_{0};              // that the client has
-  Steady::time_point quiet_since_{};  // no request has been here since then, where it is idle
-  RequestId request_ = 0;
+  Duration client_timeout_{0};       // how long the client waits for the response
+  Steady::time_point idle_since_{};  // start of the idle time, if the connection is idle
+  RequestId request_id_ = 0;
   OnPiece on_piece_;
-  bool reading_ = false;    // OnRead is still to come
-  bool ended_ = false;      // the client will send nothing more
-  bool in_head_ = false;    // the next bytes are of a request's head
-  bool following_ = false;  // its body is passed on, and has not come whole
-  bool spent_ = false;
-  bool spilled_ = false;  // the request came from another site's gateway
-
-  // The answer.
-  AnswerWriter writer_;
-  Buffers::Hold hold_;
-  std::shared_ptr<BodySource> relay_;  // what the rest of it comes from
-  bool ends_with_connection_ = false;
-  bool last_ = false;    // the connection closes after this answer
-  bool ending_ = false;  // told to end, unless a request has come
+  bool read_in_progress_ = false;   // OnRead will be called
+  bool client_closed_ = false;      // the client has closed its sending side or reset the connection
+  bool reading_head_ = false;       // the next bytes belong to the head of a request
+  bool body_is_streaming_ = false;  // the body is streamed and has not been received completely
+  bool has_started_ = false;        // a piece of the body has been requested
+  bool is_overflow_ = false;        // the request came from the gateway of another site
+
+  // State of the response.
+  ResponseWriter writer_;
+  Buffers::Reservation reservation_;
+  std::shared_ptr<BodySource> response_source_;  // the rest of a streamed response body
+  bool ends_with_connection_ = false;            // only the close marks the end of the response body
+  bool close_after_response_ = false;            // the connection closes after this response
+  bool end_requested_ = false;                   // End was called, and no request has arrived since
   Steady::time_point ending_since_{};
-  bool answered_ = false;  // a request on this connection
+  bool has_answered_ = false;  // a response has been written on this connection
 };
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -16,38 +16,41 @@
 using Tcp = asio::ip::tcp;
 using Error = boost::system::error_code;
 
-constexpr std::chrono::milliseconds kPause{50};      // after a failed accept
-constexpr std::chrono::milliseconds kLookAgain{10};  // at the stop
-// In a drain: what has stood idle for so long may be closed, and this often it is looked for.
-constexpr std::chrono::seconds kIdleLongEnough{2};
-constexpr std::chrono::milliseconds kSweep{100};
-constexpr std::chrono::milliseconds kLastRequests{
-    1000};                                             // before the end of a stop: nothing is begun any more
-constexpr std::chrono::milliseconds kFirstBytes{500};  // of a request, after it was connected for
-constexpr std::chrono::milliseconds kSilent{250};  // within a request, after which it may give way to others
-constexpr double kCrowded = 0.75;                  // of the connections there may be, over which none is kept
-constexpr int kAtOnce = 32;                        // connections accepted before others have their turn
-constexpr std::size_t kMostEnding = 8;             // connections that end beside those there may be
-constexpr std::chrono::milliseconds kSeeEnd{200};  // for clients to see their connections' end, at the stop
+constexpr std::chrono::milliseconds kAcceptRetryDelay{50};  // after a failed accept
+constexpr std::chrono::milliseconds kStopPollInterval{10};  // during a stop
+// During a drain, connections that have been idle for kMinIdleBeforeClose are closed at every sweep.
+constexpr std::chrono::seconds kMinIdleBeforeClose{2};
+constexpr std::chrono::milliseconds kIdleSweepInterval{100};
+constexpr std::chrono::milliseconds kFinalPhase{
+    1000};  // the last part of a stop, in which no new requests are accepted
+constexpr std::chrono::milliseconds kFirstByteTimeout{500};  // from connecting to the first byte of a request
+constexpr std::chrono::milliseconds kStallBeforeEviction{
+    250};  // without a byte within a request, after which its connection may be evicted
+constexpr double kCrowdedShare = 0.75;  // of the connection limit, above which connections are not kept alive
+constexpr int kMaxAcceptsPerTurn = 32;  // so that other handlers of the event loop get their turn
+constexpr std::size_t kMaxEndingConnections = 8;  // ending connections allowed above the limit
+constexpr std::chrono::milliseconds kCloseNoticeTime{
+    200};  // for clients to notice the close of their connections during a stop
 
 }  // namespace
 
 Clients::Clients(asio::io_context& io, const Tcp::endpoint& address,
-                 std::function<std::size_t()> most_connections, Buffers& buffers, RequestHandler& handler)
+                 std::function<std::size_t()> max_connections, Buffers& buffers, RequestHandler& handler)
     : io_(io),
       address_(address),
-      most_connections_(std::move(most_connections)),
+      max_connections_(std::move(max_connections)),
       buffers_(buffers),
       handler_(handler),
       acceptor_(io),
-      pause_(io),
-      sweep_(io),
-      grace_(io) {}
+      accept_retry_timer_(io),
+      idle_sweep_timer_(io),
+      stop_timer_(io) {}
 
 void Clients::Open() {
   acceptor_.open(address_.protocol());
-  acceptor_.set_option(Tcp::acceptor::reuse_address(true));  // restarts come on the same address
-  // Where there is no such option no other process can listen beside this one, which is no reason to end.
+  acceptor_.set_option(Tcp::acceptor::reuse_address(true));  // a restarted process uses the same address
+  // Without SO_REUSEPORT no second process can listen on this address. The proxy works nevertheless, so
+  // errors are ignored.
   const int on = 1;
   ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_REUSEPORT, &on, sizeof on);
   acceptor_.bind(address_);
@@ -59,74 +62,76 @@
 Clients::~Clients() {
   const auto sessions = std::move(sessions_);
   sessions_.clear();
-  for (const auto& session : sessions) session->Orphan();
+  for (const auto& session : sessions) session->DetachFromOwner();
 }
 
 void Clients::Accept() {
-  waiting_for_room_ = false;
-  if (shut_ || accepting_) return;
+  waiting_for_capacity_ = false;
+  if (acceptor_closed_ || accepting_) return;
   accepting_ = true;
   acceptor_.async_wait(Tcp::acceptor::wait_read, [this](const Error& cancelled) {
     accepting_ = false;
-    if (!cancelled) AcceptSome();
+    if (!cancelled) AcceptBatch();
   });
 }
 
-void Clients::AcceptSome() {
-  for (int i = 0; i < kAtOnce && !shut_; ++i) {
-    const Accepted accepted = AcceptOne();
-    if (accepted == Accepted::kNone || accepted == Accepted::kLater) break;
-    // The next connections wait in the kernel's queue.
-    if (accepted == Accepted::kNoRoom) waiting_for_room_ = true;
-    // Guards against spinning when descriptors run out: the queue stays readable all the while.
-    if (accepted != Accepted::kOne) return AcceptLater();
+void Clients::AcceptBatch() {
+  for (int i = 0; i < kMaxAcceptsPerTurn && !acceptor_closed_; ++i) {
+    const AcceptResult accepted = AcceptOne();
+    if (accepted == AcceptResult::kQueueEmpty || accepted == AcceptResult::kRetryLater) break;
+    // Further connections wait in the accept queue of the kernel.
+    if (accepted == AcceptResult::kFull) waiting_for_capacity_ = true;
+    // The acceptor stays readable while the queue cannot be emptied, for example when no descriptor is left.
+    // The pause prevents a busy loop.
+    if (accepted != AcceptResult::kAccepted) return RetryAcceptLater();
   }
   Accept();
 }
 
-Clients::Accepted Clients::AcceptOne() {
-  // Nobody gives way before somebody is there to take the place.
-  const std::size_t most = most_connections_(), ending = sessions_.size() < most ? 0 : Ending();
-  std::shared_ptr<Session> cut_short, gives_way;
-  if (sessions_.size() >= most + std::min(ending, kMostEnding)) {
-    if (ending >= kMostEnding && !(cut_short = LongestShut())) return Accepted::kLater;
-    if (ending <= kMostEnding && !(gives_way = WhoGivesWay())) return Accepted::kNoRoom;
+Clients::AcceptResult Clients::AcceptOne() {
+  // The connection to close or evict is chosen here but closed only after a new one has been accepted.
+  const std::size_t max_sessions = max_connections_(),
+                    ending = sessions_.size() < max_sessions ? 0 : CountEnding();
+  std::shared_ptr<Session> closing, evicted;
+  if (sessions_.size() >= max_sessions + std::min(ending, kMaxEndingConnections)) {
+    if (ending >= kMaxEndingConnections && !(closing = LongestClosing())) return AcceptResult::kRetryLater;
+    if (ending <= kMaxEndingConnections && !(evicted = ConnectionToEvict())) return AcceptResult::kFull;
   }
   Error failed;
   Tcp::socket socket = acceptor_.accept(io_, failed);
-  if (failed == asio::error::would_block) return Accepted::kNone;
-  if (failed == asio::error::connection_aborted) return Accepted::kOne;
+  if (failed == asio::error::would_block) return AcceptResult::kQueueEmpty;
+  if (failed == asio::error::connection_aborted) return AcceptResult::kAccepted;
   if (failed) {  // no descriptor is left
-    if (cut_short || (cut_short = LongestShut())) cut_short->Close();
-    if (gives_way || (gives_way = WhoGivesWay())) gives_way->End();
-    return Accepted::kFailed;
+    if (closing || (closing = LongestClosing())) closing->Close();
+    if (evicted || (evicted = ConnectionToEvict())) evicted->End();
+    return AcceptResult::kFailed;
   }
-  if (cut_short) cut_short->Close();
-  if (gives_way) gives_way->End();
+  if (closing) closing->Close();
+  if (evicted) evicted->End();
   sessions_.push_back(std::make_shared<Session>(*this, std::move(socket)));
   const auto session = sessions_.back();
   session->place = std::prev(sessions_.end());
   session->Start();
-  return Accepted::kOne;
+  return AcceptResult::kAccepted;
 }
 
-void Clients::AcceptLater() {
-  pause_.expires_after(kPause);
-  pause_.async_wait([this](const Error& cancelled) {
+void Clients::RetryAcceptLater() {
+  accept_retry_timer_.expires_after(kAcceptRetryDelay);
+  accept_retry_timer_.async_wait([this](const Error& cancelled) {
     if (!cancelled) Accept();
   });
 }
 
-// False if connections may still wait to be accepted.
-bool Clients::EmptyQueue() {
+// Accepts all queued connections. Returns false if connections may still be queued.
+bool Clients::AcceptQueued() {
   while (acceptor_.is_open()) {
-    const Accepted accepted = AcceptOne();
-    if (accepted != Accepted::kOne) return accepted == Accepted::kNone;
+    const AcceptResult accepted = AcceptOne();
+    if (accepted != AcceptResult::kAccepted) return accepted == AcceptResult::kQueueEmpty;
   }
   return true;
 }
 
-bool Clients::Steer(int listener) {
+bool Clients::SteerNewConnections(int listener) {
   sock_filter choose[] = {BPF_STMT(BPF_RET | BPF_K, static_cast<unsigned>(listener))};
   const sock_fprog program{1, choose};
   return ::setsockopt(acceptor_.native_handle(), SOL_SOCKET, SO_ATTACH_REUSEPORT_CBPF, &program,
@@ -134,98 +139,103 @@
 }
 
 void Clients::Shrink(std::size_t connections) {
-  const auto before = Steady::now() - kIdleLongEnough;
-  std::size_t open = sessions_.size() - Ending();
+  const auto idle_since = Steady::now() - kMinIdleBeforeClose;
+  std::size_t open = sessions_.size() - CountEnding();
   for (auto it = sessions_.begin(); it != sessions_.end() && open > connections; ++it) {
-    if (!(*it)->IdleSince(before)) continue;
+    if (!(*it)->IsIdleSince(idle_since)) continue;
     (*it)->End();
     --open;
   }
 }
 
-std::size_t Clients::Ending() const {
+std::size_t Clients::CountEnding() const {
   return static_cast<std::size_t>(
-      std::count_if(sessions_.begin(), sessions_.end(), [](const auto& s) { return s->Ending(); }));
+      std::count_if(sessions_.begin(), sessions_.end(), [](const auto& s) { return s->IsEnding(); }));
 }
 
-// Of those whose clients can see the end, the one that has shown it for longest; null if there is none.
-std::shared_ptr<Clients::Session> Clients::LongestShut() const {
+// Returns the session whose sending side has been shut down for longest, or null if there is none.
+std::shared_ptr<Clients::Session> Clients::LongestClosing() const {
   std::shared_ptr<Session> longest;
   for (const auto& session : sessions_)
-    if (session->Shut() && (!longest || session->ending_since() < longest->ending_since())) longest = session;
+    if (session->IsSendingShut() && (!longest || session->ending_since() < longest->ending_since()))
+      longest = session;
   return longest;
 }
 
-// Whoever has been silent for longest gives way: of those that have had an answer and stand idle, or else of
-// all that are silent. A slow client's first request may be on its way.
-std::shared_ptr<Clients::Session> Clients::WhoGivesWay() const {
-  const auto silent = Steady::now() - kSilent;
+// Returns the connection to evict for a new one, or null. Preferred are idle connections that have had a
+// response, then those stalled within a request, then those without a request yet, as the first request of a
+// slow client may be about to arrive. Within each group, the one that has been silent for longest is chosen.
+std::shared_ptr<Clients::Session> Clients::ConnectionToEvict() const {
+  const auto stalled_since = Steady::now() - kStallBeforeEviction;
   const auto first = [this](auto test) { return std::find_if(sessions_.begin(), sessions_.end(), test); };
-  auto found = first([](const auto& s) { return s->Answered() && s->Idle(); });
-  if (found == sessions_.end()) found = first([silent](const auto& s) { return s->StoppedSince(silent); });
-  if (found == sessions_.end()) found = first([](const auto& s) { return s->Idle(); });
+  auto found = first([](const auto& s) { return s->HasAnswered() && s->IsIdle(); });
+  if (found == sessions_.end())
+    found = first([stalled_since](const auto& s) { return s->IsStalledSince(stalled_since); });
+  if (found == sessions_.end()) found = first([](const auto& s) { return s->IsIdle(); });
   return found == sessions_.end() ? nullptr : *found;
 }
 
-void Clients::Heard(Session* session) { sessions_.splice(sessions_.end(), sessions_, session->place); }
+void Clients::MarkActive(Session* session) { sessions_.splice(sessions_.end(), sessions_, session->place); }
 
 void Clients::Remove(Session* session) {
   sessions_.erase(session->place);
-  if (waiting_for_room_) Accept();
+  if (waiting_for_capacity_) Accept();
 }
 
 void Clients::Drain() {
-  if (!std::exchange(draining_, true)) CloseIdleLater();
+  if (!std::exchange(draining_, true)) ScheduleIdleSweep();
 }
 
 void Clients::Rejoin() {
   if (stopping_) return;
   draining_ = false;
-  sweep_.cancel();
+  idle_sweep_timer_.cancel();
 }
 
-void Clients::CloseIdleLater() {
-  sweep_.expires_after(kSweep);
-  sweep_.async_wait([this](const Error& cancelled) {
+void Clients::ScheduleIdleSweep() {
+  idle_sweep_timer_.expires_after(kIdleSweepInterval);
+  idle_sweep_timer_.async_wait([this](const Error& cancelled) {
     if (cancelled || !draining_) return;
     Shrink(0);
-    CloseIdleLater();
+    ScheduleIdleSweep();
   });
 }
 
 void Clients::Stop(Duration grace, Duration idle, Steady::time_point end, std::function<void()> done) {
   if (std::exchange(stopping_, true)) return;
   Drain();
-  idle_at_stop_ = std::chrono::ceil<Steady::duration>(idle);
-  end_ = end;
-  stopped_ = std::move(done);
-  grace_.expires_after(std::chrono::ceil<Steady::duration>(grace));
-  grace_.async_wait([this](const Error& cancelled) {
-    if (!cancelled) Shut();
+  min_idle_at_stop_ = std::chrono::ceil<Steady::duration>(idle);
+  stop_deadline_ = end;
+  on_stopped_ = std::move(done);
+  stop_timer_.expires_after(std::chrono::ceil<Steady::duration>(grace));
+  stop_timer_.async_wait([this](const Error& cancelled) {
+    if (!cancelled) ContinueStop();
   });
 }
 
-// Looks again until no answer is owed and no request is half read.
-void Clients::Shut() {
+// Closes the listener and idle connections, and repeats until no response is left to be written and no
+// request is incomplete.
+void Clients::ContinueStop() {
   const auto now = Steady::now();
-  const bool late = now >= end_ - kLastRequests;
-  if (!shut_ && (EmptyQueue() || late)) {
-    shut_ = true;
+  const bool in_final_phase = now >= stop_deadline_ - kFinalPhase;
+  if (!acceptor_closed_ && (AcceptQueued() || in_final_phase)) {
+    acceptor_closed_ = true;
     Error ignored;
     acceptor_.close(ignored);
   }
-  const auto before = now - (late ? Steady::duration(0) : idle_at_stop_);
-  bool wait = !shut_;
-  for (auto it = sessions_.begin(); shut_ && it != sessions_.end();) {
+  const auto idle_since = now - (in_final_phase ? Steady::duration(0) : min_idle_at_stop_);
+  bool wait = !acceptor_closed_;
+  for (auto it = sessions_.begin(); acceptor_closed_ && it != sessions_.end();) {
     const auto session = *it++;
-    if (session->IdleSince(before)) session->End();
-    wait |= session->Ending() ? now < std::min(session->ending_since() + kSeeEnd, end_)
-                              : session->Owes() || (session->Reading() && (!late || session->Unread()));
+    if (session->IsIdleSince(idle_since)) session->End();
+    wait |= session->IsEnding() ? now < std::min(session->ending_since() + kCloseNoticeTime, stop_deadline_)
+                                : session->OwesResponse() || (session->IsReading() &&
+                                                              (!in_final_phase || session->HasUnreadBytes()));
   }
-  if (!wait) return stopped_();
-  grace_.expires_after(kLookAgain);
-  grace_.async_wait([this](const Error& cancelled) {
-    if (!cancelled) Shut();
+  if (!wait) return on_stopped_();
+  stop_timer_.expires_after(kStopPollInterval);
+  stop_timer_.async_wait([this](const Error& cancelled) {
+    if (!cancelled) ContinueStop();
   });
 }
 
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The side of the clients: accepts connections, reads requests, writes the one answer to each.
+// Clients accepts the connections of clients, reads requests and writes the only response to each.
 #ifndef LOAD_BALANCER_PROXY_CLIENTS_H_
 #define LOAD_BALANCER_PROXY_CLIENTS_H_
 
@@ -20,61 +20,71 @@
 
 namespace load_balancer::proxy {
 
-// Where the one answer to a request goes.
+// Responder receives the only response to a request: at most one of its functions is called.
 class Responder {
  public:
   virtual ~Responder() = default;
-  virtual void Served(HttpResponse answer, Buffers::Hold hold) = 0;
-  // It is served, and its body follows.
-  virtual void Begun(AnswerHead head) = 0;
-  virtual void Refused(Duration retry_after) = 0;
+  // Writes a complete response of a server. `reservation` is the memory of its body.
+  virtual void Served(HttpResponse response, Buffers::Reservation reservation) = 0;
+  // Starts a response whose body is streamed.
+  virtual void StreamStarted(ResponseHead head) = 0;
+  // Writes a 503, with a Retry-After header unless `retry_after` is 0.
+  virtual void Rejected(Duration retry_after) = 0;
+  // Writes a 502.
   virtual void Failed() = 0;
-  // It is refused, as its owner is over its budget.
+  // Writes a 429, as the tenant is over its budget.
   virtual void OverBudget(Duration retry_after) = 0;
 };
 
-// What is done with requests. No call may throw.
+// RequestHandler processes the requests of clients. Its functions must not throw.
 class RequestHandler {
  public:
   virtual ~RequestHandler() = default;
+  // Handles a request and returns its id. `responder` may be called within this call.
   virtual RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) = 0;
-  // The last byte of a request whose body followed.
+  // Reports that a streamed request body has been received completely and that the response is due at `due`.
   virtual void OnUploaded(RequestId request, Steady::time_point due) = 0;
+  // Reports that the client of a pending request has disconnected.
   virtual void OnClientGone(RequestId request) = 0;
-  virtual bool Ready() const = 0;  // clients may come
-  virtual std::shared_ptr<const Config> InForce() const = 0;
-  // Whether another site's gateway has spilled the request here; takes the mark off that says so.
-  virtual bool TakeMark(HttpRequest* message, const boost::asio::ip::address& peer) = 0;
-  // What answers to such requests carry of this site; empty: nothing.
+  virtual bool Ready() const = 0;  // the answer to GET /ready
+  // Returns the configuration that applies to new requests.
+  virtual std::shared_ptr<const Config> CurrentConfig() const = 0;
+  // Returns whether the gateway of another site has sent the request here as overflow. Removes the header
+  // that marks it.
+  virtual bool TakeOverflowMark(HttpRequest* message, const boost::asio::ip::address& peer) = 0;
+  // Returns the load estimate of this site, which responses to overflow requests carry in a header. Empty: no
+  // header.
   virtual std::string EstimateText() const = 0;
 };
 
+// Clients is the listener for clients and owns their connections.
 class Clients {
  public:
-  // `most_connections` tells how many there may be, now.
+  // `max_connections` returns the current limit of connections.
   Clients(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
-          std::function<std::size_t()> most_connections, Buffers& buffers, RequestHandler& handler);
+          std::function<std::size_t()> max_connections, Buffers& buffers, RequestHandler& handler);
   ~Clients();
   Clients(const Clients&) = delete;
   Clients& operator=(const Clients&) = delete;
 
-  // Listens; throws boost::system::system_error if it cannot.
+  // Starts to listen. Throws boost::system::system_error if that fails.
   void Open();
   bool Listening() const { return acceptor_.is_open(); }
 
-  // From now on each connection closes after its answer; new ones are still served. What
-  // stands idle is closed once it has done so for long enough.
+  // Starts a drain: each connection closes after its next response, and connections that have been idle for
+  // some time are closed. New connections are still accepted and served.
   void Drain();
-  // Takes a drain back.
+  // Ends a drain, unless a stop is in progress.
   void Rejoin();
-  // A drain for good: after the grace, when nobody waits to be accepted, nothing is accepted any more, and
-  // `done` is called when no answer is owed. Then, too, what has stood idle for so long is closed. Nothing is
-  // left to be done at `end`.
+  // Starts a drain that cannot be ended. After `grace`, once the accept queue is empty, the listener closes,
+  // and so do connections that have been idle for `idle`. Calls `done` when no response is left to be
+  // written, which is no later than `end`.
   void Stop(Duration grace, Duration idle, Steady::time_point end, std::function<void()> done);
-  // Of two processes that listen at this address, new connections go to the one whose listener came first or
-  // second; false if the system does not do that.
-  bool Steer(int listener);
-  // Closes what has stood idle for long enough, until so many are open.
+  // Directs new connections to one of the processes that listen on this address. `listener` is the index of
+  // its listener in the order in which they were opened, 0 or 1. Returns false if the operating system does
+  // not support this.
+  bool SteerNewConnections(int listener);
+  // Closes connections that have been idle for some time until at most `connections` are open.
   void Shrink(std::size_t connections);
   bool Draining() const { return draining_; }
   bool Stopping() const { return stopping_; }
@@ -86,33 +96,34 @@
   class Session;
   friend class Session;
 
-  enum class Accepted { kOne, kNone, kNoRoom, kLater, kFailed };
+  enum class AcceptResult { kAccepted, kQueueEmpty, kFull, kRetryLater, kFailed };
   void Accept();
-  void AcceptSome();
-  Accepted AcceptOne();
-  void AcceptLater();
-  bool EmptyQueue();
-  std::shared_ptr<Session> WhoGivesWay() const;
-  std::shared_ptr<Session> LongestShut() const;
-  std::size_t Ending() const;
-  // Something has come from this client.
-  void Heard(Session* session);
+  void AcceptBatch();
+  AcceptResult AcceptOne();
+  void RetryAcceptLater();
+  bool AcceptQueued();
+  std::shared_ptr<Session> ConnectionToEvict() const;
+  std::shared_ptr<Session> LongestClosing() const;
+  std::size_t CountEnding() const;
+  // Moves the session to the end of the list, as bytes have been received from its client.
+  void MarkActive(Session* session);
   void Remove(Session* session);
-  void CloseIdleLater();
-  void Shut();
+  void ScheduleIdleSweep();
+  void ContinueStop();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
-  std::function<std::size_t()> most_connections_;
+  std::function<std::size_t()> max_connections_;
   Buffers& buffers_;
   RequestHandler& handler_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer pause_, sweep_, grace_;
-  std::list<std::shared_ptr<Session>> sessions_;  // the longest unheard of first
-  bool accepting_ = false, waiting_for_room_ = false, draining_ = false, stopping_ = false, shut_ = false;
-  std::function<void()> stopped_;
-  Steady::duration idle_at_stop_{};
-  Steady::time_point end_{};  // of a stop
+  boost::asio::steady_timer accept_retry_timer_, idle_sweep_timer_, stop_timer_;
+  std::list<std::shared_ptr<Session>> sessions_;  // ordered by the last bytes received, oldest first
+  bool accepting_ = false, waiting_for_capacity_ = false, draining_ = false, stopping_ = false,
+       acceptor_closed_ = false;
+  std::function<void()> on_stopped_;
+  Steady::duration min_idle_at_stop_{};
+  Steady::time_point stop_deadline_{};
 };
 
 }  // namespace load_balancer::proxy
--- a/src/proxy/request.cpp
+++ b/src/proxy/request.cpp
@@ -16,11 +16,11 @@
 
 namespace http = boost::beast::http;
 
-constexpr double kMostDeadlineMs = 3600 * 1000;
-constexpr double kMostCostUs = 1e12;
-constexpr const char* kNoHost = "unnamed";  // of an HTTP/1.0 request, which need not name one
+constexpr double kMaxDeadlineMs = 3600 * 1000;
+constexpr double kMaxCostUs = 1e12;
+constexpr const char* kMissingHost = "unnamed";  // an HTTP/1.0 request may omit the Host header
 
-std::optional<double> Number(std::string_view text) {
+std::optional<double> ParseNumber(std::string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size() || !std::isfinite(value)) return std::nullopt;
@@ -34,8 +34,8 @@
   return found == names.end() ? -1 : static_cast<int>(found - names.begin());
 }
 
-// What the request is about; 0 if it does not say.
-std::uint64_t KeyOf(boost::beast::string_view cookie) {
+// Returns the hash of the object id in the cookie `obj`, or 0 if there is none.
+std::uint64_t ObjectKey(boost::beast::string_view cookie) {
   std::string list("; ");
   list.append(cookie.data(), cookie.size());
   for (const auto& [name, value] : http::param_list(list)) {
@@ -44,12 +44,12 @@
   return 0;
 }
 
-std::string_view FirstOfPath(std::string_view target) {
+std::string_view FirstPathSegment(std::string_view target) {
   if (!target.empty() && target.front() == '/') target.remove_prefix(1);
   return target.substr(0, target.find_first_of("/?"));
 }
 
-// Headers that concern one connection only, and so must not go on.
+// Removes the headers that apply to one connection only and must not be forwarded (RFC 7230, section 6.1).
 void EraseHopByHop(HttpRequest& message) {
   std::vector<std::string> named;
   for (const auto& token : http::token_list(message[http::field::connection])) named.emplace_back(token);
@@ -62,27 +62,27 @@
 
 }  // namespace
 
-std::optional<Complaint> Understand(HttpRequest message, std::shared_ptr<const Config> in_force,
-                                    ClientRequest* request) {
+std::optional<RequestError> ParseRequest(HttpRequest message, std::shared_ptr<const Config> in_force,
+                                         ClientRequest* request) {
   const Config& config = *in_force;
-  const auto bad = [](const char* what) { return Complaint{http::status::bad_request, what}; };
+  const auto bad = [](const char* what) { return RequestError{http::status::bad_request, what}; };
   const auto coding = message.find(http::field::transfer_encoding);
-  const bool coded = coding != message.end();
-  if (coded && !boost::beast::iequals(coding->value(), "chunked"))
-    return Complaint{http::status::not_implemented, "unknown Transfer-Encoding"};
-  if (coded && message.version() < 11) return bad("Transfer-Encoding before HTTP/1.1");
-  EraseHopByHop(message);  // first: what concerns the connection alone says nothing of the request
-  for (const char* once : {"Host", "Req-Id", "Req-Kind", "Req-Owner", "Req-Deadline-Ms", "Req-Cost"})
-    if (message.count(once) > 1) return bad("a header that may come once came twice");
-  const std::string_view kind = FirstOfPath(View(message.target()));
+  const bool has_transfer_encoding = coding != message.end();
+  if (has_transfer_encoding && !boost::beast::iequals(coding->value(), "chunked"))
+    return RequestError{http::status::not_implemented, "unknown Transfer-Encoding"};
+  if (has_transfer_encoding && message.version() < 11) return bad("Transfer-Encoding before HTTP/1.1");
+  EraseHopByHop(message);  // done first, as these headers say nothing about the request itself
+  for (const char* name : {"Host", "Req-Id", "Req-Kind", "Req-Owner", "Req-Deadline-Ms", "Req-Cost"})
+    if (message.count(name) > 1) return bad("a header that may come once came twice");
+  const std::string_view kind = FirstPathSegment(View(message.target()));
   request->request_class = IndexOf(config.classes, kind);
-  if (request->request_class < 0) return Complaint{http::status::not_found, "unknown class"};
+  if (request->request_class < 0) return RequestError{http::status::not_found, "unknown class"};
   const ClassSettings& c = config.settings.classes[request->request_class];
   const http::verb method = c.idempotency == Idempotency::kIdempotent ? http::verb::get : http::verb::post;
-  if (message.method() != method) return Complaint{http::status::method_not_allowed, "wrong method"};
+  if (message.method() != method) return RequestError{http::status::method_not_allowed, "wrong method"};
   if (message[http::field::host].empty()) {
     if (message.version() >= 11) return bad("Host is missing");
-    message.set(http::field::host, kNoHost);
+    message.set(http::field::host, kMissingHost);
   }
   if (message["Req-Id"].empty()) return bad("Req-Id is missing");
   if (const auto named = message.find("Req-Kind"); named != message.end() && View(named->value()) != kind)
@@ -95,23 +95,23 @@
 
   double deadline_ms = c.deadline.count();
   if (const auto text = message.find("Req-Deadline-Ms"); text != message.end()) {
-    const auto value = Number(View(text->value()));
+    const auto value = ParseNumber(View(text->value()));
     if (!value || *value < 0) return bad("Req-Deadline-Ms is no number");
-    deadline_ms = std::min(*value, kMostDeadlineMs);
+    deadline_ms = std::min(*value, kMaxDeadlineMs);
   }
-  request->patience = Duration(deadline_ms);
+  request->client_timeout = Duration(deadline_ms);
   if (const auto text = message.find("Req-Cost"); text != message.end()) {
-    const auto value = Number(View(text->value()));
+    const auto value = ParseNumber(View(text->value()));
     if (!value || *value < 0) return bad("Req-Cost is no number");
     request->has_hint = true;
-    request->work_ms = std::min(*value, kMostCostUs) / 1000;
+    request->work_ms = std::min(*value, kMaxCostUs) / 1000;
   }
   if (!config.tenants.empty()) {
     request->tenant = IndexOf(config.tenants, View(message["Req-Owner"]));
     if (request->tenant < 0) return bad("unknown Req-Owner");
   }
   request->client_retry = message["Req-Retry"] == "1";
-  request->key = KeyOf(message[http::field::cookie]);
+  request->key = ObjectKey(message[http::field::cookie]);
 
   message.version(11);
   request->message = std::move(message);
--- a/src/proxy/request.h
+++ b/src/proxy/request.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Requests as clients send them.
+// Requests of clients and the parsing of their headers.
 #ifndef LOAD_BALANCER_PROXY_REQUEST_H_
 #define LOAD_BALANCER_PROXY_REQUEST_H_
 
@@ -20,30 +20,32 @@
 using HttpRequest = boost::beast::http::request<boost::beast::http::string_body>;
 using HttpResponse = boost::beast::http::response<boost::beast::http::string_body>;
 
-// A request as read from a client, its headers understood.
+// ClientRequest is a request of a client with its parsed headers.
 struct ClientRequest {
-  HttpRequest message;               // what goes on to backends
-  Buffers::Hold hold;                // of its body, where that is whole
-  std::shared_ptr<BodySource> body;  // where it is not: it follows
-  Duration patience{0};              // that the client has, from the last byte on
-  Steady::time_point due{};
+  HttpRequest message;               // what is sent to servers
+  Buffers::Reservation reservation;  // memory of a completely buffered body
+  std::shared_ptr<BodySource> body;  // a streamed body; null if the body is buffered
+  Duration client_timeout{0};        // how long the client waits after its last byte
+  Steady::time_point due{};          // when the response is due
   int request_class = 0;
   int tenant = 0;
   std::uint64_t key = 0;
   bool has_hint = false, client_retry = false;
-  bool spilled = false;  // here, by another site's gateway
-  double work_ms = 0;
-  std::shared_ptr<const Config> config;  // in force when it came
+  bool is_overflow = false;              // sent here by the gateway of another site
+  double work_ms = 0;                    // from Req-Cost, if has_hint
+  std::shared_ptr<const Config> config;  // the configuration when the request arrived
 };
 
-struct Complaint {
+// RequestError is the response to a request that cannot be handled.
+struct RequestError {
   boost::beast::http::status status = boost::beast::http::status::bad_request;
   std::string text;
 };
 
-// Understands the headers of a request, whose body may yet have to come; a complaint if it can't.
-std::optional<Complaint> Understand(HttpRequest message, std::shared_ptr<const Config> in_force,
-                                    ClientRequest* request);
+// Parses the headers of a request, whose body may not have been received yet. Returns an error if they are
+// not valid.
+std::optional<RequestError> ParseRequest(HttpRequest message, std::shared_ptr<const Config> in_force,
+                                         ClientRequest* request);
 
 }  // namespace load_balancer::proxy
 
