--- a/src/proxy/backend/connection.cpp
+++ b/src/proxy/backend/connection.cpp
@@ -269,7 +269,7 @@
     if (streaming_)
       log::Warn(
           "backends",
-          Failure(kAnswerBroken, "server " + std::to_string(server_) + " broke off an answer after " +
+          Failure(kAnswerBroken, "server " + std::to_string(server_) + " aborted a response after " +
                                      std::to_string(reader_.body_bytes()) + " bytes: " + failed.message()));
     return FinishWithoutResponse(Outcome::kReset);
   }
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -160,8 +160,9 @@
 void Backends::OnUnexpectedBytes(ServerId server) {
   const auto now = Steady::now();
   if (now >= duplicates_expected_until_)
-    log::Info("backends", "server " + std::to_string(server) +
-                              " sent more than was asked for: connections rest between two requests");
+    log::Info("backends",
+              "server " + std::to_string(server) +
+                  " sent bytes that belong to no request: connections now pause between two requests");
   duplicates_expected_until_ = now + kDuplicatesExpected;
 }
 
--- a/tests/backend/backends_fixture.h
+++ b/tests/backend/backends_fixture.h
@@ -34,7 +34,7 @@
 
 // Stores the result of an attempt. A streamed response is a test failure.
 inline proxy::AttemptEvents StoreResult(std::optional<AttemptResult>* result) {
-  return {[](proxy::ResponseHead) { FAIL() << "no answer here is passed on"; },
+  return {[](proxy::ResponseHead) { FAIL() << "the response was streamed"; },
           [result](AttemptResult ended) { *result = std::move(ended); }};
 }
 
@@ -81,7 +81,7 @@
       got.append(bytes, n);
       if (ended && ended != asio::error::would_block) return got;
     }
-    ADD_FAILURE() << "the connection stays open";
+    ADD_FAILURE() << "the connection is still open";
     return got;
   }
   void RunOnce() {
--- a/tests/backend/response_framing_test.cpp
+++ b/tests/backend/response_framing_test.cpp
@@ -50,19 +50,20 @@
 
 TEST(ResponseFraming, IncompleteResponsesCountAsResets) {
   const std::vector<ResponseCase> cases = {
-      {"nothing", "", Ending::kCloses, Outcome::kReset},
-      {"nothing, and a reset", "", Ending::kResets, Outcome::kReset},
-      {"half a status line", "HTTP/1.1 20", Ending::kCloses, Outcome::kReset},
-      {"half a status line, and a reset", "HTTP/1.1 20", Ending::kResets, Outcome::kReset},
-      {"half a head", "HTTP/1.1 200 OK\r\nContent-Len", Ending::kCloses, Outcome::kReset},
-      {"too little", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort", Ending::kCloses, Outcome::kReset},
-      {"half a chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", Ending::kCloses,
+      {"no byte", "", Ending::kCloses, Outcome::kReset},
+      {"no byte, then a reset", "", Ending::kResets, Outcome::kReset},
+      {"a partial status line", "HTTP/1.1 20", Ending::kCloses, Outcome::kReset},
+      {"a partial status line, then a reset", "HTTP/1.1 20", Ending::kResets, Outcome::kReset},
+      {"a partial head", "HTTP/1.1 200 OK\r\nContent-Len", Ending::kCloses, Outcome::kReset},
+      {"a body shorter than its length", "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nshort",
+       Ending::kCloses, Outcome::kReset},
+      {"a partial chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab", Ending::kCloses,
        Outcome::kReset},
       {"no last chunk", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n", Ending::kCloses,
        Outcome::kReset},
-      {"no length, and a reset", "HTTP/1.1 200 OK\r\n\r\nhalf", Ending::kResets, Outcome::kReset},
-      {"no length, nothing, and a reset", "HTTP/1.1 200 OK\r\n\r\n", Ending::kResets, Outcome::kReset},
-      {"half of an error", "HTTP/1.1 500 Oh\r\nContent-Length: 10\r\n\r\nshort", Ending::kResets,
+      {"no length, then a reset", "HTTP/1.1 200 OK\r\n\r\nhalf", Ending::kResets, Outcome::kReset},
+      {"no length and no body, then a reset", "HTTP/1.1 200 OK\r\n\r\n", Ending::kResets, Outcome::kReset},
+      {"a partial error response", "HTTP/1.1 500 Oh\r\nContent-Length: 10\r\n\r\nshort", Ending::kResets,
        Outcome::kReset},
   };
   for (const ResponseCase& response : cases) CheckResponse(response);
@@ -71,10 +72,10 @@
 TEST(ResponseFraming, UnparsableResponsesCountAsResetsAndCloseTheConnection) {
   const std::string ok = "HTTP/1.1 200 OK\r\n";
   const std::vector<ResponseCase> cases = {
-      {"no HTTP", "SSH-2.0-server\r\n\r\n", Ending::kStaysOpen, Outcome::kReset},
-      {"another version", "HTTP/3.7 200 OK\r\nContent-Length: 0\r\n\r\n", Ending::kStaysOpen,
+      {"not HTTP", "SSH-2.0-server\r\n\r\n", Ending::kStaysOpen, Outcome::kReset},
+      {"an unknown version", "HTTP/3.7 200 OK\r\nContent-Length: 0\r\n\r\n", Ending::kStaysOpen,
        Outcome::kReset},
-      {"a status of letters", "HTTP/1.1 abc OK\r\n\r\n", Ending::kStaysOpen, Outcome::kReset},
+      {"a non-numeric status", "HTTP/1.1 abc OK\r\n\r\n", Ending::kStaysOpen, Outcome::kReset},
       {"a length and chunks",
        ok + "Content-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nOK\r\n0\r\n\r\n", Ending::kStaysOpen,
        Outcome::kReset},
@@ -83,17 +84,17 @@
        Outcome::kReset},
       {"two lengths", ok + "Content-Length: 2\r\nContent-Length: 3\r\n\r\nOK!", Ending::kStaysOpen,
        Outcome::kReset},
-      {"a length below zero", ok + "Content-Length: -2\r\n\r\nOK", Ending::kStaysOpen, Outcome::kReset},
-      {"a length of letters", ok + "Content-Length: two\r\n\r\nOK", Ending::kStaysOpen, Outcome::kReset},
-      {"a length beyond all", ok + "Content-Length: 99999999999999999999999\r\n\r\nOK", Ending::kStaysOpen,
+      {"a negative length", ok + "Content-Length: -2\r\n\r\nOK", Ending::kStaysOpen, Outcome::kReset},
+      {"a non-numeric length", ok + "Content-Length: two\r\n\r\nOK", Ending::kStaysOpen, Outcome::kReset},
+      {"an overflowing length", ok + "Content-Length: 99999999999999999999999\r\n\r\nOK", Ending::kStaysOpen,
        Outcome::kReset},
       {"a chunk of size zz", ok + "Transfer-Encoding: chunked\r\n\r\nzz\r\nOK\r\n0\r\n\r\n",
        Ending::kStaysOpen, Outcome::kReset},
-      {"a chunk beyond all", ok + "Transfer-Encoding: chunked\r\n\r\nFFFFFFFFFFFFFFFFFF\r\nOK\r\n",
+      {"an overflowing chunk size", ok + "Transfer-Encoding: chunked\r\n\r\nFFFFFFFFFFFFFFFFFF\r\nOK\r\n",
        Ending::kStaysOpen, Outcome::kReset},
-      {"a chunk longer than told", ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nOK!\r\n0\r\n\r\n",
+      {"a chunk longer than its size", ok + "Transfer-Encoding: chunked\r\n\r\n2\r\nOK!\r\n0\r\n\r\n",
        Ending::kStaysOpen, Outcome::kReset},
-      {"a head too large", ok + "X-Fill: " + std::string(40000, 'x') + "\r\n\r\n", Ending::kStaysOpen,
+      {"an oversized head", ok + "X-Fill: " + std::string(40000, 'x') + "\r\n\r\n", Ending::kStaysOpen,
        Outcome::kReset},
       {"too many headers",
        ok +
@@ -110,17 +111,16 @@
 
 TEST(ResponseFraming, CompleteResponsesHaveTheOutcomeOfTheirStatus) {
   const std::vector<ResponseCase> cases = {
-      {"no length, and an end", "HTTP/1.1 200 OK\r\n\r\nwhole", Ending::kCloses, Outcome::kOk, 0},
+      {"no length, then a close", "HTTP/1.1 200 OK\r\n\r\nwhole", Ending::kCloses, Outcome::kOk, 0},
       {"an older version", "HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nOK", Ending::kStaysOpen, Outcome::kOk,
        0},
-      {"more than told", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nOK and more", Ending::kStaysOpen,
-       Outcome::kOk, 0},
-      {"no content", "HTTP/1.1 204 None\r\n\r\n", Ending::kStaysOpen, Outcome::kError, 1},
-      {"not modified", "HTTP/1.1 304 Same\r\nContent-Length: 9\r\n\r\n", Ending::kStaysOpen, Outcome::kError,
-       1},
-      {"another protocol", "HTTP/1.1 101 Switch\r\nUpgrade: other\r\n\r\n", Ending::kStaysOpen,
+      {"more bytes than the length", "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nOK and more",
+       Ending::kStaysOpen, Outcome::kOk, 0},
+      {"204 without content", "HTTP/1.1 204 None\r\n\r\n", Ending::kStaysOpen, Outcome::kError, 1},
+      {"304", "HTTP/1.1 304 Same\r\nContent-Length: 9\r\n\r\n", Ending::kStaysOpen, Outcome::kError, 1},
+      {"a protocol switch", "HTTP/1.1 101 Switch\r\nUpgrade: other\r\n\r\n", Ending::kStaysOpen,
        Outcome::kError, 0},
-      {"another status", "HTTP/1.1 299 Fine\r\nContent-Length: 2\r\n\r\nOK", Ending::kStaysOpen,
+      {"an unusual 2xx status", "HTTP/1.1 299 Fine\r\nContent-Length: 2\r\n\r\nOK", Ending::kStaysOpen,
        Outcome::kError, 1},
   };
   for (const ResponseCase& response : cases) CheckResponse(response);
--- a/tests/body_test.cpp
+++ b/tests/body_test.cpp
@@ -138,7 +138,7 @@
   EXPECT_EQ(requests[0].body(), body);
   EXPECT_EQ(requests[1].body(), body);
   EXPECT_EQ(requests[0]["Req-Id"], "0b");
-  EXPECT_EQ(site.backend.seen.Get().opened, 1) << "the connection is kept";
+  EXPECT_EQ(site.backend.seen.Get().opened, 1) << "the connection is reused";
 }
 
 TEST(LargeBody, Of32MegabytesIsForwarded) {
@@ -253,7 +253,7 @@
         client.Send(std::string("GET /look HTTP/") + version + "\r\nHost: x\r\nReq-Id: 0a\r\n\r\n");
         EXPECT_EQ(ReadLarge(client).result_int(), 0u) << version;
       }
-      EXPECT_EQ(site.backend.seen.Get().requests.size(), 1u) << "a begun answer is not replaced";
+      EXPECT_EQ(site.backend.seen.Get().requests.size(), 1u) << "a started response is not replaced";
       EXPECT_TRUE(site.WaitUntilQuiet());
     }
   }
@@ -287,7 +287,7 @@
     }
     EXPECT_TRUE(site.backend.WaitForClosed(1));
     EXPECT_TRUE(site.WaitUntilQuiet());
-    EXPECT_TRUE(site.backend.seen.Get().requests.empty()) << "it never came whole";
+    EXPECT_TRUE(site.backend.seen.Get().requests.empty()) << "the upload was never complete";
     EXPECT_EQ(site.backend.seen.Get().opened, 1);
   }
 }
@@ -306,7 +306,7 @@
                                 Members(MemberJson("s-1", one.address), MemberJson("s-2", two.address))));
   Client client(proxy.address);
   client.Send(PostHead(Length(200000)) + Bytes(150000));
-  EXPECT_EQ(ReadLarge(client).result_int(), 503u) << "it cannot have run";
+  EXPECT_EQ(ReadLarge(client).result_int(), 503u) << "the request cannot have run";
   EXPECT_EQ(opened.Get(), 1);
 }
 
@@ -383,7 +383,7 @@
   EXPECT_TRUE(client.Ended());
   Client later(site.proxy->address);
   later.Send(PostHead("Transfer-Encoding: chunked") + Chunk(Bytes(100000)) + "zz\r\n");
-  EXPECT_EQ(ReadLarge(later).result_int(), 400u) << "in mid-body";
+  EXPECT_EQ(ReadLarge(later).result_int(), 400u) << "in the middle of the body";
   EXPECT_TRUE(site.backend.seen.Get().requests.empty());
 }
 
--- a/tests/client/gone_test.cpp
+++ b/tests/client/gone_test.cpp
@@ -92,15 +92,15 @@
     Gone, WaitingClient,
     ::testing::Combine(
         ::testing::Values(Departure::kClose, Departure::kReset),
-        ::testing::Values(QueuedInput{"Nothing", LookRequest("a")},
-                          QueuedInput{"ARequest", LookRequest("a") + LookRequest("b")},
-                          QueuedInput{"HalfARequest", LookRequest("a") + LookRequest("b").substr(0, 30)},
-                          QueuedInput{"MoreThanIsReadAhead", LookRequest("a") + ManyLookRequests()},
-                          QueuedInput{"HalfOfItsBody", BookHead(150000) + std::string(75000, 'b')},
-                          QueuedInput{"MoreOfItsBodyThanIsReadAhead",
-                                      BookHead(200000) + std::string(60000, 'b')})),
+        ::testing::Values(
+            QueuedInput{"Nothing", LookRequest("a")},
+            QueuedInput{"ASecondRequest", LookRequest("a") + LookRequest("b")},
+            QueuedInput{"HalfOfASecondRequest", LookRequest("a") + LookRequest("b").substr(0, 30)},
+            QueuedInput{"MoreThanIsReadAhead", LookRequest("a") + ManyLookRequests()},
+            QueuedInput{"HalfOfTheBody", BookHead(150000) + std::string(75000, 'b')},
+            QueuedInput{"MoreOfTheBodyThanIsReadAhead", BookHead(200000) + std::string(60000, 'b')})),
     [](const auto& info) {
-      return std::string(std::get<0>(info.param) == Departure::kClose ? "ClosesBehind" : "ResetsBehind") +
+      return std::string(std::get<0>(info.param) == Departure::kClose ? "ClosesAfter" : "ResetsAfter") +
              std::get<1>(info.param).name;
     });
 
@@ -119,7 +119,7 @@
   const std::string piece(100 * 1000, 'b');
   auto moved_at = std::chrono::steady_clock::now();
   for (std::size_t sent = 0; std::chrono::steady_clock::now() < moved_at + milliseconds(300);) {
-    ASSERT_LT(sent, kBody) << "nothing holds the client back";
+    ASSERT_LT(sent, kBody) << "there is no backpressure on the client";
     error_code full;
     const std::size_t n = client.socket.write_some(asio::buffer(piece), full);
     if (n > 0) moved_at = std::chrono::steady_clock::now();
@@ -152,10 +152,10 @@
     while (proxy.Ask([](proxy::Proxy& p) { return p.client_connections(); }) > 0 &&
            std::chrono::steady_clock::now() < until)
       std::this_thread::yield();
-    EXPECT_LT(std::chrono::steady_clock::now(), until) << queued.size() << " bytes behind";
+    EXPECT_LT(std::chrono::steady_clock::now(), until) << queued.size() << " bytes sent after the request";
     gone.Do([](bool& g) { g = true; });
     EXPECT_TRUE(proxy.WaitUntilNoRequestIsPending());
-    EXPECT_TRUE(other.seen.Get().requests.empty()) << queued.size() << " bytes behind";
+    EXPECT_TRUE(other.seen.Get().requests.empty()) << queued.size() << " bytes sent after the request";
   }
 }
 
@@ -207,7 +207,7 @@
   while (proxy.Ask([](proxy::Proxy& p) { return p.client_connections(); }) > 0 &&
          std::chrono::steady_clock::now() < until)
     std::this_thread::yield();
-  EXPECT_LT(std::chrono::steady_clock::now(), until) << "not noticed";
+  EXPECT_LT(std::chrono::steady_clock::now(), until) << "the close was not noticed";
   go_on.Do([](bool& g) { g = true; });
   EXPECT_TRUE(proxy.WaitUntilNoRequestIsPending());
   EXPECT_EQ(backend.seen.Get().requests.size(), 1u);
--- a/tests/client/resting_test.cpp
+++ b/tests/client/resting_test.cpp
@@ -78,8 +78,7 @@
   Backend backend;
   SteppedProxy stepped(SmallConfig(backend.address()));
   std::vector<std::unique_ptr<Client>> clients;
-  ASSERT_TRUE(stepped.FillUpAndConnectOneMore(clients))
-      << "the newcomer's place is taken without another look";
+  ASSERT_TRUE(stepped.FillUpAndConnectOneMore(clients)) << "the new connection was not accepted";
   EXPECT_EQ(stepped.Ask(*clients.front()), 200u);
   EXPECT_EQ(stepped.Ask(*clients.back()), 200u);
 }
@@ -107,7 +106,7 @@
   int error = 0;
   socklen_t size = sizeof error;
   ASSERT_EQ(::getsockopt(first.socket.native_handle(), SOL_SOCKET, SO_ERROR, &error, &size), 0);
-  EXPECT_EQ(error, 0) << "a reset";
+  EXPECT_EQ(error, 0) << "the client saw a reset";
   EXPECT_EQ(backend.seen.Get().requests.size(), kMaxClients + 2);
 }
 
--- a/tests/client/signals_test.cpp
+++ b/tests/client/signals_test.cpp
@@ -134,7 +134,8 @@
   }
   program.process->Signal(SIGKILL);
   EXPECT_EQ(program.process->Reap(), 1000 + SIGKILL);
-  for (const auto& client : clients) EXPECT_EQ(client->Read().result_int(), 0u) << "no answer, but an end";
+  for (const auto& client : clients)
+    EXPECT_EQ(client->Read().result_int(), 0u) << "the connection ends without a response";
   for (const HttpRequest& request : backend.seen.Get().requests) EXPECT_EQ(request["Req-Kind"], "book");
   program.Start();
   ASSERT_TRUE(program.WaitUntilReady());
@@ -209,9 +210,9 @@
     }
   }
   discovery.EndWatch();
-  ASSERT_TRUE(discovery.WaitForWatches(2)) << "the watch is opened anew";
+  ASSERT_TRUE(discovery.WaitForWatches(2)) << "the watch was not opened again";
   discovery.Push(ListJson(42, true, Members(MemberJson("s-2", two.address()))));
-  ASSERT_TRUE(one.WaitForClosed(1)) << "the new list is in force";
+  ASSERT_TRUE(one.WaitForClosed(1)) << "the new list was not applied";
   for (int i = 0; i < 20; ++i) {
     const auto newcomer = connect();
     ASSERT_TRUE(newcomer);
