--- a/src/proxy/core/door.cpp
+++ b/src/proxy/core/door.cpp
@@ -74,7 +74,7 @@
 
 void Door::Stop(const Settings& settings, std::function<void()> done) {
   const bool replaced = hot_restart_.OtherAccepts();
-  if (replaced) clients_.Steer(hot_restart_.OtherListensLater() ? 1 : 0);
+  if (replaced) clients_.SteerNewConnections(hot_restart_.OtherListensLater() ? 1 : 0);
   clients_.Stop(replaced ? kReplacedGrace : kStopGrace, replaced ? kReplacedIdle : kStopIdle,
                 Steady::now() + std::chrono::duration_cast<Steady::duration>(TimeToEnd(settings)),
                 std::move(done));
--- a/src/proxy/core/limits.cpp
+++ b/src/proxy/core/limits.cpp
@@ -28,7 +28,7 @@
 }
 
 void Limits::Publish() const {
-  hot_restart_.PublishUsage({clients_.connections(), backends_.connections(), buffers_.held()});
+  hot_restart_.PublishUsage({clients_.connections(), backends_.connections(), buffers_.reserved()});
 }
 
 std::size_t Limits::MostClients() const {
--- a/src/proxy/core/pending.h
+++ b/src/proxy/core/pending.h
@@ -24,7 +24,7 @@
 // From its Submit until it has its answer and no attempt is out.
 struct Pending {
   std::shared_ptr<const HttpRequest> message;
-  Buffers::Hold hold;                // of its body; or
+  Buffers::Reservation hold;         // of its body; or
   std::shared_ptr<BodySource> body;  // what follows of it
   std::shared_ptr<const Config> config;
   Steady::time_point due{};
--- a/src/proxy/core/requests.cpp
+++ b/src/proxy/core/requests.cpp
@@ -35,7 +35,7 @@
   Pending pending;
   if (!federation_.Admit(request, *responder, &pending, &received)) return id;
   pending.message = std::make_shared<const HttpRequest>(std::move(request.message));
-  pending.hold = std::move(request.hold);
+  pending.hold = std::move(request.reservation);
   pending.key = request.key;
   pending.body = std::move(request.body);
   pending.config = std::move(request.config);
@@ -65,7 +65,7 @@
   federation_.Gone(request);
   module_.Feed(ClientGone{request});
   // Nothing may begin for somebody who has left: it may still wait for its connection, or for a slow one.
-  if (attempt != 0) backends_.GiveUp(attempt);
+  if (attempt != 0) backends_.CancelIfUnwritten(attempt);
 }
 
 void Requests::Do(const Dispatch& action) {
@@ -87,12 +87,12 @@
   pending->sent_at = now;
   Duration timeout = pending->due - now;
   if (action.timeout.count() != 0) timeout = std::clamp(action.timeout, Duration(0), timeout);
-  Outgoing out;
+  OutgoingRequest out;
   out.head = pending->message->base();
-  out.whole = {pending->message, &pending->message->body()};
+  out.complete_body = {pending->message, &pending->message->body()};
   out.body = pending->body;
   AttemptEvents events;
-  events.begun = [this, id = action.request, attempt](AnswerHead head) {
+  events.stream_started = [this, id = action.request, attempt](ResponseHead head) {
     OnAttemptBegun(id, attempt, std::move(head));
   };
   events.done = [this, id = action.request, attempt, server = action.server](AttemptResult result) {
@@ -116,13 +116,13 @@
   pending_.ForgetIfOver(action.request);
 }
 
-void Requests::OnAttemptBegun(RequestId request, int attempt, AnswerHead head) {
+void Requests::OnAttemptBegun(RequestId request, int attempt, ResponseHead head) {
   const auto responder = pending_.Conclude(request);
   if (!responder) return head.body->Abandon();
   Pending& pending = *pending_.Find(request);
   pending.first_bytes = Steady::now() - pending.sent_at;
   module_.Feed(StreamStarted{request, attempt});
-  responder->Begun(std::move(head));
+  responder->StreamStarted(std::move(head));
 }
 
 void Requests::OnAttemptDone(RequestId request, int attempt, ServerId server, AttemptResult result) {
@@ -137,11 +137,11 @@
     pending->may_have_run |= !NeverRan(result.outcome);
     const bool passed_on = pending->first_bytes.count() > 0;
     end.took = passed_on ? pending->first_bytes : Duration(Steady::now() - pending->sent_at);
-    end.is_replayable = !pending->body || !pending->body->Spent();
+    end.is_replayable = !pending->body || !pending->body->HasStarted();
   }
   if (result.outcome == Outcome::kOk) {
     if (const auto responder = pending_.Conclude(request))
-      responder->Served(std::move(result.response), std::move(result.hold));
+      responder->Served(std::move(result.response), std::move(result.reservation));
   }
   end.is_request_finished = !pending || !pending->responder;
   if (pending && end.is_request_finished)
--- a/src/proxy/core/requests.h
+++ b/src/proxy/core/requests.h
@@ -44,7 +44,7 @@
   void Do(const FailRequest& action);
 
  private:
-  void OnAttemptBegun(RequestId request, int attempt, AnswerHead head);
+  void OnAttemptBegun(RequestId request, int attempt, ResponseHead head);
   void OnAttemptDone(RequestId request, int attempt, ServerId server, AttemptResult result);
 
   ModuleDriver& module_;
--- a/src/proxy/federation/link.cpp
+++ b/src/proxy/federation/link.cpp
@@ -22,8 +22,8 @@
 
 bool FederationLink::Admit(const ClientRequest& request, Responder& responder, Pending* pending,
                            RequestReceived* received) {
-  received->is_overflow = request.spilled;
-  if (!federation_ || request.spilled || request.config->tenants.empty()) return true;
+  received->is_overflow = request.is_overflow;
+  if (!federation_ || request.is_overflow || request.config->tenants.empty()) return true;
   const std::string& owner = request.config->tenants[static_cast<std::size_t>(request.tenant)];
   const auto charged = federation_->Charge(owner, request.has_hint ? request.work_ms : module_.MeanWork());
   pending->charge_receipt = charged.receipt;
@@ -76,7 +76,7 @@
 void FederationLink::AnswerRefused(RequestId request, Duration retry_after) {
   if (const auto responder = pending_.Conclude(request)) {
     CreditIfNotRun(*pending_.Find(request));
-    responder->Refused(retry_after);
+    responder->Rejected(retry_after);
   }
   pending_.ForgetIfOver(request);
 }
@@ -95,13 +95,13 @@
 
 load_balancer::SpareCapacity FederationLink::SpareNow() const { return module_.EstimateSpareCapacity(); }
 
-void FederationLink::OnSpillBegun(RequestId request, AnswerHead head) {
+void FederationLink::OnSpillBegun(RequestId request, ResponseHead head) {
   const auto responder = pending_.Conclude(request);
-  responder ? responder->Begun(std::move(head)) : head.body->Abandon();
+  responder ? responder->StreamStarted(std::move(head)) : head.body->Abandon();
   pending_.ForgetIfOver(request);
 }
 
-void FederationLink::OnSpillServed(RequestId request, HttpResponse answer, Buffers::Hold hold) {
+void FederationLink::OnSpillServed(RequestId request, HttpResponse answer, Buffers::Reservation hold) {
   if (const auto responder = pending_.Conclude(request))
     responder->Served(std::move(answer), std::move(hold));
   pending_.ForgetIfOver(request);
--- a/src/proxy/federation/link.h
+++ b/src/proxy/federation/link.h
@@ -63,8 +63,8 @@
   const SpillService* spill() const { return federation_ ? std::as_const(*federation_).spill() : nullptr; }
 
   load_balancer::SpareCapacity SpareNow() const override;
-  void OnSpillBegun(RequestId request, AnswerHead head) override;
-  void OnSpillServed(RequestId request, HttpResponse answer, Buffers::Hold hold) override;
+  void OnSpillBegun(RequestId request, ResponseHead head) override;
+  void OnSpillServed(RequestId request, HttpResponse answer, Buffers::Reservation hold) override;
   void OnSpillRefused(RequestId request, Duration retry_after) override;
   void OnSpillFailed(RequestId request) override;
 
--- a/src/proxy/federation/spill_service.cpp
+++ b/src/proxy/federation/spill_service.cpp
@@ -73,9 +73,9 @@
       host_(host),
       spill_(options_, DirectoryOf(sites), sites.site, seed, Steady::now()),
       neighbours_(io,
-                  Backends::Limits{.connections = std::move(most_connections),
-                                   .local = OwnAddress(sites, self),
-                                   .proxies = true,
+                  Backends::Limits{.max_connections = std::move(most_connections),
+                                   .local_address = OwnAddress(sites, self),
+                                   .servers_are_proxies = true,
                                    .on_head = [this](const auto& head) { OnHead(head); }},
                   buffers),
       timer_(io) {
@@ -105,7 +105,7 @@
   const AttemptId attempt = open->second.attempt;
   open_.erase(open);
   Feed(spill::ClientGone{request});
-  neighbours_.GiveUp(attempt);
+  neighbours_.CancelIfUnwritten(attempt);
 }
 
 void SpillService::Feed(const spill::Event& event) {
@@ -118,13 +118,14 @@
   const auto open = open_.find(action.request);
   if (open == open_.end()) return;
   const auto timeout = std::chrono::duration_cast<Duration>(action.timeout);
-  Outgoing out;
+  OutgoingRequest out;
   out.head = open->second.message->base();
   out.head.set(std::string(spill::kMarkHeader), spill::MarkOf({sites_.site, self_}));
-  out.whole = {open->second.message, &open->second.message->body()};
+  out.complete_body = {open->second.message, &open->second.message->body()};
   AttemptEvents events;
   const auto sent = Steady::now();
-  events.begun = [this, request = action.request, neighbour = action.neighbour, sent](AnswerHead head) {
+  events.stream_started = [this, request = action.request, neighbour = action.neighbour,
+                           sent](ResponseHead head) {
     if (open_.erase(request) == 0) return head.body->Abandon();
     host_.OnSpillBegun(request, std::move(head));
     Feed(spill::SpillAnswered{request, neighbour, spill::SpillOutcome::kOk, Steady::now() - sent,
@@ -141,7 +142,7 @@
                           AttemptResult result) {
   const spill::SpillOutcome outcome = OutcomeOf(result.outcome);
   if (outcome == spill::SpillOutcome::kOk && open_.erase(request) > 0)
-    host_.OnSpillServed(request, std::move(result.response), std::move(result.hold));
+    host_.OnSpillServed(request, std::move(result.response), std::move(result.reservation));
   Feed(spill::SpillAnswered{request, neighbour, outcome, Steady::now() - sent, std::nullopt});
 }
 
--- a/src/proxy/federation/spill_service.h
+++ b/src/proxy/federation/spill_service.h
@@ -33,8 +33,8 @@
  public:
   virtual ~SpillHost() = default;
   virtual load_balancer::SpareCapacity SpareNow() const = 0;
-  virtual void OnSpillBegun(RequestId request, AnswerHead head) = 0;
-  virtual void OnSpillServed(RequestId request, HttpResponse answer, Buffers::Hold hold) = 0;
+  virtual void OnSpillBegun(RequestId request, ResponseHead head) = 0;
+  virtual void OnSpillServed(RequestId request, HttpResponse answer, Buffers::Reservation hold) = 0;
   virtual void OnSpillRefused(RequestId request, Duration retry_after) = 0;
   virtual void OnSpillFailed(RequestId request) = 0;
 };
--- a/src/proxy/proxy.cpp
+++ b/src/proxy/proxy.cpp
@@ -89,7 +89,7 @@
   change.previous_class_indices = IndicesBefore(before->classes, config_->classes);
   change.previous_tenant_indices = IndicesBefore(before->tenants, config_->tenants);
   module_.Feed(std::move(change));
-  backends_.SetTimes(config_->connect_timeout, config_->conn_idle);
+  backends_.SetTimeouts(config_->connect_timeout, config_->conn_idle);
   discovery_.MoveTo(config_->discovery);
   if (Federation* const sites = federation_.federation()) sites->Reconfigure(*config_);
 }
@@ -121,7 +121,7 @@
 
 bool Proxy::Ready() const { return !recovery_.Waits() && door_.Open(); }
 
-bool Proxy::TakeMark(HttpRequest* message, const boost::asio::ip::address& peer) {
+bool Proxy::TakeOverflowMark(HttpRequest* message, const boost::asio::ip::address& peer) {
   return federation_.TakeMark(message, peer);
 }
 
--- a/src/proxy/proxy.h
+++ b/src/proxy/proxy.h
@@ -54,15 +54,15 @@
   std::size_t backend_connections() const { return backends_.connections(); }
   std::size_t client_connections() const { return clients_.connections(); }
   std::size_t held() const { return pending_.size(); }
-  std::size_t buffered() const { return buffers_.held(); }  // bytes of messages held whole
+  std::size_t buffered() const { return buffers_.reserved(); }  // bytes of messages held whole
 
  private:
   RequestId OnRequest(ClientRequest request, std::shared_ptr<Responder> responder) override;
   void OnUploaded(RequestId request, Steady::time_point due) override;
   void OnClientGone(RequestId request) override;
   bool Ready() const override;
-  std::shared_ptr<const Config> InForce() const override { return config_; }
-  bool TakeMark(HttpRequest* message, const boost::asio::ip::address& peer) override;
+  std::shared_ptr<const Config> CurrentConfig() const override { return config_; }
+  bool TakeOverflowMark(HttpRequest* message, const boost::asio::ip::address& peer) override;
   std::string EstimateText() const override;
 
   void OnLook();
--- a/tests/federation/spill_service_test.cpp
+++ b/tests/federation/spill_service_test.cpp
@@ -27,8 +27,8 @@
 class Origin : public proxy::SpillHost, public proxy::Pool::Host {
  public:
   load_balancer::SpareCapacity SpareNow() const override { return {}; }
-  void OnSpillBegun(RequestId, proxy::AnswerHead) override { ends.push_back("begun"); }
-  void OnSpillServed(RequestId, HttpResponse answer, proxy::Buffers::Hold) override {
+  void OnSpillBegun(RequestId, proxy::ResponseHead) override { ends.push_back("begun"); }
+  void OnSpillServed(RequestId, HttpResponse answer, proxy::Buffers::Reservation) override {
     ends.push_back("served " + answer.body());
   }
   void OnSpillRefused(RequestId, Duration) override { ends.push_back("refused"); }
--- a/tests/proxy_test.cpp
+++ b/tests/proxy_test.cpp
@@ -180,7 +180,7 @@
     ASSERT_TRUE(backend.WaitForRequests(1));
   }
   release.Do([](bool& r) { r = true; });
-  EXPECT_TRUE(site.proxy->WaitUntilNothingIsHeld());
+  EXPECT_TRUE(site.proxy->WaitUntilNoRequestIsPending());
   // The answer came in whole, so that the connection is good for the next request.
   Client next(site.proxy->address);
   EXPECT_EQ(next.Ask(Book()).body(), "for nobody");
@@ -546,13 +546,13 @@
   message.set("X-Hop", "1");
   message.set("X-End", "1");
   proxy::ClientRequest request;
-  EXPECT_FALSE(proxy::Understand(message, in_force, &request));
+  EXPECT_FALSE(proxy::ParseRequest(message, in_force, &request));
   EXPECT_EQ(request.request_class, 0);
   EXPECT_EQ(request.tenant, 1);
   EXPECT_TRUE(request.has_hint);
   EXPECT_DOUBLE_EQ(request.work_ms, 2.5);
   EXPECT_TRUE(request.client_retry);
-  EXPECT_EQ(request.patience, Duration(480));
+  EXPECT_EQ(request.client_timeout, Duration(480));
   EXPECT_NE(request.key, 0u);
   EXPECT_EQ(request.message.count("X-Hop"), 0u);
   EXPECT_EQ(request.message.count("Connection"), 0u);
@@ -560,13 +560,13 @@
 
   proxy::ClientRequest other;
   message.set("Cookie", "obj=7f3a9c21e0b4d655");
-  EXPECT_FALSE(proxy::Understand(message, in_force, &other));
+  EXPECT_FALSE(proxy::ParseRequest(message, in_force, &other));
   EXPECT_EQ(other.key, request.key);
   message.erase("Cookie");
-  EXPECT_FALSE(proxy::Understand(message, in_force, &other));
+  EXPECT_FALSE(proxy::ParseRequest(message, in_force, &other));
   EXPECT_EQ(other.key, 0u);
   message.set("Req-Owner", "nobody");
-  EXPECT_TRUE(proxy::Understand(message, in_force, &other));
+  EXPECT_TRUE(proxy::ParseRequest(message, in_force, &other));
 }
 
 TEST(Proxy, MoreClientsThanItMayHoldTakeThePlacesOfIdleOnes) {
