--- /dev/null
+++ b/src/proxy/backend/response_reader.cpp
@@ -0,0 +1,67 @@
+// SPDX-License-Identifier: Apache-2.0
+#include "backend/response_reader.h"
+
+#include <chrono>
+
+#include "backends.h"
+
+namespace load_balancer::proxy {
+namespace {
+
+namespace http = boost::beast::http;
+
+constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
+constexpr std::size_t kMaxChunkHeaderBytes = 4 * 1024;
+// A response of unknown length that is not complete after this time is streamed.
+constexpr std::chrono::milliseconds kBufferTime{100};
+
+}  // namespace
+
+ResponseReader::ResponseReader() : buffer_(kMaxHeaderBytes + kMaxChunkHeaderBytes) {}
+
+void ResponseReader::Begin() {
+  buffered_ = {};
+  body_bytes_ = 0;
+  parser_.emplace();
+  parser_->body_limit(boost::none);
+  parser_->header_limit(kMaxHeaderBytes);
+}
+
+// The proxy never requests a protocol switch, so a 101 counts as a final response.
+bool ResponseReader::IsInterim() const {
+  return head().result_int() < 200 && head().result() != http::status::switching_protocols;
+}
+
+void ResponseReader::BeginBody(Buffers& buffers) {
+  reservation_ = Buffers::Reservation(buffers);
+  buffer_until_ = Steady::now() + kBufferTime;
+}
+
+bool ResponseReader::MustStream(bool reserved) const {
+  const auto length = parser_->content_length();
+  return !reserved || body_bytes_ >= kMaxBufferedMessageBytes ||
+         (length && *length > kMaxBufferedMessageBytes) || (!length && Steady::now() >= buffer_until_);
+}
+
+HttpResponse ResponseReader::TakeComplete() {
+  HttpResponse response(std::move(parser_->get().base()));
+  response.body() = std::move(buffered_);
+  return response;
+}
+
+ResponseHead ResponseReader::StartStreaming() {
+  ResponseHead result;
+  if (const auto type = head().find(http::field::content_type); type != head().end())
+    result.content_type.assign(type->value().data(), type->value().size());
+  if (const auto length = parser_->content_length()) result.length = *length;
+  reservation_.Release();
+  return result;
+}
+
+void ResponseReader::Clear() {
+  parser_.reset();
+  buffered_ = {}, piece_ = {};
+  buffer_.shrink_to_fit();
+}
+
+}  // namespace load_balancer::proxy
