--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -99,7 +99,7 @@
 
 enum class ServerState { kGone, kReady, kDraining };
 
-/// ListKind states how a ListUpdate relates to the updates before it.
+/// ListKind states what a ListUpdate contains.
 enum class ListKind {
   kDelta,   ///< The update contains the changes since the last update.
   kFull,    ///< The update contains the complete list.
@@ -341,7 +341,7 @@
   Balancer& operator=(Balancer&& other) noexcept;
 
   /// Handles `event` at time `now` and appends the resulting actions to `actions`. Ignores references to
-  /// unknown requests and servers. Throws no exception because of an event's content.
+  /// unknown requests and servers. No content of an event causes an exception.
   void Handle(TimePoint now, const Event& event, std::vector<Action>* actions);
 
   /// Returns the measured rates, from which a process that replaces this one starts.
--- a/model/lease/cluster.h
+++ b/model/lease/cluster.h
@@ -54,8 +54,10 @@
   bool has_initial_disks = true;
   // If false, the wall clocks show constant times, which differ between members.
   bool are_wall_clocks_running = true;
-  int max_faults = 2;  // limit per path, of restarts, releases and duplicated messages
-  int max_proofs = 1;  // limit per path, of proofs that are taken some time before the action
+  // Maximum total number of restarts, releases and duplicated messages on one path of the search.
+  int max_faults = 2;
+  // Maximum number of proofs on one path of the search that are taken some time before the action.
+  int max_proofs = 1;
 };
 
 // The state of the cluster.
--- a/model/lease/member.cpp
+++ b/model/lease/member.cpp
@@ -107,8 +107,8 @@
   host_.Send(to, message, kMessageBytes);
 }
 
-// Checks that a member that becomes holder or renews its lease is the only acting one. An overlap can only
-// begin at such a moment.
+// Checks, whenever a member becomes holder or renews its lease, that no other member may act. An overlap can
+// only begin at such a moment.
 void LeaseMember::OnLeaseStatus(const std::string&, fleet::LeaseStatus status, fleet::FencingToken token,
                                 Span remaining, std::string_view) {
   if (status != fleet::LeaseStatus::kHolder) return;
--- a/model/overflow/federation.h
+++ b/model/overflow/federation.h
@@ -105,7 +105,8 @@
   void CountForwarded(const ModelRequest& request);
 
  private:
-  // Records the final response of a request, and returns whether the tallies count the request.
+  // Records the final response of a request. Returns false if the request is too early to be counted in the
+  // results.
   bool RecordFinal(const ModelRequest& request);
 
   const OverflowFederationOptions options_;
--- a/model/quota/scenario.h
+++ b/model/quota/scenario.h
@@ -23,7 +23,7 @@
   explicit QuotaScenario(std::uint64_t seed);
 
   const GatewaysOptions& options() const { return options_; }
-  // Returns the revisions of the budgets in their order, one to three. The second one may have no partners.
+  // Returns the one to three revisions of the budgets, oldest first. The second one may have no partners.
   const std::vector<std::shared_ptr<const quota::Budgets>>& revisions() const { return revisions_; }
   // Returns when all gateways have the last revision; zero if they have it from the start.
   Moment all_reloaded_at() const { return all_reloaded_at_; }
--- a/model/quota/spender.h
+++ b/model/quota/spender.h
@@ -21,7 +21,7 @@
   Span interval = std::chrono::milliseconds(4);  // between two series of charges
   double request_cost = 0.5;     // units of a request; the rest of an account is spent in eighths of that
   double probe_cost = 1;         // units of the last request of a series, whose rejection signals demand
-  double credited_fraction = 0;  // fraction of admitted requests that prove not to have run
+  double credited_fraction = 0;  // fraction of admitted requests that turn out not to have run
   Span max_proof_delay = std::chrono::milliseconds(1500);  // the longest time from a charge to its credit
 };
 
--- a/src/fleet/lease/voter.h
+++ b/src/fleet/lease/voter.h
@@ -66,7 +66,8 @@
   /// Ends the vote if its holder and token match the release.
   void OnRelease(Time now, const LeaseMessage& release);
 
-  /// Does the same as Leases::AppendFingerprint for this voter.
+  /// Appends all state of this voter that determines future behaviour, with times relative to `now`. The
+  /// model checker uses it through Leases::AppendFingerprint.
   void AppendFingerprint(Time now, std::vector<std::uint64_t>* words) const;
 
  private:
--- a/src/fleet/node/fleet_listener.h
+++ b/src/fleet/node/fleet_listener.h
@@ -28,9 +28,9 @@
   virtual void OnLimitShare(int max_in_flight) = 0;
   /// Called once, when the complete member table and shared state of a peer have been received.
   virtual void OnJoined() = 0;
-  /// Called when the role of this process in a duty has changed or its lease was renewed.
+  /// Called when the status of this process for the leased role `duty` has changed or its lease was renewed.
   virtual void OnLeaseStatus(const std::string& duty, LeaseStatus status) = 0;
-  /// Called when the lease holder of a duty has published a value.
+  /// Called when the lease holder of a role has published a value.
   virtual void OnFencedValue(const FencedValue& fenced) = 0;
 };
 
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -14,7 +14,8 @@
 
 using Steady = std::chrono::steady_clock;
 
-// The fleet size that the first wait of Settle assumes, as this member may not have received a member table.
+// The fleet size from which Settle computes the length of its first wait. The actual size may not be known
+// yet, because this member may not have received a member table.
 constexpr std::size_t kAssumedMembers = 9;
 
 }  // namespace
--- a/src/overflow/token_bucket.h
+++ b/src/overflow/token_bucket.h
@@ -34,7 +34,7 @@
     Refill(now, rate_);
     return level_ > 0 && level_ >= min_level;
   }
-  // Takes the work of a request from the level. To be called only after HasAtLeast returned true.
+  // Subtracts the work of a request from the level. Must only be called after HasAtLeast returned true.
   void Take(double work) { level_ -= work; }
 
   // Returns the level in ms of hinted work. It is below zero while a deficit is being refilled.
--- a/src/policy/admission_queue.h
+++ b/src/policy/admission_queue.h
@@ -27,7 +27,8 @@
 
   void Add(Request& request);
 
-  /// Removes the request, but leaves its expiry. Does nothing if the request is not queued.
+  /// Removes the request from the queue. Its expiry stays recorded, so TakeExpired may still return it. Does
+  /// nothing if the request is not queued.
   void Remove(Request& request);
 
   [[nodiscard]] std::optional<Position> First() const;
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -8,8 +8,10 @@
 namespace load_balancer {
 namespace {
 
-constexpr Duration kMaxInterval{10000};      // default of A50
-constexpr Duration kBaseEjectionTime{2000};  // duration of the first ejection: one interval
+constexpr Duration kMaxInterval{10000};  // default of A50
+// Duration of the first ejection if the detection interval is kDetectionInterval. It is one interval in any
+// case.
+constexpr Duration kBaseEjectionTime{2000};
 constexpr Duration kMaxEjectionTime{16000};  // time within which a recovered server is tried again
 constexpr double kReturnJitterMin = 0.75;    // applied to the ejection time if traffic is sparse
 constexpr double kReturnJitterRange = 0.5;
--- a/src/policy/server_list.cpp
+++ b/src/policy/server_list.cpp
@@ -190,7 +190,8 @@
   }
 }
 
-// Adapts to the ejection of the server by the detector.
+// Updates the time of the next return to service and the servers in service after the detector has ejected
+// the server.
 void ServerList::HandleEjection(const Server& server) {
   next_return_ = std::min(next_return_, server.health.return_at);
   UpdateServersInService();
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -13,7 +13,8 @@
 constexpr Duration kWorkRateMemory{8000};
 // Averaging time of the rate of responses, which determines the limit on attempts in flight.
 constexpr Duration kResponseRateMemory{1500};
-// After this time without arrivals, the response rate is not updated, as it says nothing about servers.
+// If no request arrives for longer than this, the response rate is not updated, because a lack of responses
+// then says nothing about the servers.
 constexpr Duration kArrivalPause{1000};
 // Weight of a sample that raises the response rate of a new proxy.
 constexpr double kNewProxyGain = 0.7;
--- a/src/proxy/client/session.cpp
+++ b/src/proxy/client/session.cpp
@@ -424,8 +424,8 @@
 
 void Clients::Session::DiscardInput() {
   if (read_in_progress_) return CancelRead();
-  stream_.expires_at(ending_since_ +
-                     kCloseTimeout);  // in total, so that a client cannot keep the connection by sending
+  // The timeout is not extended by input, so that a client cannot keep the connection open by sending.
+  stream_.expires_at(ending_since_ + kCloseTimeout);
   ReadInto(reader_.Discard());
 }
 
--- a/src/quota/grant_planner.h
+++ b/src/quota/grant_planner.h
@@ -17,8 +17,8 @@
   Time expires_at;
 };
 
-/// Plans the grants that are issued at one time. It caches the total of each slot, because each grant changes
-/// the totals for the next one.
+/// Plans the grants that are issued at one time. It caches, for each time slot of the commitments, the sum of
+/// the allocations of all gateways, because each grant changes the sums for the next one.
 class GrantPlanner {
  public:
   /// Considers the slots from `now` to `end`. The arguments must outlive this object.
--- a/src/quota/messages.h
+++ b/src/quota/messages.h
@@ -73,8 +73,8 @@
   /// Whether all gateways have the revision and no grant of an earlier revision is in force.
   bool is_agreed = false;
   std::vector<Grant> grants;  ///< Empty if the revisions differ.
-  /// Partners whose reserved minimum at this gateway is needed elsewhere. The gateway should request a grant,
-  /// because the minimum is lent while a grant is in force.
+  /// Partners whose reserved minimum at this gateway is needed by other gateways. This gateway should request
+  /// a grant for each of them: while it has a grant, the allocator can lend its minimum to other gateways.
   std::vector<std::string> recalls;
   std::vector<ReservedMinimum> reserved_minimums;  ///< Empty unless the revisions differ.
 };
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -61,7 +61,7 @@
   std::vector<std::thread> threads_;
 };
 
-// Sends requests until the process has ejected a server. Returns false if that takes longer than kBound.
+// Sends requests until the process has ejected a server. Returns false if that takes longer than kMaxWait.
 bool ProvokeEjection(Cluster& cluster, std::size_t member) {
   const auto log_position = cluster.process(member).LineCount();
   const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
@@ -236,7 +236,7 @@
   EXPECT_LE(peak, kLimit + kJoiners) << "a joining member may send one request before the others know of it";
 }
 
-// Repeats the call STATE until its answer contains `part`. Returns false if that takes longer than kBound.
+// Repeats the call STATE until its answer contains `part`. Returns false if that takes longer than kMaxWait.
 bool WaitForState(Cluster& cluster, std::size_t member, const std::string& part) {
   const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
   while (std::chrono::steady_clock::now() < deadline) {
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -62,7 +62,8 @@
 TEST(Admission, QueuesRequestsBeyondTheLimitAndRejectsThemInTime) {
   Rig rig;
   rig.Servers(1);
-  rig.Tick(10000), rig.Tick(10000);  // the assumed crowding has decayed
+  // After this time, the high crowding that a new proxy assumes (see TrafficStatistics) has decayed.
+  rig.Tick(10000), rig.Tick(10000);
   for (int i = 0; i < 4; ++i) ASSERT_TRUE(rig.Send(next_id++, 2, 10, 5000).has_value());
   EXPECT_FALSE(rig.Send(next_id++, 2, 10, 5000).has_value());
   double waited = 0;
--- a/tests/policy/maintenance_test.cpp
+++ b/tests/policy/maintenance_test.cpp
@@ -134,7 +134,7 @@
   const auto not_idempotent = rig.Send(1, 2);
   const auto idempotent = rig.Send(2, 0);
   ASSERT_TRUE(not_idempotent && idempotent);
-  rig.Handle(Change({2, 0}));  // class 1 is removed, the others change places
+  rig.Handle(Change({2, 0}));  // class 1 is removed, class 2 becomes 0, and class 0 becomes 1
   rig.EndAttempt(1, 0, *not_idempotent, Outcome::kReset);
   EXPECT_FALSE(rig.SentTo(1)) << "it is still not idempotent, though an idempotent class has its index now";
   EXPECT_EQ(rig.Count<FailRequest>(), 1);
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -236,7 +236,8 @@
   EXPECT_EQ(in_service, 3);
 }
 
-// If half of the other attempts fail, a threshold of twice their failure share would be 1 or more.
+// If half of the other attempts fail, twice their failure share is 1 or more. A server that always fails
+// could not exceed such a threshold.
 TEST(OutlierDetection, AServerThatAlwaysFailsIsEjectedEvenIfOthersFailHalfOfTheTime) {
   Settings settings = DefaultSettings();
   settings.max_attempts = 1;
--- a/tests/policy/retries_test.cpp
+++ b/tests/policy/retries_test.cpp
@@ -66,7 +66,7 @@
     Rig rig;
     rig.List({Entry(1, 0, 1), Entry(2, 0, 1), Entry(3, 0, 2), Entry(4, 1, 1)});
     ServerId first = *rig.Send(next_id, 1);
-    while (first > 2) {  // start in the cell of servers 1 and 2
+    while (first > 2) {  // until the first attempt is at server 1 or 2, which share a cell
       rig.EndAttempt(next_id, 0, first, Outcome::kOk);
       first = *rig.Send(++next_id, 1);
     }
--- a/tests/state/recovery_test.cpp
+++ b/tests/state/recovery_test.cpp
@@ -131,7 +131,7 @@
     config["state"] = kShortInterval;
   }
   // Sends requests until the process has ejected the failing server and its snapshot contains the ejection.
-  // Returns false if that takes longer than kBound.
+  // Returns false if that takes longer than kMaxWait.
   bool EjectAndWaitForSnapshot(Member& member) {
     const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
     while (std::chrono::steady_clock::now() < deadline) {
