--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -40,8 +40,8 @@
   kNotIdempotent    ///< A request must not run twice.
 };
 
-/// IdempotencyScope is the set of servers that share idempotency keys: each of them discards the repeat of a
-/// request that another one has received. It is the whole fleet, the servers of a zone or those of a cell.
+/// IdempotencyScope is the set of servers that share idempotency keys: all servers, or the servers of one
+/// zone or cell. If one of them has received a request, the others discard a repeat of it.
 enum class IdempotencyScope { kAll, kZone, kCell };
 
 /// ClassSettings holds the rules of one class of requests.
@@ -49,7 +49,7 @@
   Idempotency idempotency = Idempotency::kNotIdempotent;
   /// The servers that share idempotency keys. Used with Idempotency::kIdempotencyKey only.
   IdempotencyScope idempotency_scope = IdempotencyScope::kAll;
-  /// The time for which servers remember an idempotency key. Used with Idempotency::kIdempotencyKey only.
+  /// How long servers remember an idempotency key. Used with Idempotency::kIdempotencyKey only.
   Duration idempotency_window{0};
   Duration latency_objective{0};
   Duration deadline{0};
@@ -78,7 +78,7 @@
   double cross_zone_price = 0;
   /// Whether a server that has recently served a key serves it again with less work.
   bool session_affinity = false;
-  /// Whether discovery does not push the endpoint list, so that the proxy has to repeat Subscribe.
+  /// Whether discovery does not push the endpoint list, so that the proxy must poll it with Subscribe.
   bool must_poll_for_list = false;
   int max_attempts = 1;
   /// The longest Retry-After that rejected clients obey; 0 if they ignore Retry-After.
@@ -87,9 +87,9 @@
   Duration tick{1};
   /// The longest time between two polls. Used with must_poll_for_list only.
   Duration max_poll_interval{0};
-  /// The share of its capacity that a server has at least when it starts.
+  /// The minimum share of its full capacity that a server has when it starts.
   double slow_start_min_share = 1;
-  /// The longest time that a server needs after its start until it has its full capacity.
+  /// The longest time from a server's start until it has its full capacity.
   Duration slow_start_window{0};
   /// The overload limit: a server fails if it gets more work within overload_window than this multiple of its
   /// present capacity.
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -21,8 +21,8 @@
   /// Returns the limit on attempts in flight, which protects a fleet that is slow as a whole. By Little's law
   /// it is the recent rate of responses times MaxResponseTime(), with an allowance for random arrivals and a
   /// minimum. Attempts beyond it would only queue at servers. Attempts whose response is overdue do not
-  /// count. Each request counts as one whatever its work, so that a huge request is neither blocked by the
-  /// limit nor uses it up alone.
+  /// count. Each request counts as one, whatever its work, so that the limit never blocks a huge request and
+  /// a huge request does not use up the limit alone.
   [[nodiscard]] double Limit() const;
 
   /// Returns the response time in ms on which Limit() is based: a fraction of the latency objective, but no
@@ -35,13 +35,13 @@
   [[nodiscard]] bool ShouldShed(const Request& request) const;
 
   /// Sets Request::value and charges the tenant's quota. `objective` is the remaining part of the latency
-  /// objective. A request that would exceed it even at an idle server gets a lower value, so that it does not
-  /// displace requests that can be in time.
+  /// objective. A request that would exceed the objective even at an idle server gets a lower value, so that
+  /// it does not displace requests that can be in time.
   void SetValue(const RequestReceived& received, Duration objective, Request* request);
 
   /// Estimates how much of a request's latency objective had passed before the request arrived here. The
-  /// requests of a class usually arrive with the same remaining time. A shorter one indicates a client's last
-  /// retry, which has only the rest of the client's deadline.
+  /// requests of a class usually arrive with the same remaining time. A shorter remaining time indicates a
+  /// client's last retry, whose time-out is cut off by the client's deadline.
   Duration ElapsedBeforeArrival(const RequestReceived& received, ClassStatistics& statistics) const;
 
   /// Adds the tokens of `elapsed` ms to the tenants' quotas.
--- a/src/policy/attempts_in_flight.h
+++ b/src/policy/attempts_in_flight.h
@@ -11,11 +11,11 @@
 
 namespace load_balancer {
 
-/// Holds the attempts whose response has neither begun nor become overdue. Attempts for overflow of other
-/// sites are counted separately, as they do not count against the limit.
+/// Holds the attempts whose response has neither begun nor become overdue. Attempts for overflow from
+/// other sites do not count against the limit, so they are counted separately.
 class AttemptsInFlight {
  public:
-  /// Adds the last attempt of the request, until Attempt::overdue_at.
+  /// Adds the last attempt of the request. RemoveOverdue removes it after Attempt::overdue_at.
   void Add(const Request& request);
 
   /// Removes an attempt; returns whether it was present.
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -23,7 +23,7 @@
 constexpr double kMaxCoincidenceProbability = 0.001;
 // Failures that are assumed at other hosts before any are counted.
 constexpr double kPriorFailures = 0.1;
-// Hosts with enough attempts that a comparison needs.
+// Smallest number of hosts with enough attempts for a comparison.
 constexpr int kMinimumHosts = 2;
 // Smallest failure share of an outlier. It is well above random fluctuation.
 constexpr double kThreshold = 0.4;
@@ -125,8 +125,8 @@
 
 bool OutlierDetector::MayEject() const { return 100.0 * ejected_hosts_ < kMaxEjectionPercent * hosts_; }
 
-// Returns the number of attempts needed to evaluate a host. With sparse traffic it is as low as the number of
-// attempts that are unlikely to all fail by chance, given the failure share of the other hosts.
+// Returns the number of attempts needed to evaluate a host. With sparse traffic this number may be
+// smaller: so many attempts are unlikely to all fail by chance, given the failure share of the other hosts.
 int OutlierDetector::MinRequestVolume(const Counts& others) const {
   const double others_share = (others.failures + kPriorFailures) / (others.attempts + 1);
   if (!is_traffic_sparse_ || others_share >= 1) return kRequestVolume;
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -20,7 +20,7 @@
 struct HostHealth {
   int successes = 0;
   int failures = 0;
-  int multiplier = 0;  ///< of the ejection time; the number of ejections in a row
+  int multiplier = 0;  ///< multiplier of the ejection time: the number of ejections in a row
   bool is_ejected = false;
   bool is_peer_ejection = false;  ///< whether the ejection is due to a peer's report
   TimePoint return_at{};
@@ -39,10 +39,11 @@
   /// Counts a response and evaluates the host; returns whether this ejects the host.
   bool RecordResponse(HostHealth& host, bool is_listed, bool success, TimePoint now, RandomSource& random);
 
-  /// Ejects a listed host that a peer has ejected; returns whether it is ejected. Requires that the peer's
-  /// counts would suffice for an ejection here, and that not too many hosts are ejected because of peers'
-  /// reports; `peer_ejected_hosts` is the number of listed hosts that are. The host returns at the peer's
-  /// time or after this proxy's own backoff, whichever is earlier, so that all proxies return it together.
+  /// Ejects a listed host that a peer has ejected, if the peer's counts would also cause an ejection by this
+  /// proxy and not too many hosts are ejected because of peers' reports. `peer_ejected_hosts` is the number
+  /// of listed hosts ejected for that reason. Returns whether the host is ejected. The host returns at the
+  /// peer's time or after this proxy's own backoff, whichever is earlier, so that all proxies return it
+  /// together.
   bool ApplyPeerEjection(HostHealth& host, const PeerEjection& peer, int peer_ejected_hosts, TimePoint now);
 
   /// Ejects a listed host that a former process of this proxy had ejected.
@@ -55,8 +56,8 @@
   void EndInterval();
   static void EndHostInterval(HostHealth& host);
 
-  /// Sets the time in which the present traffic makes kRequestVolume attempts at each host. The detection
-  /// interval follows it within bounds.
+  /// Sets the time that the present traffic needs for kRequestVolume attempts at each host. The detection
+  /// interval is this time, limited to a minimum and a maximum.
   void SetVolumeInterval(Duration interval);
 
   [[nodiscard]] Duration interval() const { return interval_; }
@@ -80,7 +81,7 @@
   Duration Eject(HostHealth& host);
 
   int hosts_ = 0;          // hosts that are listed as ready
-  int ejected_hosts_ = 0;  // those of them that are ejected
+  int ejected_hosts_ = 0;  // hosts that are listed as ready and ejected
   int hosts_with_volume_ = 0;
   Counts current_;   // counts of this interval, of hosts in service only
   Counts previous_;  // counts of the previous interval
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -55,15 +55,15 @@
 /// outstanding.
 struct Request {
   RequestId id = 0;
-  ClassSettings rules{};  ///< settings of its class at its arrival
+  ClassSettings rules{};  ///< settings of the request's class when the request arrived
   std::shared_ptr<ClassStatistics> statistics{};
   int max_attempts = 1;
   double work = 1;   ///< hinted work or the mean, in ms on a standard core
-  double value = 0;  ///< priority weight that its response is expected to earn
+  double value = 0;  ///< priority weight that the response is expected to earn
   std::uint64_t key = 0;
   TimePoint arrived{};
   TimePoint due{};        ///< the client's deadline
-  TimePoint reject_at{};  ///< time until which it may be queued
+  TimePoint reject_at{};  ///< time until which the request may be queued
   std::vector<Attempt> attempts{};
   TimePoint response_began{};
   bool is_finished = false;
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -21,11 +21,11 @@
 constexpr Duration kRecentRejection{1000};
 // Smallest response rate, in responses per ms, in the estimate of the queueing time.
 constexpr double kMinRate = 1e-3;
-// Share of the latency objective that any request may at least spend in the queue.
+// Minimum time that any request may spend in the queue, as a share of the latency objective.
 constexpr double kMinQueueShare = 0.25;
 // Ticks that a rejection needs to reach the client before its deadline.
 constexpr int kReplyTicks = 2;
-// Ticks that any retry may at least spend in the queue.
+// Minimum time that any retry may spend in the queue, in ticks.
 constexpr int kRetryTicks = 4;
 
 }  // namespace
@@ -180,7 +180,7 @@
 // ---- attempts -----------------------------------------------------------------------------------------
 
 // An attempt is no longer in flight once its response has begun. The rest of the response may take long
-// because of a slow client, which is no work of the server.
+// because of a slow client, without work for the server.
 void RequestLifecycle::StartStream(const StreamStarted& stream) {
   Request* request = Find(stream.request);
   if (!request) return;
@@ -237,7 +237,7 @@
   picker_.RecordOutcome(request, server, is_in_time, ok);
   // A time-out counts as a response time if the server has sent no response since the attempt began: requests
   // of this class then take at least that long. If the server has responded to other requests, the response
-  // of this attempt was probably lost on the way, which says nothing about the server's speed.
+  // of this attempt was probably lost on the network, so its time-out does not measure the server's speed.
   const bool is_silent = server.load.silent_since() <= request.attempts[ended.attempt].sent_at;
   const bool is_latency_sample = ok || (outcome == Outcome::kTimeout && is_silent);
   if (is_latency_sample && std::isfinite(took_ms) && took_ms >= 0)
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -6,7 +6,7 @@
 
 namespace load_balancer {
 
-/// RetryBudget is a token bucket. First attempts add tokens, and retries take them.
+/// RetryBudget is a token bucket. First attempts add tokens, and retries remove them.
 class RetryBudget {
  public:
   void RecordFirstAttempt();
--- a/src/policy/server_list.cpp
+++ b/src/policy/server_list.cpp
@@ -203,8 +203,8 @@
   server.slow_start.wait_fraction = context_.random().UniformReal();
 }
 
-// Returns the index for a new server. Reuses that of a server that was removed long ago and has no attempt
-// outstanding, if there is one.
+// Returns the index for a new server. Reuses the index of a server that was removed long ago and has no
+// attempt outstanding, if such a server exists.
 ServerIndex ServerList::AllocateServer() {
   const auto forgotten = std::find_if(servers_.begin(), servers_.end(), [this](const Server& server) {
     return server.entry.state == ServerState::kGone && server.load.attempts() == 0 &&
--- a/src/policy/server_list.h
+++ b/src/policy/server_list.h
@@ -45,7 +45,7 @@
   /// Adapts outlier detection and the subset to the rate at which this proxy sends.
   void AdaptToRate(double requests_per_s);
 
-  /// Recomputes the capacity if it changes with time.
+  /// Recomputes the capacity if a usable server is in slow start, as its capacity grows with time.
   void RefreshCapacity();
 
   Server& at(ServerIndex index) { return servers_[index]; }
@@ -55,7 +55,7 @@
   }
   Server* Find(ServerId id);
 
-  /// Returns the share of its full capacity that a server has at least, given the time since its start.
+  /// Returns the minimum share of its full capacity that a server has, given the time since its start.
   double CapacityShare(const Server& server) const;
 
   /// Returns the usable servers, ordered by a hash that is the same at all proxies.
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -27,8 +27,8 @@
   std::erase_if(state.sent, [&](const SentWork& sent) { return now - sent.sent_at > window; });
   double work_in_window = work;
   for (const SentWork& sent : state.sent) work_in_window += sent.work;
-  // Both the work and the number of requests are limited: small requests tend to go to slow servers, and by
-  // their work alone many of them would be admitted.
+  // Both the work and the number of requests are limited: small requests tend to go to slow servers, and a
+  // limit on work alone would admit many of them.
   const double mean_work = traffic_.request_work().mean();
   const double counted = std::max(work_in_window, mean_work * static_cast<double>(state.sent.size() + 1));
   const double rate = BudgetRate(server, capacity_share);
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -12,11 +12,12 @@
 /// Limits the work that a server in slow start is sent within Settings::overload_window. A server that is not
 /// in slow start is called warm.
 ///
-/// The budget of a server is its present capacity share of the work that a warm server does for this proxy.
-/// If all proxies apply this rule, the server gets in total that share of a warm server's work, however the
-/// traffic is distributed among the proxies. If the budget is less than one request per window, the server is
-/// sent single requests, at the interval in which the budget adds up to one. The first of them is sent at a
-/// random time within that interval, so that many proxies do not send at the same time.
+/// The budget of a server is the work that a warm server does for this proxy, times the server's present
+/// share of its capacity. If all proxies apply this rule, the server gets that share of a warm server's total
+/// work, however the traffic is distributed among the proxies. If the budget is less than one request per
+/// window, the server is sent single requests, each after the time in which the budget adds up to one
+/// request. The first of them is sent at a random time within that interval, so that many proxies do not send
+/// at the same time.
 class SlowStart {
  public:
   SlowStart(Context& context, const ServerList& servers, const TrafficStatistics& traffic)
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -13,8 +13,8 @@
 constexpr Duration kWorkRateMemory{8000};
 // Averaging time of the rate of responses, which determines the limit on attempts in flight.
 constexpr Duration kResponseRateMemory{1500};
-// If no request arrives for longer than this, the response rate is not updated, because a lack of responses
-// then says nothing about the servers.
+// If no request arrives for longer than this, the response rate is not updated, because a lack of
+// responses then does not indicate slow servers.
 constexpr Duration kArrivalPause{1000};
 // Weight of a sample that raises the response rate of a new proxy.
 constexpr double kNewProxyGain = 0.7;
