--- a/model/lease/cluster.h
+++ b/model/lease/cluster.h
@@ -32,8 +32,8 @@
     kDeliverCopy,         ///< Message `operand` is delivered and remains pending.
     kDrop,                ///< Message `operand` is dropped. Only used to build initial states.
     kTick,                ///< Member `operand` processes its timers.
-    kTakeProof,           ///< Member `operand` takes a proof of its lease.
-    kAct,                 ///< The action for which member `operand` took a proof reaches the resource.
+    kTakeProof,           ///< Member `operand` obtains a proof of its lease.
+    kAct,                 ///< The action for which member `operand` has a proof reaches the resource.
     kRelease,             ///< Member `operand` releases its leases.
     kResume,              ///< Member `operand` requests leases again.
     kRestart,             ///< Member `operand` crashes and restarts with its disk.
@@ -56,7 +56,7 @@
   bool are_wall_clocks_running = true;
   // Maximum total number of restarts, releases and duplicated messages on one path of the search.
   int max_faults = 2;
-  // Maximum number of proofs on one path of the search that are taken some time before the action.
+  // Maximum number of proofs on one path of the search that members obtain some time before the action.
   int max_proofs = 1;
 };
 
@@ -101,7 +101,7 @@
     bool is_released = false;
     std::optional<fleet::StoredVotes> disk;
     std::unique_ptr<fleet::Leases> leases;
-    std::optional<fleet::LeaseProof> proof;  // taken, while the action has not reached the resource
+    std::optional<fleet::LeaseProof> proof;  // of an action that has not reached the resource yet
   };
 
   // Starts an incarnation of the member.
@@ -110,7 +110,7 @@
   Time ClockOf(std::size_t index) const;
   // Returns the time by the member's wall clock, in ms.
   std::uint64_t WallClockOf(std::size_t index) const;
-  // Lets the action of the member reach the resource.
+  // Delivers the member's action to the resource.
   void Act(std::size_t index);
   // Returns whether the member may act, either by its lease or by a valid proof.
   bool IsActing(std::size_t index) const;
@@ -122,9 +122,9 @@
   std::vector<PendingMessage> pending_messages_;
   fleet::Fence resource_;
   fleet::FencingToken last_token_ = 0;           // token of the last action that the resource admitted
-  std::size_t last_writer_ = kClusterMembers;    // member that made it
+  std::size_t last_writer_ = kClusterMembers;    // member that performed that action
   fleet::FencingToken newest_token_ = 0;         // token of the last lease that was granted or renewed
-  std::size_t newest_holder_ = kClusterMembers;  // its holder
+  std::size_t newest_holder_ = kClusterMembers;  // holder of that lease
   std::optional<std::string> violation_;         // the violation found by Act or by a change of a lease
 };
 
--- a/model/lease/member.h
+++ b/model/lease/member.h
@@ -26,8 +26,8 @@
   std::vector<Endpoint> members;
   std::vector<std::vector<Endpoint>> voters;       // by member: configured voters of its next incarnation
   std::set<const FailureKind*> expected_failures;  // failures that members may report
-  bool disks_survive = false;        // no disk is lost, so tokens must increase from lease to lease
-  bool are_leases_announced = true;  // holders announce their leases to all members
+  bool disks_survive = false;        // whether no disk is lost, so that each lease must have a larger token
+  bool are_leases_announced = true;  // whether holders announce their leases to all members
 
   // The effect of an action. It lasts until `until` on the clock of its machine, even if the process crashes.
   struct Effect {
@@ -41,7 +41,7 @@
   fleet::Fence resource;
   fleet::FencingToken last_token = 0;        // token of the last action that the resource admitted
   fleet::FencingToken newest_token = 0;      // token of the last lease that was granted or renewed
-  std::string last_writer;                   // holder that made the last admitted action
+  std::string last_writer;                   // holder that performed the last admitted action
   std::string newest_holder;                 // holder of the last lease that was granted or renewed
   std::uint64_t handovers = 0;               // number of times that a new holder or token appeared
   std::uint64_t admitted = 0, rejected = 0;  // number of actions that the resource admitted and rejected
@@ -88,8 +88,8 @@
   const std::string holder_;
   DiskVotes votes_;
   fleet::Leases leases_;
-  std::optional<fleet::LeaseProof> proof_;  // of the action in progress
-  Time next_action_at_;                     // when it reaches the resource, or the next one starts
+  std::optional<fleet::LeaseProof> proof_;  // proof for the action in progress
+  Time next_action_at_;  // when the action in progress reaches the resource or the next one starts
 };
 
 }  // namespace load_balancer::model
--- a/model/lease/operator.h
+++ b/model/lease/operator.h
@@ -19,7 +19,7 @@
   kNone,          ///< Voters are not changed.
   kOneAtATime,    ///< Adds or removes one voter. Then waits until some member holds the lease, and one more
                   ///< term.
-  kTwoAtOnce,     ///< Adds, removes or exchanges two voters. Waits as kOneAtATime does.
+  kTwoAtOnce,     ///< Adds, removes or exchanges two voters. Then waits like kOneAtATime.
   kWithoutWait,   ///< Adds or removes one voter. Begins the next change at once.
   kAfterOneTerm,  ///< Adds or removes one voter. Waits one term, but not until a member holds the lease.
 };
@@ -38,7 +38,7 @@
  private:
   // Begins a change to another set of voters.
   void BeginChange();
-  // Returns a random new set of voters, which differs from the current set as `change_` says.
+  // Returns a random new set of voters. `change_` determines how the new set differs from the current one.
   std::vector<std::size_t> DrawVoters();
   // Restarts the members one after another, starting at `position` in restart_order_.
   void RestartFrom(std::size_t position);
--- a/model/lease/schedule.cpp
+++ b/model/lease/schedule.cpp
@@ -16,7 +16,7 @@
 
 constexpr milliseconds kPollInterval(100);
 constexpr int kMaxTermsToHolder =
-    3;  // lease terms from the last fault to a holder; docs/leases.md states this bound
+    3;  // maximum time from the last fault to a holder, in lease terms; docs/leases.md states this bound
 constexpr double kUsedDriftFraction = 0.999;  // fraction of the drift bound that clock rates use
 
 bool DoDisksSurvive(std::uint64_t seed, const ScheduleOptions& options) {
@@ -111,7 +111,7 @@
     return std::any_of(run_.running_members.begin(), run_.running_members.end(),
                        [](const LeaseMember* member) { return member && member->IsActing(); });
   }
-  // At `at`, lets each acting member release its lease. The member requests leases again after `pause`.
+  // Makes each acting member release its lease at the time `at`, and request leases again after `pause`.
   void ReleaseAt(Moment at, Moment pause) {
     world_.At(at, [this, at, pause] {
       for (std::size_t i = 0; i < run_.running_members.size(); ++i) {
--- a/model/lease/schedule.h
+++ b/model/lease/schedule.h
@@ -24,7 +24,7 @@
   Moment duration = std::chrono::seconds(60), faults_end = std::chrono::seconds(45);
   std::size_t fault_count = 14;
   VoterChange change = VoterChange::kNone;
-  bool has_vote_files = false;  // no disk is lost, and every voter starts with a file of votes
+  bool has_vote_files = false;  // whether no disk is lost and every voter starts with a file of votes
 };
 
 // The outcome of a schedule.
@@ -32,11 +32,11 @@
   std::optional<std::string> violation;      // the violated property, if any
   std::uint64_t handovers = 0;               // number of times that a new holder or token appeared
   std::uint64_t admitted = 0, rejected = 0;  // number of actions that the resource admitted and rejected
-  Moment time_to_holder{0};  // from the end of the last fault until a member held the lease to the end
+  Moment time_to_holder{0};  // from the end of the last fault until some member keeps the lease to the end
 };
 
-// Draws the faults of the seed. Odd seeds have no fault that loses a disk, so tokens must increase without
-// exception.
+// Draws random faults from the seed. Odd seeds have no fault that loses a disk, so tokens must increase
+// without exception.
 std::vector<Fault> DrawScheduleFaults(std::uint64_t seed, const ScheduleOptions& options);
 // Runs the schedule of the seed with the given faults.
 ScheduleResult RunSchedule(std::uint64_t seed, const ScheduleOptions& options,
--- a/src/fleet/lease/acquisition.h
+++ b/src/fleet/lease/acquisition.h
@@ -17,15 +17,15 @@
 
 namespace load_balancer::fleet {
 
-/// Counts the grants and denials of one token. The lease time of a grant starts when the request that it
-/// answers was first sent. A late grant therefore never makes the lease outlast the voter's vote.
+/// Counts the grants and denials of one token. The lease time of a grant starts when its request was first
+/// sent. A late grant therefore never makes the lease outlast the voter's vote.
 class LeaseAcquisition {
  public:
   using Endpoint = boost::asio::ip::udp::endpoint;
 
   /// The timeouts and intervals of one request.
   struct RequestTiming {
-    Span term{};                 ///< Grants of requests older than this are ignored.
+    Span term{};                 ///< Time from the first transmission until the request's grants are ignored.
     Span timeout{};              ///< Time from the first transmission until the request fails.
     Span retransmit_interval{};  ///< Time between two transmissions to a voter that has not answered.
   };
@@ -68,14 +68,16 @@
   /// the newest request.
   Time MajorityMayGrantAt(Time now, std::size_t voters, std::size_t majority) const;
 
-  /// Does the same as Leases::AppendFingerprint for this acquisition.
+  /// Appends all state of this acquisition that determines future behaviour, with times relative to `now`.
+  /// The model checker uses it through Leases::AppendFingerprint.
   void AppendFingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const;
 
  private:
   FencingToken token_ = 0;
   std::map<std::uint64_t, Time> sent_;  // time of the first transmission, by request number
-  std::map<Endpoint, Time> granted_;    // by voter: when the newest request that it granted was first sent
-  std::map<Endpoint, Time> denied_;     // by voter that denied the newest request: when it may grant
+  std::map<Endpoint, Time>
+      granted_;  // by voter: first transmission of the newest request that the voter granted
+  std::map<Endpoint, Time> denied_;  // by voter: when a voter that denied the newest request may grant
   bool is_request_open_ = false;
   Time request_deadline_{};
   Time next_retransmit_{};
--- a/src/fleet/lease/lease_state.cpp
+++ b/src/fleet/lease/lease_state.cpp
@@ -26,7 +26,8 @@
   return has_lease && now >= until ? LeaseStatus::kWaiting : status;
 }
 
-// No request is sent while actions of this member have effects: a request for a new token would end its vote.
+// No request is sent while actions of this member have effects: voters would treat a request for a larger
+// token as a release of the previous one.
 Time LeaseState::NextAttemptAt() const { return std::max(next_attempt, effects_until); }
 
 bool LeaseState::MayRequest(bool is_released) const {
--- a/src/fleet/lease/lease_state.h
+++ b/src/fleet/lease/lease_state.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The state of one lease at a member that is its candidate, holder or follower.
+/// The state of one lease at a member, which is a candidate for the lease, its holder or a follower.
 #ifndef LOAD_BALANCER_FLEET_LEASE_LEASE_STATE_H_
 #define LOAD_BALANCER_FLEET_LEASE_LEASE_STATE_H_
 
@@ -49,7 +49,8 @@
   bool MayRequest(bool is_released) const;
   /// Returns when the next timer of this lease fires; Time::max() if no timer is set.
   Time NextDeadline(bool is_released) const;
-  /// Does the same as Leases::AppendFingerprint for this lease.
+  /// Appends all state of this lease that determines future behaviour, with times relative to `now`. The
+  /// model checker uses it through Leases::AppendFingerprint.
   void AppendFingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const;
 
   std::string name;
--- a/src/fleet/lease/leased_role.h
+++ b/src/fleet/lease/leased_role.h
@@ -13,8 +13,8 @@
 
 /// Determines who performs a role while no quorum of voters can be reached.
 enum class LeasedRoleKind {
-  kExclusive,  ///< No member performs it.
-  kAvailable,  ///< Each member performs it for itself.
+  kExclusive,  ///< No member performs the role.
+  kAvailable,  ///< Each member performs the role for itself.
 };
 
 inline std::string_view Name(LeasedRoleKind kind) {
--- a/src/fleet/lease/leases.h
+++ b/src/fleet/lease/leases.h
@@ -38,12 +38,13 @@
   std::chrono::milliseconds drift{100};  ///< Maximum time that a clock gains or loses per term.
   std::vector<LeasedRole> leased_roles;
   std::uint64_t seed = 0;                   ///< Seed of the random jitter.
-  std::optional<StoredVotes> stored_votes;  ///< Votes of the previous incarnation; nothing if unknown.
+  std::optional<StoredVotes> stored_votes;  ///< Votes of the previous incarnation; empty if unknown.
   VoteStore* vote_store = nullptr;          ///< Must outlive Leases. Null: votes stay in memory.
   bool may_vote = true;                     ///< If false, this voter denies all requests.
 };
 
-/// Manages all leases of a member as candidate, holder and follower, and its part as a voter.
+/// Manages all leases of a member, which is a candidate, the holder or a follower of each. If the member is a
+/// voter, also answers requests.
 class Leases {
  public:
   using Endpoint = LeaseOptions::Endpoint;
@@ -54,8 +55,8 @@
     virtual ~Callbacks() = default;
     /// Sends a message to the address `to`.
     virtual void Send(const Endpoint& to, const LeaseMessage& message) = 0;
-    /// Reports that the status of a lease has changed, or was extended if the reason is "renewed". A holder
-    /// must stop after `remaining`.
+    /// Reports that the status of a lease has changed or, with the reason "renewed", that the lease was
+    /// extended. A holder must stop acting after `remaining`.
     virtual void OnLeaseStatus(const std::string& lease_name, LeaseStatus status, FencingToken token,
                                Span remaining, std::string_view reason) = 0;
     /// Reports that a voter denies requests for a reason that an operator has to resolve. Called once for
@@ -113,7 +114,7 @@
   void AppendFingerprint(Time now, std::vector<std::uint64_t>* words) const;
 
  private:
-  // Requests and answers, defined in requests.cpp.
+  // Functions for requests and answers, defined in requests.cpp.
   void SendRequest(Time now, LeaseState& lease, FencingToken token);
   void RetransmitRequest(Time now, LeaseState& lease);
   LeaseMessage MakeRequest(const LeaseState& lease) const;
@@ -125,7 +126,7 @@
   bool IsVoter(const Endpoint& address) const;
   std::size_t MajoritySize() const;
 
-  // Releases, defined in release.cpp.
+  // Functions for releases, defined in release.cpp.
   void ReleaseLease(Time now, LeaseState& lease);
   void TransmitRelease(Time now, LeaseState& lease);
   void ReleaseLateGrant(Time now, const Endpoint& voter, const LeaseMessage& grant, const LeaseState& lease);
--- a/src/fleet/lease/message.h
+++ b/src/fleet/lease/message.h
@@ -25,8 +25,8 @@
     kLeaseHeld,         ///< Another lease is valid, or a token at least as large was granted before.
     kGracePeriod,       ///< The voter has no record of the votes of its previous incarnation.
     kTermMismatch,      ///< Voter and requester are configured with different lease terms.
-    kDriftMismatch,     ///< They are configured with different bounds on clock drift.
-    kVoterSetMismatch,  ///< They are configured with different sets of voters.
+    kDriftMismatch,     ///< Voter and requester have different bounds on clock drift.
+    kVoterSetMismatch,  ///< Voter and requester have different sets of voters.
     kNotPersisted,      ///< The voter could not store the vote.
     kTooManyLeases,     ///< The voter already stores votes for kMaxVotes leases.
   };
--- a/src/fleet/lease/release.cpp
+++ b/src/fleet/lease/release.cpp
@@ -32,7 +32,7 @@
 }
 
 // Invalidates the proofs and discards the grants of the token, and only then informs the voters. While
-// actions under the token have effects, sends no release and leaves the votes to expire.
+// actions under the token have effects, sends no release, so that the votes end only when they expire.
 void Leases::ReleaseLease(Time now, LeaseState& lease) {
   if (lease.held_lease) {
     lease.held_lease->is_released = true;
--- a/src/fleet/lease/requests.cpp
+++ b/src/fleet/lease/requests.cpp
@@ -102,7 +102,7 @@
   FailAttempt(now, *lease);
 }
 
-// Handles a request that found no majority in time. A holder requests again at once while its lease lasts.
+// Handles a request that no majority granted in time. A holder requests again at once while its lease lasts.
 void Leases::FailAttempt(Time now, LeaseState& lease) {
   if (lease.status == LeaseStatus::kHolder) {
     lease.acquisition.EndRequest();
--- a/src/fleet/lease/voter.cpp
+++ b/src/fleet/lease/voter.cpp
@@ -34,7 +34,8 @@
 Voter::Voter(const LeaseTerms& terms, Time now, const std::optional<StoredVotes>& stored, VoteStore* store)
     : terms_(terms), store_(store), grace_period_end_(stored ? now : now + VoteDuration()) {
   if (!stored) return;
-  // The monotonic clock does not survive a restart, so each vote may have been granted just before it.
+  // The monotonic clock does not survive a restart, so each vote may have been granted just before the
+  // restart.
   for (const auto& [lease_name, vote] : *stored)
     votes_[lease_name] = {vote, now + std::max<Span>(milliseconds(vote.duration_ms), VoteDuration())};
 }
--- a/src/fleet/membership/member.h
+++ b/src/fleet/membership/member.h
@@ -16,8 +16,8 @@
   Time changed_at{};  ///< When the state or incarnation last changed.
 };
 
-/// Returns whether members in this state are probed and counted. Suspects are, since they may refute the
-/// suspicion.
+/// Returns whether members in this state are probed and counted. Suspects are probed and counted, since they
+/// may refute the suspicion.
 inline bool IsPresent(MemberState state) {
   return state == MemberState::kAlive || state == MemberState::kSuspect;
 }
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -11,7 +11,7 @@
 using SampleFrom = MemberTable::SampleFrom;
 using UpdateSource = MembershipView::UpdateSource;
 
-constexpr std::size_t kMaxSeedsPerJoin = 16;  // contacted per interval while no other member is known
+constexpr std::size_t kMaxSeedsPerJoin = 16;  // seeds contacted per interval if no other member is known
 
 }  // namespace
 
@@ -43,8 +43,8 @@
   if (now >= next_sync_) Sync(now);
 }
 
-// Postpones suspicions after this process did not run. It received no messages meanwhile, so silence is no
-// sign that other members failed.
+// Postpones suspicions after a time in which this process did not run. The process received no messages in
+// that time, so missing answers do not show that other members failed.
 void Membership::HandleStall(Time now) {
   const Span stalled_for = now - Next();
   if (stalled_for < options_.probe_interval) return;
--- a/src/fleet/membership/message_sender.h
+++ b/src/fleet/membership/message_sender.h
@@ -16,7 +16,7 @@
 /// Sends messages that reflect a member's view of the fleet.
 class MessageSender {
  public:
-  /// Maximum number of messages with which one table request is answered.
+  /// Maximum number of messages that answer one table request.
   static constexpr std::size_t kMaxAnswerChunks = 32;
 
   /// All arguments must outlive this object.
@@ -29,8 +29,8 @@
   void SendPing(const Update& target, std::uint64_t sequence);
   /// Sends the message without gossip.
   void Send(const Udp::endpoint& to, const Message& message) { callbacks_.Send(to, message); }
-  /// Sends the message with as much gossip as fits. If the receiver is not considered alive, that update
-  /// comes first, so that the receiver can refute it.
+  /// Sends the message with as much gossip as fits. If the receiver is not considered alive, the update about
+  /// the receiver comes first, so that the receiver can refute it.
   void SendWithGossip(const Udp::endpoint& to, const std::string& receiver, Message message);
 
   /// Requests the differences between the receiver's table and this member's table.
--- a/src/fleet/membership/probes.cpp
+++ b/src/fleet/membership/probes.cpp
@@ -9,9 +9,10 @@
 
 using Kind = Message::Kind;
 
-constexpr std::size_t kMaxSuspectsPinged = 8;  // per member and interval, in addition to the probe's target
-constexpr std::size_t kPingsPerSuspect = 8;    // mean number per interval from all members of the fleet
-constexpr int kMaxRefills = 2;                 // new rounds begun in one search for a target
+constexpr std::size_t kMaxSuspectsPinged =
+    8;                                       // by one member per interval, in addition to its probe's target
+constexpr std::size_t kPingsPerSuspect = 8;  // mean number per interval from all members of the fleet
+constexpr int kMaxRefills = 2;               // new rounds begun in one search for a target
 
 }  // namespace
 
@@ -39,8 +40,8 @@
 }
 
 // Returns by how much a failed probe worsens the local health score (Lifeguard). Each helper that is
-// considered alive and sent no nack counts one, as this member may have failed to receive it. Without helpers
-// the failed probe counts one.
+// considered alive and sent no nack adds one, as this member may have failed to receive the nack. Without
+// helpers, the failed probe adds one.
 int Probes::HealthPenalty(const Probe& failed) const {
   if (!failed.had_helpers) return 1;
   const auto is_alive = [this](const std::string& name) {
--- a/src/fleet/membership/suspicions.cpp
+++ b/src/fleet/membership/suspicions.cpp
@@ -23,7 +23,7 @@
   suspicion.began_at = now;
   suspicion.min_timeout = min_timeout;
   suspicion.max_timeout = min_timeout * kSuspicionTimeoutRatio;
-  // All members except the suspect and its accuser can confirm.
+  // All members except the suspect and its accuser can confirm the suspicion.
   suspicion.wanted_confirmations = std::min(kMaxConfirmations, static_cast<int>(present_members) - 2);
   suspicion.accusers.insert(update.accuser);
   suspicion.expires_at =
--- a/src/fleet/membership/suspicions.h
+++ b/src/fleet/membership/suspicions.h
@@ -42,7 +42,7 @@
     Time expires_at{};
     Span min_timeout{};
     Span max_timeout{};
-    int wanted_confirmations = 0;  // number that reduces the timeout to min_timeout
+    int wanted_confirmations = 0;  // number of confirmations that reduces the timeout to min_timeout
     std::set<std::string> accusers;
   };
 
--- a/src/fleet/membership/table.h
+++ b/src/fleet/membership/table.h
@@ -29,7 +29,7 @@
   /// Returns the member, or null if it is unknown.
   Member* Find(const std::string& name);
   const Member* Find(const std::string& name) const;
-  /// Adds the member that `update` is about.
+  /// Adds the member that `update` describes.
   Member& Add(const Update& update, Time now);
 
   /// Returns the number of members that are alive or suspect.
@@ -40,7 +40,7 @@
   /// Returns a digest of the present members including `self`. Absent members are left out, because a joining
   /// member need not learn of them.
   std::uint64_t Digest(const Update& self) const;
-  /// Returns such a digest for each of `count` buckets of members.
+  /// Assigns the present members including `self` to `count` buckets and returns a digest of each bucket.
   BucketDigests DigestByBucket(const Update& self, std::size_t count) const;
   /// Returns the hash of a member's name, by which members are assigned to buckets.
   static std::uint64_t HashOf(const std::string& name);
--- a/src/fleet/membership/view.cpp
+++ b/src/fleet/membership/view.cpp
@@ -29,7 +29,8 @@
   if (Overrides(update, current)) SetUpdate(now, *member, update, sender);
 }
 
-// Ignores absent members. Otherwise two members could report them to each other for ever.
+// Ignores updates about unknown members that are dead or have left. Otherwise two members could report such a
+// member to each other for ever.
 void MembershipView::ApplyToUnknown(Time now, const Update& update, std::string_view reason) {
   if (!IsPresent(update.state) || table_.is_full()) return;
   callbacks_.OnMemberChanged(table_.Add(update, now), std::nullopt, reason);
--- a/src/fleet/membership/view.h
+++ b/src/fleet/membership/view.h
@@ -31,8 +31,8 @@
  public:
   /// The way in which an update arrived.
   enum class UpdateSource {
-    kGossip,  ///< Piggybacked on a message, or about the sender itself.
-    kTable,   ///< In a table exchange. It may be old, so a death counts as a suspicion.
+    kGossip,  ///< The update was piggybacked on a message, or it describes the sender.
+    kTable,   ///< The update was in a table. It may be old, so a death is treated as a suspicion.
   };
 
   /// All arguments except `now` must outlive this object.
@@ -43,7 +43,7 @@
   void Apply(Time now, Update update, std::string_view sender, UpdateSource source);
   /// Suspects a member on behalf of `accuser`.
   void Suspect(Time now, const std::string& name, const std::string& accuser);
-  /// Declares all suspects dead whose timeout has passed.
+  /// Declares dead all suspects whose timeout has passed.
   void DeclareExpiredDead(Time now);
   /// Announces that this member is alive, with an incarnation above `refuted_incarnation`.
   void Refute(Time now, std::uint64_t refuted_incarnation);
--- a/tests/fleet/lease_actor.cpp
+++ b/tests/fleet/lease_actor.cpp
@@ -2,7 +2,7 @@
 //
 // A test program that runs a fleet::Node with real sockets, timers and a file of votes, as the proxy does.
 // While it holds the lease of maintenance, it writes to a stand-in resource, each time under a proof. It
-// prints the begin and end of each write on the machine's monotonic clock.
+// prints the beginning and end of each write on the machine's monotonic clock.
 //
 //   lease_actor --name N --bind A --advertise A --seeds A... --votes FILE --resource PORT --term MS
 #include <CLI/CLI.hpp>
@@ -59,7 +59,7 @@
   }
 
  private:
-  // Takes a proof and writes shortly after, or sometimes much later.
+  // Obtains a proof of the lease and schedules a write under it, usually soon and sometimes much later.
   void ScheduleNext() {
     timer_.expires_after(milliseconds(proof_ && random_() % 32 == 0 ? random_() % 4000 : random_() % 10));
     timer_.async_wait([this](const boost::system::error_code& error) {
@@ -92,7 +92,7 @@
   asio::steady_timer timer_;
   Tcp::socket resource_;
   asio::streambuf answer_;
-  std::optional<fl::LeaseProof> proof_;  // for the next write
+  std::optional<fl::LeaseProof> proof_;  // proof for the next write
   long long proof_taken_at_ = 0;
 };
 
--- a/tests/fleet/lease_chaos_test.cpp
+++ b/tests/fleet/lease_chaos_test.cpp
@@ -37,8 +37,8 @@
     const std::lock_guard lock(mutex_);
     return writes_;
   }
-  // Returns the number of writes that came before their deadline but after a larger token. Such a write shows
-  // that two processes held the lease at once.
+  // Returns the number of writes that arrived before their deadline but after a write with a larger token.
+  // Such a write shows that two processes held the lease at once.
   std::size_t CountStaleWrites() {
     const std::lock_guard lock(mutex_);
     return stale_writes_;
@@ -138,13 +138,13 @@
                                                  std::map<std::string, std::string>{});
   }
 
-  // An action that ends a fault, and the time for it.
+  // An action that ends a fault, and the time at which it is due.
   struct Repair {
     Steady::time_point at;
     std::size_t actor;
     std::function<void()> run;
   };
-  // Ends the faults whose time has come, or all faults.
+  // Ends the faults that are due, or all faults.
   void EndFaults(bool all) {
     for (std::size_t i = 0; i < repairs_.size();) {
       if (!all && Steady::now() < repairs_[i].at) {
--- a/tests/fleet/lease_voter_test.cpp
+++ b/tests/fleet/lease_voter_test.cpp
@@ -195,8 +195,7 @@
   }
 }
 
-// An allocator keeps its lease until the quota grants that it has made have ended, even if it is told to
-// release.
+// An allocator keeps its lease until its quota grants have ended, even after a call of Leases::Release.
 TEST(LeaseProof, AnAllocatorWithOutstandingGrantsDoesNotReleaseItsLease) {
   namespace qt = load_balancer::quota;
   auto budgets = std::make_shared<qt::Budgets>();
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -94,7 +94,7 @@
   EXPECT_LE(in_flight[true], 2u);
 }
 
-// Requests must not be rejected with nothing in flight because the first response was slow.
+// While nothing is in flight, no request may be rejected because the first response was slow.
 TEST(Admission, OneSlowFirstResponseDoesNotCauseRejections) {
   Rig rig;
   rig.Servers(3);
@@ -231,8 +231,8 @@
   EXPECT_TRUE(rig.Send(next_id++, 2, 150, 5000).has_value());
 }
 
-// A client's last retry has only the rest of the client's deadline. If it were served in order, it would be
-// late for certain and would delay others.
+// The client's deadline leaves little time for a client's last retry. If that retry were served in order of
+// arrival, it would certainly be late and would delay others.
 TEST(Admission, TimeThatHasPassedOfTheDeadlineIsSubtractedFromTheLatencyObjective) {
   Settings settings = DefaultSettings();
   settings.max_retry_after = Duration(300);
--- a/tests/policy/fleet_events_test.cpp
+++ b/tests/policy/fleet_events_test.cpp
@@ -120,8 +120,8 @@
   EXPECT_EQ(next.learned_rates().responses_per_ms, rates.responses_per_ms);
 }
 
-// Guards against a former process without traffic whose rates would make its successor adapt more slowly than
-// a new proxy.
+// Guards against a fault in which the rates of a former process without traffic made its successor adapt more
+// slowly than a new proxy.
 TEST(Restart, RatesOfAProcessThatServedNothingAreIgnored) {
   const auto learned = [](bool restores) {
     Rig rig;
--- a/tests/policy/overflow_test.cpp
+++ b/tests/policy/overflow_test.cpp
@@ -25,7 +25,8 @@
   return received;
 }
 
-// The proxy's part of the quota suffices for one request. A known quota status neither checks nor charges it.
+// The proxy's part of the quota suffices for one request. If the quota status of a request is known, that
+// part is neither checked nor charged.
 TEST(Overflow, TheQuotaStatusReplacesTheDividedQuota) {
   const struct {
     QuotaStatus first, second;
--- a/tests/policy/server_picking_test.cpp
+++ b/tests/policy/server_picking_test.cpp
@@ -57,8 +57,8 @@
   EXPECT_EQ(seen.size(), 4u);
 }
 
-// A slow server that responds before its time-out is never ejected. It must not be preferred like any other
-// server when it is idle.
+// A slow server that responds before its time-out is never ejected. While it is idle, it must not be
+// preferred as much as another idle server.
 TEST(ServerPicking, AServerThatRespondsSlowerCountsAsBusier) {
   Rig rig;
   rig.Servers(2);
@@ -68,7 +68,7 @@
     rig.EndAttempt(id, 0, *server, Outcome::kOk, *server == 1 ? 60 : 20);
   }
   for (int i = 0; i < 10; ++i) EXPECT_EQ(SendAndFinish(rig), ServerId{2});
-  // It is still used if the other server is busy.
+  // The slower server is still used if the other server is busy.
   const RequestId busy = next_id++;
   EXPECT_EQ(rig.Send(busy, 0, 100, 900), ServerId{2});
   EXPECT_EQ(rig.Send(next_id++, 0, 10, 900), ServerId{1});
