--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -64,8 +64,8 @@
   double quota_per_s = 0;  ///< requests per second, over all proxies
 };
 
-/// Settings holds the settings of one proxy. The defaults are the documented values of absent optional
-/// settings; none of them tunes a decision.
+/// Settings holds the settings of one proxy. The defaults are the documented values of optional settings that
+/// are absent; no default is a tuning parameter.
 struct Settings {
   int balancer_count = 1;  ///< number of proxies in the fleet
   int balancer_index = 0;  ///< index of this proxy, from 0
@@ -132,9 +132,9 @@
   kUnknown
 };
 
-/// QuotaStatus states whether a request is within its tenant's quota, as counted over all proxies. With
-/// kUnknown no such count exists, and the proxy checks the request against its own part of the quota: the
-/// quota divided by the number of proxies.
+/// QuotaStatus states whether a request is within its tenant's quota, as counted over all proxies. kUnknown
+/// means that no such count exists; the proxy then checks the request against its own part of the quota,
+/// which is the quota divided by the number of proxies.
 enum class QuotaStatus { kUnknown, kWithinQuota, kOverQuota };
 
 // ---- events -------------------------------------------------------------------------------------------
@@ -197,7 +197,7 @@
 };
 
 /// StartMaintenance takes a server out of service until EndMaintenance, whatever its state in the endpoint
-/// list. An operator requests it.
+/// list. An operator requests the maintenance.
 struct StartMaintenance {
   ServerId server = 0;
 };
@@ -220,7 +220,7 @@
 };
 
 /// PeerEjection reports that another proxy of the fleet has ejected a server until `until`, because
-/// `failures` of `attempts` attempts had failed. This proxy may ignore it.
+/// `failures` of `attempts` attempts had failed. This proxy may ignore the event.
 struct PeerEjection {
   ServerId server = 0;
   TimePoint until{};
@@ -258,8 +258,8 @@
 };
 
 /// OverflowShare limits the overflow requests in flight. `max_fraction`, from 0 to 1, is a fraction of this
-/// proxy's spare concurrency: its limit on requests in flight less its own requests in flight. With 0, which
-/// is also the value before the first such event, all overflow is rejected.
+/// proxy's spare concurrency: its limit on requests in flight less its own requests in flight. 0, the value
+/// before the first such event, rejects all overflow.
 struct OverflowShare {
   double max_fraction = 0;
 };
@@ -323,12 +323,12 @@
 using Action = std::variant<Dispatch, Reject, FailRequest, SetTimer, Subscribe, CloseIdle, Log, Ejected>;
 
 /// SpareCapacity estimates the traffic that this proxy would admit in addition to its present traffic. By
-/// Little's law, it is the unused part of the limit on attempts in flight, divided by the response time that
-/// this limit allows. It is zero if requests are queued, if a request was rejected unsent within the last
-/// second, or if no server is in service.
+/// Little's law, the estimate is the unused part of the limit on attempts in flight, divided by the response
+/// time that this limit allows. It is zero if requests are queued, if a request was rejected unsent within
+/// the last second, or if no server is in service.
 struct SpareCapacity {
   double work_per_ms = 0;              ///< mean, as hinted work on standard cores; 0 or more
-  double work_per_ms_lower_bound = 0;  ///< the mean less one deviation of the number in flight; 0 or more
+  double work_per_ms_lower_bound = 0;  ///< work_per_ms with one deviation more attempts in flight; >= 0
   Duration wait{0};                    ///< estimated queueing time of a request that arrives now
 };
 
--- a/src/fleet/lease/acquisition.h
+++ b/src/fleet/lease/acquisition.h
@@ -75,9 +75,8 @@
  private:
   FencingToken token_ = 0;
   std::map<std::uint64_t, Time> sent_;  // time of the first transmission, by request number
-  std::map<Endpoint, Time>
-      granted_;  // by voter: first transmission of the newest request that the voter granted
-  std::map<Endpoint, Time> denied_;  // by voter: when a voter that denied the newest request may grant
+  std::map<Endpoint, Time> granted_;    // by voter: first transmission of the newest granted request
+  std::map<Endpoint, Time> denied_;     // by voter that denied the newest request: time when it may grant
   bool is_request_open_ = false;
   Time request_deadline_{};
   Time next_retransmit_{};
--- a/src/fleet/membership/membership.cpp
+++ b/src/fleet/membership/membership.cpp
@@ -44,7 +44,7 @@
 }
 
 // Postpones suspicions after a time in which this process did not run. The process received no messages in
-// that time, so missing answers do not show that other members failed.
+// that time, so missing answers do not show that other members have failed.
 void Membership::HandleStall(Time now) {
   const Span stalled_for = now - Next();
   if (stalled_for < options_.probe_interval) return;
--- a/src/fleet/membership/probes.cpp
+++ b/src/fleet/membership/probes.cpp
@@ -9,10 +9,9 @@
 
 using Kind = Message::Kind;
 
-constexpr std::size_t kMaxSuspectsPinged =
-    8;                                       // by one member per interval, in addition to its probe's target
-constexpr std::size_t kPingsPerSuspect = 8;  // mean number per interval from all members of the fleet
-constexpr int kMaxRefills = 2;               // new rounds begun in one search for a target
+constexpr std::size_t kMaxSuspectsPinged = 8;  // by one member per interval, besides its probe
+constexpr std::size_t kPingsPerSuspect = 8;    // mean number per interval from all members of the fleet
+constexpr int kMaxRefills = 2;                 // new rounds begun in one search for a target
 
 }  // namespace
 
--- a/src/policy/attempt_timeout.h
+++ b/src/policy/attempt_timeout.h
@@ -12,9 +12,9 @@
 /// the attempt.
 ///
 /// A time-out is set only if the server is silent: it has outstanding attempts, and has sent no response for
-/// longer than this class's mean response time and four deviations. Timing out an attempt that is merely late
-/// would double its work. No time-out is set if the request permits no retry, if the retry budget has no
-/// token, or if a retry would end after the client's deadline.
+/// longer than the mean response time of the request's class plus four deviations. Timing out an attempt that
+/// is merely late would double its work. No time-out is set if the request permits no retry, if the retry
+/// budget has no token, or if a retry would end after the client's deadline.
 Duration AttemptTimeout(const Request& request, const Server& server, bool has_retry_token, TimePoint now);
 
 }  // namespace load_balancer
--- a/src/policy/list_poller.cpp
+++ b/src/policy/list_poller.cpp
@@ -10,7 +10,7 @@
 constexpr Duration kMaxUnansweredTime{3500};
 // The same limit as a fraction of Settings::max_poll_interval; the shorter of the two applies.
 constexpr double kUnansweredFraction = 0.9;
-// Longest delay of a poll after the closing of a watch that had become silent.
+// Longest delay from the closing of a silent watch to the next poll.
 constexpr Duration kMaxDelayAfterWatch{250};
 // Bounds of the backoff: Settings::max_poll_interval divided by these.
 constexpr double kMinBackoffDivisor = 20;
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -9,15 +9,16 @@
 namespace {
 
 constexpr Duration kMaxInterval{10000};  // default of A50
-// Duration of the first ejection if the detection interval is kDetectionInterval. It is one interval in any
-// case.
+// Duration of the first ejection if the detection interval is kDetectionInterval. The first ejection always
+// lasts one interval.
 constexpr Duration kBaseEjectionTime{2000};
 constexpr Duration kMaxEjectionTime{16000};  // time within which a recovered server is tried again
-constexpr double kReturnJitterMin = 0.75;    // applied to the ejection time if traffic is sparse
+constexpr double kReturnJitterMin = 0.75;    // smallest factor of the ejection time if traffic is sparse
 constexpr double kReturnJitterRange = 0.5;
 static_assert(kMaxEjectionTime * (kReturnJitterMin + kReturnJitterRange) <= kMaxEjectionDuration);
 
-// With sparse traffic, attempts that all fail suffice for an ejection if that is less probable than this.
+// With sparse traffic, a few attempts that all fail eject a host if the probability of such failures by
+// chance is below this.
 constexpr double kSparseVolumeProbability = 0.01;
 // Failures do not eject if they are more probable than this at the usual failure rate.
 constexpr double kMaxCoincidenceProbability = 0.001;
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -169,7 +169,7 @@
   context_.Emit(Dispatch{request.id, server.entry.server, timeout});
 }
 
-// Adds the last attempt to those in flight, once the server has received the whole request.
+// Adds the last attempt to the attempts in flight, once the server has received the whole request.
 void RequestLifecycle::StartAwaitingResponse(Request& request) {
   const ClassStatistics& statistics = *request.statistics;
   request.attempts.back().overdue_at =
--- a/src/policy/request_lifecycle.h
+++ b/src/policy/request_lifecycle.h
@@ -18,8 +18,8 @@
 namespace load_balancer {
 
 /// Admits, queues, dispatches, retries and finishes requests. An overflow request of another site is
-/// dispatched only if no request of this site is queued and the overflow in flight is below
-/// the permitted fraction of the spare concurrency; otherwise it is rejected at once.
+/// dispatched only if no request of this site is queued and the request does not raise the overflow in flight
+/// above the permitted fraction of the spare concurrency; otherwise it is rejected at once.
 class RequestLifecycle {
  public:
   RequestLifecycle(Context& context, ServerList& servers, TrafficStatistics& traffic, SlowStart& slow_start,
--- a/src/policy/retry_policy.h
+++ b/src/policy/retry_policy.h
@@ -14,7 +14,7 @@
   bool may_dispatch = false;
   bool may_reject = false;  ///< false if the request may have run, so that it can only be failed
   /// The server where the request may first have run. Only servers that share idempotency keys with it may
-  /// get a retry. Null if all servers may.
+  /// get a retry. Null if any server may get a retry.
   const Server* first_run_server = nullptr;
 };
 
--- a/src/policy/server.h
+++ b/src/policy/server.h
@@ -38,8 +38,8 @@
   TimePoint silent_since_{};
 };
 
-/// Estimates the ratio of a server's response time to the fleet's for similar requests. 1 means equally fast.
-/// The estimate decays to 1 over time.
+/// Estimates the ratio of a server's response time to the fleet's for similar requests. 1 means that the
+/// server is as fast as the fleet. The estimate decays to 1 over time.
 class Slowness {
  public:
   [[nodiscard]] double At(TimePoint now) const;
@@ -62,7 +62,7 @@
 struct SlowStartState {
   std::vector<SentWork> sent;  ///< attempts sent within the overload window
   TimePoint last_sent_at{};    ///< time of the last send, or of the start of slow start if it is later
-  double wait_fraction = 1;    ///< fraction of the time between sends after which the next is permitted
+  double wait_fraction = 1;    ///< fraction of the send interval that must pass before the next send
 };
 
 /// Server holds all state of one server.
--- a/src/policy/server_list.h
+++ b/src/policy/server_list.h
@@ -42,7 +42,7 @@
   Duration detection_interval() const { return detector_.interval(); }
   bool is_traffic_sparse() const { return detector_.is_traffic_sparse(); }
 
-  /// Adapts outlier detection and the subset to the rate at which this proxy sends.
+  /// Adapts outlier detection and the subset to the rate at which this proxy sends requests.
   void AdaptToRate(double requests_per_s);
 
   /// Recomputes the capacity if a usable server is in slow start, as its capacity grows with time.
--- a/src/policy/server_picker.cpp
+++ b/src/policy/server_picker.cpp
@@ -93,8 +93,8 @@
 }
 
 // If this zone loses more priority weight than the other zones, and the difference exceeds the cost of
-// crossing, that cost would keep all requests here while other zones are idle. The share of picks that
-// include the cost is then reduced.
+// crossing, that cost would keep all requests in this zone while other zones are idle. The share of picks
+// that include the cost is then reduced.
 void ServerPicker::RecordOutcome(const Request& request, const Server& server, bool is_in_time, bool ok) {
   const double late_loss = ok ? 1 - request.rules.late_priority_share : 1;
   const double loss = is_in_time ? 0 : late_loss;
--- a/src/policy/traffic_statistics.h
+++ b/src/policy/traffic_statistics.h
@@ -48,8 +48,8 @@
   [[nodiscard]] double work_served_per_ms() const { return work_served_per_ms_; }
   [[nodiscard]] double work_requested_per_ms() const { return work_requested_per_ms_; }
 
-  /// Return whether any attempts have ended, and whether enough have. Until then the work requested is used
-  /// in place of the work served.
+  /// Return whether any attempts have ended, and whether enough have ended to measure the work served. Before
+  /// that, the work requested is used in its place.
   [[nodiscard]] bool has_attempts() const { return attempts_ > 0; }
   [[nodiscard]] bool has_enough_attempts() const;
 
--- a/tests/fleet/lease_test.cpp
+++ b/tests/fleet/lease_test.cpp
@@ -290,7 +290,8 @@
 TEST_F(FleetLeases, MaintenanceCommandsFailWithACodeUntilThereIsAQuorum) {
   const auto cluster = Start();
   cluster->Cut({0, 1});
-  // Calls the members until one of them gives this answer. Returns false if none does in time.
+  // Sends the DETACH command to the members until one of them returns `answer`. Returns false if none returns
+  // it in time.
   const auto answered = [&](const std::vector<std::size_t>& members, const std::string& answer) {
     const auto until = std::chrono::steady_clock::now() + kMaxWait;
     for (; std::chrono::steady_clock::now() < until; std::this_thread::sleep_for(milliseconds(20)))
--- a/tests/policy/list_polling_test.cpp
+++ b/tests/policy/list_polling_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Tests the time between polls of the endpoint list, if it has to be polled.
+// Tests the time between polls of the endpoint list, if discovery does not push the list.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -80,7 +80,8 @@
   Rig rig_;
 };
 
-// Tries every sequence of four results. Even if the response to the next poll is slow, it must be in time.
+// Tries every sequence of four results. Even if the response to the next poll is slow, the change must be
+// applied in time.
 TEST(ListPolling, AChangeIsAppliedInTimeAfterEverySequenceOfFailures) {
   const PollResult results[] = {PollResult::kRejectedAtOnce, PollResult::kRejectedLate, PollResult::kTimedOut,
                                 PollResult::kWatchBecameSilent};
