--- a/model/lease/member.h
+++ b/model/lease/member.h
@@ -88,7 +88,7 @@
   const std::string holder_;
   DiskVotes votes_;
   fleet::Leases leases_;
-  std::optional<fleet::LeaseProof> proof_;  // proof for the action in progress
+  std::optional<fleet::LeaseProof> proof_;  // proof of the lease for the action in progress
   Time next_action_at_;  // when the action in progress reaches the resource or the next one starts
 };
 
--- a/src/fleet/lease/lease_state.h
+++ b/src/fleet/lease/lease_state.h
@@ -45,7 +45,8 @@
   LeaseStatus StatusAt(Time now) const;
   /// Returns the earliest time of the next request.
   Time NextAttemptAt() const;
-  /// Returns whether a request may be sent; false while another request is open.
+  /// Returns whether a request may be sent. Returns false for a follower, while another request is open, and
+  /// if this member has released its leases (`is_released`).
   bool MayRequest(bool is_released) const;
   /// Returns when the next timer of this lease fires; Time::max() if no timer is set.
   Time NextDeadline(bool is_released) const;
--- a/src/fleet/lease/leases.cpp
+++ b/src/fleet/lease/leases.cpp
@@ -39,7 +39,7 @@
   lease.kind = role.kind;
   const bool is_available = role.kind == LeasedRoleKind::kAvailable;
   lease.status = is_available ? LeaseStatus::kStandalone : LeaseStatus::kWaiting;
-  // Without stored votes here, the other voters are probably in their grace period as well.
+  // If this member has no stored votes, the other voters are probably in their grace period as well.
   const Time earliest = options_.stored_votes ? now : now + terms_.term + terms_.drift;
   lease.next_attempt = earliest + RandomSpan(RenewalInterval(terms_.term));
 }
--- a/src/fleet/lease/leases.h
+++ b/src/fleet/lease/leases.h
@@ -38,7 +38,7 @@
   std::chrono::milliseconds drift{100};  ///< Maximum time that a clock gains or loses per term.
   std::vector<LeasedRole> leased_roles;
   std::uint64_t seed = 0;                   ///< Seed of the random jitter.
-  std::optional<StoredVotes> stored_votes;  ///< Votes of the previous incarnation; empty if unknown.
+  std::optional<StoredVotes> stored_votes;  ///< Votes of the previous incarnation; nullopt if unknown.
   VoteStore* vote_store = nullptr;          ///< Must outlive Leases. Null: votes stay in memory.
   bool may_vote = true;                     ///< If false, this voter denies all requests.
 };
--- a/src/fleet/membership/indirect_probes.h
+++ b/src/fleet/membership/indirect_probes.h
@@ -24,7 +24,7 @@
   Time nack_at{};
 };
 
-/// The indirect probes that wait for an answer of their target.
+/// The indirect probes whose target has not answered yet.
 class IndirectProbes {
  public:
   /// Returns whether the maximum number of probes is in progress.
--- a/src/policy/list_poller.cpp
+++ b/src/policy/list_poller.cpp
@@ -6,7 +6,7 @@
 namespace load_balancer {
 namespace {
 
-// Longest time from a poll that fails or gets no response to the next poll.
+// Longest time from a failed or unanswered poll to the next poll.
 constexpr Duration kMaxUnansweredTime{3500};
 // The same limit as a fraction of Settings::max_poll_interval; the shorter of the two applies.
 constexpr double kUnansweredFraction = 0.9;
--- a/src/policy/request.cpp
+++ b/src/policy/request.cpp
@@ -11,7 +11,7 @@
 constexpr int kMinSamples = 10;
 constexpr double kTimeoutTolerance = 0.04;  // relative difference up to which time-outs count as equal
 constexpr int kMaxTimeoutVotes = 50;
-constexpr int kEstablishedTimeoutVotes = 10;  // with fewer votes, the clients' time-outs may differ widely
+constexpr int kEstablishedTimeoutVotes = 10;  // with fewer votes, clients may have very different time-outs
 
 }  // namespace
 
--- a/src/policy/request_lifecycle.h
+++ b/src/policy/request_lifecycle.h
@@ -17,7 +17,7 @@
 
 namespace load_balancer {
 
-/// Admits, queues, dispatches, retries and finishes requests. An overflow request of another site is
+/// Admits, queues, dispatches, retries and finishes requests. An overflow request from another site is
 /// dispatched only if no request of this site is queued and the request does not raise the overflow in flight
 /// above the permitted fraction of the spare concurrency; otherwise it is rejected at once.
 class RequestLifecycle {
@@ -83,7 +83,7 @@
   std::unordered_map<RequestId, Request> requests_;
   double max_overflow_fraction_ = 0;
   bool has_capacity_changed_ = false;
-  // Time of the last rejection of a request of this site that was never sent.
+  // Time of the last rejection of a request that came from a client of this site and was never sent.
   TimePoint last_rejection_{Duration(-1e300)};
 };
 
--- a/src/policy/server_picker.h
+++ b/src/policy/server_picker.h
@@ -40,7 +40,7 @@
  private:
   struct Candidate {
     Server* server = nullptr;
-    int rank = 0;  // compared before the cost; the lowest is preferred
+    int rank = 0;  // candidates are compared by rank before cost; the lowest is preferred
     double cost = 0;
     std::uint64_t ties = 1;  // number of candidates with this rank and cost, including this one
   };
