--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -328,7 +328,7 @@
 /// the last second, or if no server is in service.
 struct SpareCapacity {
   double work_per_ms = 0;              ///< mean, as hinted work on standard cores; 0 or more
-  double work_per_ms_lower_bound = 0;  ///< work_per_ms with one deviation more attempts in flight; >= 0
+  double work_per_ms_lower_bound = 0;  ///< work_per_ms less one deviation of the number in flight; >= 0
   Duration wait{0};                    ///< estimated queueing time of a request that arrives now
 };
 
--- a/src/fleet/lease/persisted_votes.h
+++ b/src/fleet/lease/persisted_votes.h
@@ -26,9 +26,9 @@
 /// Parses a document written by ToJson. Throws nlohmann::json::exception if the document has another form.
 PersistedVotes PersistedVotesFromJson(const nlohmann::json& document);
 
-/// Returns all persisted votes, for a voter that is now configured with the sorted set `voters`. Fails with
-/// kVoterSetChangeTooLarge if the sets differ by more than one voter, because then a majority of one set may
-/// share no voter with a majority of the other.
+/// Returns all persisted votes. They also bind a voter that is now configured with the sorted set `voters`.
+/// Fails with kVoterSetChangeTooLarge if the sets differ by more than one voter, because then a majority of
+/// one set may share no voter with a majority of the other.
 Result<StoredVotes> AdoptVotes(PersistedVotes persisted, const std::vector<std::string>& voters);
 
 }  // namespace load_balancer::fleet
