--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -40,8 +40,8 @@
   kNotIdempotent    ///< A request must not run twice.
 };
 
-/// IdempotencyScope is the set of servers that share idempotency keys: each of them discards the repeat of a
-/// request that another one has received. It is the whole fleet, the servers of a zone or those of a cell.
+/// IdempotencyScope is the set of servers that share idempotency keys: all servers, or the servers of one
+/// zone or cell. If one of them has received a request, the others discard a repeat of it.
 enum class IdempotencyScope { kAll, kZone, kCell };
 
 /// ClassSettings holds the rules of one class of requests.
@@ -49,7 +49,7 @@
   Idempotency idempotency = Idempotency::kNotIdempotent;
   /// The servers that share idempotency keys. Used with Idempotency::kIdempotencyKey only.
   IdempotencyScope idempotency_scope = IdempotencyScope::kAll;
-  /// The time for which servers remember an idempotency key. Used with Idempotency::kIdempotencyKey only.
+  /// How long servers remember an idempotency key. Used with Idempotency::kIdempotencyKey only.
   Duration idempotency_window{0};
   Duration latency_objective{0};
   Duration deadline{0};
@@ -64,8 +64,8 @@
   double quota_per_s = 0;  ///< requests per second, over all proxies
 };
 
-/// Settings holds the settings of one proxy. The defaults are the documented values of absent optional
-/// settings; none of them tunes a decision.
+/// Settings holds the settings of one proxy. The defaults are the documented values of optional settings that
+/// are absent; no default is a tuning parameter.
 struct Settings {
   int balancer_count = 1;  ///< number of proxies in the fleet
   int balancer_index = 0;  ///< index of this proxy, from 0
@@ -78,7 +78,7 @@
   double cross_zone_price = 0;
   /// Whether a server that has recently served a key serves it again with less work.
   bool session_affinity = false;
-  /// Whether discovery does not push the endpoint list, so that the proxy has to repeat Subscribe.
+  /// Whether discovery does not push the endpoint list, so that the proxy must poll it with Subscribe.
   bool must_poll_for_list = false;
   int max_attempts = 1;
   /// The longest Retry-After that rejected clients obey; 0 if they ignore Retry-After.
@@ -87,9 +87,9 @@
   Duration tick{1};
   /// The longest time between two polls. Used with must_poll_for_list only.
   Duration max_poll_interval{0};
-  /// The share of its capacity that a server has at least when it starts.
+  /// The minimum share of its full capacity that a server has when it starts.
   double slow_start_min_share = 1;
-  /// The longest time that a server needs after its start until it has its full capacity.
+  /// The longest time from a server's start until it has its full capacity.
   Duration slow_start_window{0};
   /// The overload limit: a server fails if it gets more work within overload_window than this multiple of its
   /// present capacity.
@@ -132,9 +132,9 @@
   kUnknown
 };
 
-/// QuotaStatus states whether a request is within its tenant's quota, as counted over all proxies. With
-/// kUnknown no such count exists, and the proxy checks the request against its own part of the quota: the
-/// quota divided by the number of proxies.
+/// QuotaStatus states whether a request is within its tenant's quota, as counted over all proxies. kUnknown
+/// means that no such count exists; the proxy then checks the request against its own part of the quota,
+/// which is the quota divided by the number of proxies.
 enum class QuotaStatus { kUnknown, kWithinQuota, kOverQuota };
 
 // ---- events -------------------------------------------------------------------------------------------
@@ -197,7 +197,7 @@
 };
 
 /// StartMaintenance takes a server out of service until EndMaintenance, whatever its state in the endpoint
-/// list. An operator requests it.
+/// list. An operator requests the maintenance.
 struct StartMaintenance {
   ServerId server = 0;
 };
@@ -220,7 +220,7 @@
 };
 
 /// PeerEjection reports that another proxy of the fleet has ejected a server until `until`, because
-/// `failures` of `attempts` attempts had failed. This proxy may ignore it.
+/// `failures` of `attempts` attempts had failed. This proxy may ignore the event.
 struct PeerEjection {
   ServerId server = 0;
   TimePoint until{};
@@ -258,8 +258,8 @@
 };
 
 /// OverflowShare limits the overflow requests in flight. `max_fraction`, from 0 to 1, is a fraction of this
-/// proxy's spare concurrency: its limit on requests in flight less its own requests in flight. With 0, which
-/// is also the value before the first such event, all overflow is rejected.
+/// proxy's spare concurrency: its limit on requests in flight less its own requests in flight. 0, the value
+/// before the first such event, rejects all overflow.
 struct OverflowShare {
   double max_fraction = 0;
 };
@@ -323,12 +323,12 @@
 using Action = std::variant<Dispatch, Reject, FailRequest, SetTimer, Subscribe, CloseIdle, Log, Ejected>;
 
 /// SpareCapacity estimates the traffic that this proxy would admit in addition to its present traffic. By
-/// Little's law, it is the unused part of the limit on attempts in flight, divided by the response time that
-/// this limit allows. It is zero if requests are queued, if a request was rejected unsent within the last
-/// second, or if no server is in service.
+/// Little's law, the estimate is the unused part of the limit on attempts in flight, divided by the response
+/// time that this limit allows. It is zero if requests are queued, if a request was rejected unsent within
+/// the last second, or if no server is in service.
 struct SpareCapacity {
   double work_per_ms = 0;              ///< mean, as hinted work on standard cores; 0 or more
-  double work_per_ms_lower_bound = 0;  ///< the mean less one deviation of the number in flight; 0 or more
+  double work_per_ms_lower_bound = 0;  ///< work_per_ms less one deviation of the number in flight; >= 0
   Duration wait{0};                    ///< estimated queueing time of a request that arrives now
 };
 
--- a/src/fleet/lease/lease_state.h
+++ b/src/fleet/lease/lease_state.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The state of one lease at a member that is its candidate, holder or follower.
+/// The state of one lease at a member, which is a candidate for the lease, its holder or a follower.
 #ifndef LOAD_BALANCER_FLEET_LEASE_LEASE_STATE_H_
 #define LOAD_BALANCER_FLEET_LEASE_LEASE_STATE_H_
 
@@ -45,11 +45,13 @@
   LeaseStatus StatusAt(Time now) const;
   /// Returns the earliest time of the next request.
   Time NextAttemptAt() const;
-  /// Returns whether a request may be sent; false while another request is open.
+  /// Returns whether a request may be sent. Returns false for a follower, while another request is open, and
+  /// if this member has released its leases (`is_released`).
   bool MayRequest(bool is_released) const;
   /// Returns when the next timer of this lease fires; Time::max() if no timer is set.
   Time NextDeadline(bool is_released) const;
-  /// Does the same as Leases::AppendFingerprint for this lease.
+  /// Appends all state of this lease that determines future behaviour, with times relative to `now`. The
+  /// model checker uses it through Leases::AppendFingerprint.
   void AppendFingerprint(Time now, Span term, std::vector<std::uint64_t>* words) const;
 
   std::string name;
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -9,21 +9,22 @@
 namespace {
 
 constexpr Duration kMaxInterval{10000};  // default of A50
-// Duration of the first ejection if the detection interval is kDetectionInterval. It is one interval in any
-// case.
+// Duration of the first ejection if the detection interval is kDetectionInterval. The first ejection always
+// lasts one interval.
 constexpr Duration kBaseEjectionTime{2000};
 constexpr Duration kMaxEjectionTime{16000};  // time within which a recovered server is tried again
-constexpr double kReturnJitterMin = 0.75;    // applied to the ejection time if traffic is sparse
+constexpr double kReturnJitterMin = 0.75;    // smallest factor of the ejection time if traffic is sparse
 constexpr double kReturnJitterRange = 0.5;
 static_assert(kMaxEjectionTime * (kReturnJitterMin + kReturnJitterRange) <= kMaxEjectionDuration);
 
-// With sparse traffic, attempts that all fail suffice for an ejection if that is less probable than this.
+// With sparse traffic, a few attempts that all fail eject a host if the probability of such failures by
+// chance is below this.
 constexpr double kSparseVolumeProbability = 0.01;
 // Failures do not eject if they are more probable than this at the usual failure rate.
 constexpr double kMaxCoincidenceProbability = 0.001;
 // Failures that are assumed at other hosts before any are counted.
 constexpr double kPriorFailures = 0.1;
-// Hosts with enough attempts that a comparison needs.
+// Smallest number of hosts with enough attempts for a comparison.
 constexpr int kMinimumHosts = 2;
 // Smallest failure share of an outlier. It is well above random fluctuation.
 constexpr double kThreshold = 0.4;
@@ -125,8 +126,8 @@
 
 bool OutlierDetector::MayEject() const { return 100.0 * ejected_hosts_ < kMaxEjectionPercent * hosts_; }
 
-// Returns the number of attempts needed to evaluate a host. With sparse traffic it is as low as the number of
-// attempts that are unlikely to all fail by chance, given the failure share of the other hosts.
+// Returns the number of attempts needed to evaluate a host. With sparse traffic this number may be
+// smaller: so many attempts are unlikely to all fail by chance, given the failure share of the other hosts.
 int OutlierDetector::MinRequestVolume(const Counts& others) const {
   const double others_share = (others.failures + kPriorFailures) / (others.attempts + 1);
   if (!is_traffic_sparse_ || others_share >= 1) return kRequestVolume;
--- a/src/policy/server_list.h
+++ b/src/policy/server_list.h
@@ -42,10 +42,10 @@
   Duration detection_interval() const { return detector_.interval(); }
   bool is_traffic_sparse() const { return detector_.is_traffic_sparse(); }
 
-  /// Adapts outlier detection and the subset to the rate at which this proxy sends.
+  /// Adapts outlier detection and the subset to the rate at which this proxy sends requests.
   void AdaptToRate(double requests_per_s);
 
-  /// Recomputes the capacity if it changes with time.
+  /// Recomputes the capacity if a usable server is in slow start, as its capacity grows with time.
   void RefreshCapacity();
 
   Server& at(ServerIndex index) { return servers_[index]; }
@@ -55,7 +55,7 @@
   }
   Server* Find(ServerId id);
 
-  /// Returns the share of its full capacity that a server has at least, given the time since its start.
+  /// Returns the minimum share of its full capacity that a server has, given the time since its start.
   double CapacityShare(const Server& server) const;
 
   /// Returns the usable servers, ordered by a hash that is the same at all proxies.
