--- a/model/fault.h
+++ b/model/fault.h
@@ -17,13 +17,14 @@
 enum class FaultKind {
   kCrash,        // `machines` crash and restart after `duration`
   kCrashNoDisk,  // like kCrash, and the machines lose their disks
-  kStall,        // `machines` stand still
+  kStall,        // `machines` stall, as World::Stall describes
   kCutOneWay,    // no packets from the first of `machines` to the others
   kPartition,    // no packets between `machines` and all other machines
   kLoss,       // packets from or to `machines` (if empty: all packets) are lost with probability `magnitude`
-  kDelay,      // these packets are delayed by up to `magnitude` ms
-  kDuplicate,  // these packets are duplicated with probability `magnitude`
-  kReorder,    // with probability `magnitude` these packets are delayed by up to kMaxReorderDelay
+  kDelay,      // packets chosen as for kLoss are delayed by up to `magnitude` ms
+  kDuplicate,  // packets chosen as for kLoss are duplicated with probability `magnitude`
+  kReorder,    // packets from or to `machines` are delayed by up to kMaxReorderDelay, with probability
+               // `magnitude`
   kWallJump    // the wall clocks of `machines` jump by `magnitude` ms and keep that offset
 };
 inline constexpr int kFaultKinds = 10;
--- a/model/fleet/federation.h
+++ b/model/fleet/federation.h
@@ -27,7 +27,7 @@
   Link link;  // between members of a site
   // The link between members of different sites.
   Link inter_site_link{0, 0, 0, std::chrono::milliseconds(5), std::chrono::milliseconds(8)};
-  double max_rate_error = 0;  // each clock's rate is within this of 1
+  double max_rate_error = 0;  // maximum difference of a clock's rate from 1
   Observer* observer = nullptr;
 };
 
--- a/model/fleet/member.h
+++ b/model/fleet/member.h
@@ -50,7 +50,7 @@
   std::size_t pool = 0;
   std::size_t site = 0;
   std::vector<fleet::LeasedRole> duties;  // leased if section.lease_term is not zero
-  std::uint64_t seed = 0;                 // of this incarnation
+  std::uint64_t seed = 0;                 // seed of this incarnation's random numbers
   Observer* observer = nullptr;           // may be null; must outlive the member
 };
 
--- a/model/fleet/program.h
+++ b/model/fleet/program.h
@@ -21,7 +21,7 @@
   std::optional<PoolOptions> federation_pool;
 };
 
-// Runs one member per pool and passes packets to them by pool.
+// Runs one member per pool and passes each packet to the member of the packet's pool.
 class FleetProgram : public Program {
  public:
   FleetProgram(Host& host, const FleetSetup& setup) : site_(host, setup.site_pool) {
--- a/model/machine.h
+++ b/model/machine.h
@@ -17,7 +17,7 @@
 
 namespace load_balancer::model {
 
-inline constexpr std::size_t kMaxQueuedPackets = 256;  // at a stalled machine
+inline constexpr std::size_t kMaxQueuedPackets = 256;  // limit at a stalled machine
 
 // Runs one program at a time and is the program's host.
 class Machine final : public Host {
@@ -41,7 +41,7 @@
   const Endpoint& Address() const override { return address_; }
   const std::string& Name() const override { return name_; }
 
-  // Starts a new program. Clears the disk before unless `with_disk` is set.
+  // Starts a new program. Clears the disk first unless `with_disk` is set.
   void Start(bool with_disk);
   // Ends the program and drops the queued packets.
   void Crash();
--- a/model/network.h
+++ b/model/network.h
@@ -29,14 +29,15 @@
 // Decides the delay of each packet and whether it arrives.
 class Network {
  public:
-  using Id = std::uint64_t;  // of a fault
+  using Id = std::uint64_t;  // identifies a fault
   using Machines = std::vector<std::size_t>;
 
   // Sets the link between machines of one site. Until SetInterSite is called, it also applies between sites.
   void SetDefault(const Link& link);
   // Sets the link between machines of different sites.
   void SetInterSite(const Link& link);
-  // Sets the link from one machine to another. It takes precedence over all other links.
+  // Sets the link from one machine to another. It replaces the links of SetDefault and SetInterSite for this
+  // pair.
   void Set(std::size_t from, std::size_t to, const Link& link);
   // Assigns a machine to a site. Machines that are not assigned are at site 0.
   void Place(std::size_t machine, std::size_t site);
@@ -64,8 +65,8 @@
  private:
   struct Fault {
     enum class Kind { kCut, kPartition, kDegradation } kind;
-    std::vector<std::uint8_t> from, to;  // by machine: 1 if the fault affects it
-    std::vector<std::size_t> group;      // by machine; 0 means that it is in no group
+    std::vector<std::uint8_t> from, to;  // by machine: 1 if the fault affects the machine
+    std::vector<std::size_t> group;      // by machine; 0 means that the machine is in no group
     Link change;
   };
   const Link& LinkWithoutFaults(std::size_t from, std::size_t to) const;
--- a/model/program.h
+++ b/model/program.h
@@ -56,8 +56,8 @@
   virtual void Receive(const Packet& packet) = 0;
   // Called when the machine's monotonic clock has reached Next(). The call is late after a stall.
   virtual void Tick() = 0;
-  // Returns the time of the next tick, or Time::max() if there is none. Called after each call of the
-  // program.
+  // Returns the time of the next tick, or Time::max() if there is none. The machine calls this function after
+  // each other call of the program.
   virtual Time Next() const = 0;
 };
 
--- a/model/world.h
+++ b/model/world.h
@@ -48,7 +48,9 @@
   void Stall(std::size_t machine, Moment duration);
   // Moves a machine's wall clock by `ms` milliseconds.
   void JumpWallClock(std::size_t machine, std::int64_t ms);
-  Program* program(std::size_t machine) { return machines_.at(machine)->program(); }  // null while down
+  Program* program(std::size_t machine) {
+    return machines_.at(machine)->program();
+  }  // null while the machine is down
   bool stalled(std::size_t machine) const { return machines_.at(machine)->stalled(); }
   Host& host(std::size_t machine) { return *machines_.at(machine); }
 
@@ -73,7 +75,7 @@
     Moment at;
     std::uint64_t sequence;
     Kind kind;
-    std::uint32_t slot;  // index of the delivery or action, or the machine
+    std::uint32_t slot;  // index of the delivery, of the action or of the machine
     bool operator>(const Event& other) const {
       return at != other.at ? at > other.at : sequence > other.sequence;
     }
--- a/src/fleet/federation/section.cpp
+++ b/src/fleet/federation/section.cpp
@@ -168,7 +168,7 @@
   if (!sites.on) return;
   const std::string path = "sites." + GatewayPath(sites.site, name);
   const auto site = sites.gateways.find(sites.site);
-  if (site == sites.gateways.end()) return;  // reported by CheckOwnSite
+  if (site == sites.gateways.end()) return;  // CheckOwnSite has reported this fault
   const auto self = site->second.find(name);
   if (self == site->second.end()) return faults->push_back(path + " is missing, which is this gateway");
   if (self->second.pool != sites.advertise)
--- a/src/fleet/federation/section.h
+++ b/src/fleet/federation/section.h
@@ -19,8 +19,9 @@
 
 /// The addresses at which other sites reach a gateway.
 struct GatewayAddresses {
-  boost::asio::ip::udp::endpoint pool;     ///< as a member of the pool
-  boost::asio::ip::tcp::endpoint clients;  ///< as a proxy; its own connections use the same IP address
+  boost::asio::ip::udp::endpoint pool;  ///< UDP address as a member of the pool
+  /// TCP address at which it serves clients. Connections that it opens use the same IP address.
+  boost::asio::ip::tcp::endpoint clients;
 };
 
 /// The gateways of one site by name. Names are unique in the federation.
@@ -30,17 +31,17 @@
 /// ranges are documented in docs/configuration.md.
 struct SitesSection {
   bool on = false;
-  std::string site;                              ///< name of this process's site
-  boost::asio::ip::udp::endpoint bind;           ///< UDP address of this process in the pool
-  boost::asio::ip::udp::endpoint advertise;      ///< address at which others reach it; defaults to `bind`
-  std::map<std::string, SiteGateways> gateways;  ///< by name of the site
+  std::string site;                                    ///< name of this process's site
+  boost::asio::ip::udp::endpoint bind;                 ///< UDP address of this process in the pool
+  boost::asio::ip::udp::endpoint advertise;            ///< address that other members use; defaults to `bind`
+  std::map<std::string, SiteGateways> gateways;        ///< by name of the site
   std::vector<boost::asio::ip::udp::endpoint> voters;  ///< pool addresses of the gateways that vote on leases
   Milliseconds probe_interval{2000};
   int suspicion_multiplier = 5;
   Milliseconds sync_interval{15000};
   Milliseconds lease_term{3000};
   Milliseconds lease_drift{100};
-  int max_bytes_per_second = 131072;  ///< limit of what this process sends in the pool
+  int max_bytes_per_second = 131072;  ///< maximum number of bytes per second sent in the pool
 };
 
 /// Reads the section `sites` from the root object of the configuration file. Appends one line per fault to
@@ -56,8 +57,8 @@
 /// Returns the site of a gateway, or an empty string if there is no gateway of that name.
 std::string SiteOf(const SitesSection& sites, const std::string& gateway);
 
-/// Returns the fleet section of the pool. It has the timings of the section and its voters as seeds, and
-/// shares no state except fenced values.
+/// Returns the fleet section of the pool. The timings and the voters of `sites` become the timings and the
+/// seeds of the pool, whose members share no state except fenced values.
 FleetSection PoolOf(const SitesSection& sites);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/node/lease_participant.h
+++ b/src/fleet/node/lease_participant.h
@@ -58,17 +58,22 @@
   /// Processes the announcement of another holder. Returns false if the value is not an announcement.
   bool ReceiveAnnouncement(const FencedValue& fenced);
 
-  /// Returns the highest known token of each duty. Empty before Start.
+  /// Returns the highest known token of each duty. The map is empty before Start.
   std::map<std::string, FencingToken> HighestTokens() const;
   /// Ensures that future tokens are higher than these.
   void RaiseTokens(const std::map<std::string, FencingToken>& tokens);
 
-  /// These functions are described at the functions of the same name in Node.
+  /// Returns whether this process must perform the duty; node.h lists the cases.
   bool IsResponsibleFor(const std::string& duty) const;
+  /// Returns the proof that this process holds the duty's lease, or nothing if it does not.
   std::optional<LeaseProof> ProveLease(const std::string& duty) const;
+  /// Returns whether another member is known to hold the duty's lease.
   bool IsFollowerOf(const std::string& duty) const;
+  /// Returns the token of the duty's lease if this process holds it, and 0 otherwise.
   FencingToken HeldToken(const std::string& duty) const;
+  /// Returns the known holder of the duty's lease, or an empty string.
   std::string HolderOf(const std::string& duty) const;
+  /// Returns one line with every duty; Node::DescribeLeases documents the format.
   std::string Describe() const;
 
  private:
--- a/src/fleet/node/limit_share.h
+++ b/src/fleet/node/limit_share.h
@@ -26,14 +26,14 @@
   /// Sets the membership to count. `membership` must remain valid until Stop is called or this object is
   /// destroyed.
   void Join(const Membership* membership) { membership_ = membership; }
-  /// Sets the share to 1 until the other members must have learned of this one. Call this whenever they may
-  /// not count this member yet.
+  /// Sets the share to 1 until enough time has passed for the other members to learn of this one. Call this
+  /// whenever they may not count this member yet.
   void Settle();
   /// Sets the share to 1 until Settle is called.
   void Unsettle();
   /// Recomputes the share after a change in the set of members.
   void Update();
-  /// Stops the timer and releases the membership.
+  /// Stops the timer and stops using the membership.
   void Stop();
 
   int limit() const { return section_.server_limit; }
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -61,8 +61,8 @@
   void Announce(Ejection ejection) { state_.Announce(std::move(ejection)); }
   void Announce(KeyAffinity affinity) { state_.Announce(std::move(affinity)); }
 
-  /// Returns whether this process must perform the duty: it holds the lease, duties have no leases, or the
-  /// duty is an available one and there is no quorum of voters.
+  /// Returns whether this process must perform the duty: it holds the lease, duties have no leases, or there
+  /// is no quorum of voters and the duty is of the kind that stays available without one.
   bool IsResponsibleFor(const std::string& duty) const { return leases_.IsResponsibleFor(duty); }
   /// Returns the proof that this process holds the duty's lease, or nothing if it does not.
   std::optional<LeaseProof> ProveLease(const std::string& duty) const { return leases_.ProveLease(duty); }
@@ -74,8 +74,8 @@
   FencingToken HeldToken(const std::string& duty) const { return leases_.HeldToken(duty); }
   /// Returns the known holder of the duty's lease, or an empty string.
   std::string HolderOf(const std::string& duty) const { return leases_.HolderOf(duty); }
-  /// Publishes a value under the token of the proof's lease, for `lifetime`. Fails with kLeaseExpired if the
-  /// proof is no longer valid.
+  /// Publishes a value with the token of the proof's lease. The value expires after `lifetime`. Fails with
+  /// kLeaseExpired if the proof is no longer valid.
   Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                        Span lifetime) override;
   /// Publishes several values in as few messages as possible.
@@ -93,7 +93,7 @@
   const Membership* membership() const { return membership_ ? &*membership_ : nullptr; }
 
   /// Returns one line with every duty as "duty role holder=H token=N left=SECONDSs kind=K", separated by
-  /// commas. Empty before this process participates in leases.
+  /// commas. The line is empty before this process participates in leases.
   std::string DescribeLeases() const { return leases_.Describe(); }
   /// Returns one line about the shared state; the format is described in describe.h.
   std::string DescribeState();
--- a/src/fleet/node/transport.h
+++ b/src/fleet/node/transport.h
@@ -28,7 +28,7 @@
   std::string component;  ///< component name in log lines
   std::string fleet;      ///< name of the fleet; messages of other fleets are dropped
   Udp::endpoint bind;
-  std::chrono::milliseconds retry_interval{1000};  ///< between attempts to bind the address
+  std::chrono::milliseconds retry_interval{1000};  ///< time between attempts to bind the address
   double max_bytes_per_second = 65536;  ///< limit of bytes sent, with bursts of up to one second's worth
 };
 
@@ -48,13 +48,13 @@
   /// `host` must outlive the transport.
   Transport(boost::asio::io_context& io, TransportOptions options, Host& host);
 
-  /// Binds the address. Retries while another process has it.
+  /// Binds the address. Retries while another process uses it.
   void Open();
   void Close();
   bool is_open() const { return socket_.is_open(); }
 
-  /// Sends the message unless the bandwidth limit is reached. The message may be lost like any datagram. Its
-  /// state is removed if only the bandwidth that is reserved for urgent messages is left.
+  /// Sends the message unless the bandwidth limit is reached. The message may be lost like any datagram. The
+  /// message is sent without its replicated state if only the bandwidth reserved for urgent messages is left.
   void Send(const Udp::endpoint& to, const Message& message);
   /// Sends a message that can be delayed, and leaves the reserved share of the bandwidth to urgent messages.
   /// Returns false, sends nothing and counts nothing if not enough bandwidth is left.
--- a/src/fleet/section.h
+++ b/src/fleet/section.h
@@ -21,18 +21,19 @@
   bool on = false;
   std::string name = "flintspar";       ///< name of the fleet; messages of other fleets are ignored
   boost::asio::ip::udp::endpoint bind;  ///< UDP address of this process
-  std::vector<boost::asio::ip::udp::endpoint> seeds;  ///< members to ask for the table first; the voters
+  /// Members from which this process first requests the member table. They are also the voters on leases.
+  std::vector<boost::asio::ip::udp::endpoint> seeds;
   Milliseconds probe_interval{1000};
-  int suspicion_multiplier = 4;              ///< shortest suspicion of a small fleet, in probe intervals
+  int suspicion_multiplier = 4;              ///< shortest suspicion time in a small fleet, in probe intervals
   int indirect_probes = 3;                   ///< parameter k of SWIM (Das, Gupta, Motivala 2002)
-  boost::asio::ip::udp::endpoint advertise;  ///< address at which others reach it; defaults to `bind`
+  boost::asio::ip::udp::endpoint advertise;  ///< address that other members use; defaults to `bind`
   int retransmit_multiplier = 4;             ///< parameter lambda of SWIM
-  Milliseconds sync_interval{10000};         ///< between exchanges of the complete member table
-  Milliseconds forget_after{3600000};        ///< until a dead or departed member is forgotten
-  int max_bytes_per_second = 65536;          ///< limit of what this process sends
+  Milliseconds sync_interval{10000};         ///< time between exchanges of the complete member table
+  Milliseconds forget_after{3600000};        ///< time until a dead or departed member is forgotten
+  int max_bytes_per_second = 65536;          ///< maximum number of bytes that this process sends per second
   bool share_ejections = true;
-  int server_limit = 0;              ///< requests in flight at one server, over all members; 0 means no limit
-  int affinity_entries = 0;          ///< maximum number of entries; 0 means that affinity is not shared
+  int server_limit = 0;              ///< maximum requests in flight at a server, over all members; 0: none
+  int affinity_entries = 0;          ///< maximum number of stored affinities; 0 means that none are shared
   Milliseconds affinity_ttl{4000};   ///< time for which a server is assumed to be warm for a key
   Milliseconds lease_term{0};        ///< term of the lease of a duty; 0 means no leases
   Milliseconds lease_drift{100};     ///< maximum drift between two members' clocks over a term
--- a/src/fleet/state/anti_entropy.cpp
+++ b/src/fleet/state/anti_entropy.cpp
@@ -22,7 +22,7 @@
   return versions;
 }
 
-// Returns the bytes that the elements of a packed array of `max_bytes` may take.
+// Returns the number of bytes that are available for the elements of a packed array of `max_bytes`.
 std::size_t MaxElementBytes(std::size_t max_bytes) {
   return max_bytes - std::min(max_bytes, kArrayHeaderBytes);
 }
--- a/src/fleet/state/anti_entropy.h
+++ b/src/fleet/state/anti_entropy.h
@@ -33,7 +33,8 @@
                                         const DigestRange& range, std::size_t max_bytes);
 
 /// Packs the stored entries of the buckets whose digests differ from `peer_digests`. Returns at most
-/// `max_chunks` chunks of at most `max_bytes` each, in the order of the entries' hashes from `start` on.
+/// `max_chunks` chunks of at most `max_bytes` each, in the order of the entries' hashes, which begins at
+/// `start` and wraps around.
 std::vector<Chunk<nlohmann::json>> PackDiffering(const EntryStore& store, const BucketDigests& peer_digests,
                                                  std::uint64_t start, std::size_t max_bytes,
                                                  std::size_t max_chunks);
--- a/src/fleet/state/dissemination.cpp
+++ b/src/fleet/state/dissemination.cpp
@@ -12,7 +12,8 @@
 
 using nlohmann::json;
 
-// Number of entries that are too large for the remaining bytes after which the search for a smaller one ends.
+// The search for an entry that fits ends after this number of entries that were too large for the remaining
+// bytes.
 constexpr int kMaxSkipped = 16;
 
 // Returns the keys of the pending entries that fit an array of `max_bytes`, least sent first.
--- a/src/fleet/state/dissemination.h
+++ b/src/fleet/state/dissemination.h
@@ -21,8 +21,8 @@
   std::vector<EntryKey> keys;
 };
 
-/// Packs the stored entries with the given keys, in the order of the keys, up to the first that no longer
-/// fits `max_bytes`.
+/// Packs the stored entries with the given keys, in the order of the keys, and stops at the first entry that
+/// would exceed `max_bytes`.
 PackedPush PackKeys(const EntryStore& store, const std::set<EntryKey>& keys, std::size_t max_bytes);
 
 /// Packs pending entries into an array of at most `max_bytes` and counts each as sent once more. An entry
--- a/src/fleet/state/entry.h
+++ b/src/fleet/state/entry.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The entries of the replicated state, in which the members of a fleet tell each other about servers,
-/// affinity keys and leased roles. entry_codec.h encodes them for messages.
+/// The entries of the replicated state. Members of a fleet exchange these entries to share what they know
+/// about servers, affinity keys and leased roles. entry_codec.h encodes them for messages.
 #ifndef LOAD_BALANCER_FLEET_STATE_ENTRY_H_
 #define LOAD_BALANCER_FLEET_STATE_ENTRY_H_
 
@@ -30,7 +30,7 @@
 /// Maximum number of fenced values that are stored, over all leased roles.
 inline constexpr std::size_t kMaxFencedValues = 16384;
 
-/// Ejection states that a member has ejected a server after `failures` of `attempts` failed.
+/// Ejection records that a member has ejected a server because `failures` of `attempts` attempts failed.
 struct Ejection {
   std::string server;  ///< the server's id in discovery
   UnixMs until = 0;    ///< time at which the ejection ends
--- a/src/fleet/state/entry_store.h
+++ b/src/fleet/state/entry_store.h
@@ -24,14 +24,14 @@
   int transmits = 0;  ///< number of messages that have carried the entry
 };
 
-/// PendingTransmit refers to an entry that further messages are to carry.
+/// PendingTransmit identifies an entry that must still be sent in further messages.
 struct PendingTransmit {
   int transmits = 0;
   EntryKey key;
   auto operator<=>(const PendingTransmit&) const = default;
 };
 
-/// EntryStore holds the entries of the replicated state.
+/// EntryStore stores the entries of the replicated state.
 class EntryStore {
  public:
   /// Limits the number of affinities to `max_affinities`. A further affinity replaces the one that expires
--- a/src/fleet/state/entry_validator.h
+++ b/src/fleet/state/entry_validator.h
@@ -16,7 +16,7 @@
 
 namespace load_balancer::fleet {
 
-/// ServerList tells which servers discovery lists.
+/// ServerList is the interface for checking whether discovery lists a server.
 class ServerList {
  public:
   virtual ~ServerList() = default;
--- a/src/fleet/state/fencing_tokens.h
+++ b/src/fleet/state/fencing_tokens.h
@@ -16,8 +16,8 @@
 
 namespace load_balancer::fleet {
 
-/// FencingTokens stores the highest token of each role. A token is stored for as long as a value with a
-/// smaller token could last, so that no such value outlives the token by which it is rejected.
+/// FencingTokens stores the highest token of each role. A token stays stored until every value with a smaller
+/// token must have expired. Otherwise a member that has forgotten the token could accept such a value.
 class FencingTokens {
  public:
   /// Returns the highest token seen for the role, or 0 if none is known.
--- a/src/fleet/state/gossip.cpp
+++ b/src/fleet/state/gossip.cpp
@@ -12,9 +12,9 @@
 namespace load_balancer::fleet {
 namespace {
 
-constexpr std::size_t kPushFanout = 3;        // members to which a new entry is pushed
-constexpr std::size_t kMaxAnswerChunks = 16;  // datagrams of an answer
-// 2^64 divided by the golden ratio, so that the start hashes of consecutive answers spread evenly.
+constexpr std::size_t kPushFanout = 3;        // number of members to which a new entry is pushed
+constexpr std::size_t kMaxAnswerChunks = 16;  // maximum number of datagrams of an answer
+// 2^64 divided by the golden ratio. Steps of this size spread the start hashes of consecutive answers evenly.
 constexpr std::uint64_t kStartHashStep = 0x9e3779b97f4a7c15u;
 
 StateOptions StateOptionsOf(const FleetSection& section, const std::string& name) {
@@ -66,9 +66,9 @@
     AnswerDigest(now, message);
 }
 
-// Answers a sync from a member of an older version, which sends no bucket digests. If the digests differ, the
-// members send each other all entries. The receiver requests a sync in turn, because it may be the member
-// that lacks entries.
+// Answers a sync from a member of an older version, which sends no bucket digests. If the digests differ,
+// this member sends all its entries. It also requests a sync if the peer wants a reply, because this member
+// may be the one that lacks entries.
 void StateGossip::AnswerDigest(UnixMs now, const Message& message) {
   if (message.state_digest == state_.ComputeDigest(now)) return;
   const Udp::endpoint& from = message.sender.address;
@@ -113,8 +113,8 @@
   return RemainingBytes(fleet_, MakeMessage(Message::Kind::kState));
 }
 
-// Pushes new entries to a few members, which push the entries that are new to them in turn. Entries that the
-// bandwidth limit does not admit stay unpushed until the next call.
+// Pushes new entries to a few members. Each receiver then pushes the entries that are new to it. Entries that
+// the bandwidth limit does not admit stay unpushed until the next call.
 void StateGossip::PushNewEntries(UnixMs now) {
   while (membership_ && state_.has_unpushed()) {
     Message message = MakeMessage(Message::Kind::kState);
--- a/src/fleet/state/gossip.h
+++ b/src/fleet/state/gossip.h
@@ -1,9 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Exchanges the replicated state between members. Every message carries new entries as far as they fit. A
-/// new ejection or fenced value is pushed to a few members immediately. Each sync of membership also compares
-/// and exchanges the entries that differ. Uses no socket and no clock of its own.
+/// Exchanges the replicated state between members. Every message carries as many new entries as fit. A new
+/// ejection or fenced value is pushed to a few members immediately. When two members exchange their
+/// membership tables, they also compare their entries and exchange those that differ. Uses no socket and no
+/// clock of its own.
 #ifndef LOAD_BALANCER_FLEET_STATE_GOSSIP_H_
 #define LOAD_BALANCER_FLEET_STATE_GOSSIP_H_
 
@@ -22,14 +23,14 @@
 /// StateGossip sends and receives the entries of one member.
 class StateGossip {
  public:
-  /// MessageSender sends messages to members. StateGossip calls it from within its own functions. It calls
-  /// AttachState for each message.
+  /// MessageSender sends messages to members. StateGossip calls it from within its own functions. Its
+  /// implementation of Send must call AttachState for each message.
   class MessageSender {
    public:
     virtual ~MessageSender() = default;
     virtual void Send(const Udp::endpoint& to, const Message& message) = 0;
-    /// Sends a message of replicated state, which can wait. Returns false and sends nothing if the remaining
-    /// bandwidth is reserved for other messages.
+    /// Sends a message with replicated state, which is not urgent. Returns false and sends nothing if the
+    /// remaining bandwidth is reserved for other messages.
     [[nodiscard]] virtual bool TrySend(const Udp::endpoint& to, const Message& message) = 0;
   };
 
@@ -37,7 +38,8 @@
   StateGossip(const FleetSection& section, const std::string& name, SharedState::Host& host,
               MessageSender& sender);
 
-  /// Starts the exchange of entries. `membership` must outlive this object or stay valid until Stop.
+  /// Starts the exchange of entries. `membership` must stay valid until Stop is called or this object is
+  /// destroyed.
   void Join(Membership* membership) { membership_ = membership; }
   /// Stops the exchange of entries.
   void Stop() { membership_ = nullptr; }
@@ -45,7 +47,8 @@
   /// Processes a message of any kind, after membership has processed it. Returns true only once, when this
   /// member has first received the complete member table and state of a peer.
   bool Receive(UnixMs now, const Message& message);
-  /// Adds to a message as many entries as fit. To a sync, adds the digests of all entries instead.
+  /// Adds to a message as many entries as fit. If the message is a sync, adds the digests of all entries
+  /// instead.
   void AttachState(UnixMs now, Message* message);
 
   /// Pushes the entries that the bandwidth limit has delayed. Must be called periodically.
--- a/src/fleet/state/state.cpp
+++ b/src/fleet/state/state.cpp
@@ -35,8 +35,8 @@
   store_.Expire(now);
 }
 
-// Erases the values with a smaller token. Members that receive these values later reject them, so all members
-// store the same values.
+// Stores an entry. A fenced value with a new highest token erases the role's values with a smaller token.
+// Members that receive the erased values later reject them, so all members store the same values.
 void SharedState::Store(Entry entry) {
   if (const auto* fenced = std::get_if<FencedValue>(&entry.content)) {
     const bool is_highest = tokens_.Raise(fenced->role, fenced->token, MillisecondsOf(entry.version.stamp));
--- a/src/fleet/state/state.h
+++ b/src/fleet/state/state.h
@@ -71,14 +71,17 @@
   void MarkPushed(const std::vector<EntryKey>& keys);
   /// Packs all entries, in arrays of at most `max_bytes` each.
   std::vector<nlohmann::json> PackAll(UnixMs now, std::size_t max_bytes);
-  /// These functions expire entries and then call the functions of the same name in anti_entropy.h.
+  /// Packs the entries in `range` that a peer lacks or has in another version (see anti_entropy.h).
   /// `peer_entries` is the array that was just passed to Receive.
   std::vector<nlohmann::json> PackMissing(UnixMs now, const nlohmann::json& peer_entries,
                                           const DigestRange& range, std::size_t max_bytes);
+  /// Packs the entries of the buckets whose digests differ from `peer_digests` (see anti_entropy.h).
   std::vector<Chunk<nlohmann::json>> PackDiffering(UnixMs now, const BucketDigests& peer_digests,
                                                    std::uint64_t start, std::size_t max_bytes,
                                                    std::size_t max_chunks);
+  /// Returns one digest per hash bucket over all entries that have not expired.
   BucketDigests ComputeBucketDigests(UnixMs now, std::size_t bucket_count);
+  /// Returns the hash of the versions of all entries that have not expired.
   std::uint64_t ComputeDigest(UnixMs now);
 
   /// Returns the number of stored entries.
--- a/src/fleet/sync/bucket_digests.cpp
+++ b/src/fleet/sync/bucket_digests.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kDigestBytes = 4;
-constexpr std::size_t kEntriesPerBucket = 4;  // target of CountFor
+constexpr std::size_t kEntriesPerBucket = 4;  // average number that CountFor aims for
 constexpr int kBitsPerByte = 8;
 constexpr int kHashBits = 64;
 
--- a/src/fleet/sync/bucket_digests.h
+++ b/src/fleet/sync/bucket_digests.h
@@ -29,7 +29,7 @@
 /// BucketSet is a subset of the `count` buckets into which the hash space is divided.
 struct BucketSet {
   std::size_t count = kMinBuckets;
-  std::bitset<kMaxBuckets> indices;  ///< one bit per bucket of the set
+  std::bitset<kMaxBuckets> indices;  ///< bit i is set if bucket i is in the subset
 
   bool IsEmpty() const { return indices.none(); }
   bool Contains(std::uint64_t hash) const { return indices.test(BucketOf(hash, count)); }
@@ -39,7 +39,8 @@
 class BucketDigests {
  public:
   explicit BucketDigests(std::size_t count) : digests_(count) {}
-  /// Returns the valid number of buckets that puts about four of `entries` entries into each bucket.
+  /// Returns a valid number of buckets. With this number, each bucket contains about four of `entries`
+  /// entries.
   static std::size_t CountFor(std::size_t entries);
   /// Decodes the result of Pack. Returns nullopt if the size is invalid.
   static std::optional<BucketDigests> Unpack(std::span<const std::uint8_t> packed);
--- a/src/fleet/wire/message.h
+++ b/src/fleet/wire/message.h
@@ -45,7 +45,7 @@
   Udp::endpoint address;  ///< address at which the member receives datagrams
   MemberState state = MemberState::kAlive;
   std::uint64_t incarnation = 0;
-  std::string accuser;  ///< name of the member that suspects it; set for kSuspect only
+  std::string accuser;  ///< name of the member that suspects this one; set for kSuspect only
 };
 
 /// Message is the content of a datagram.
@@ -77,14 +77,14 @@
   /// In a kSync: digests of the members that are present and of the replicated state.
   std::uint64_t member_digest = 0;
   std::uint64_t state_digest = 0;
-  /// In a kSync that requests an answer: the same digests by hash bucket. Members of older versions send
-  /// none.
+  /// In a kSync that requests an answer: one digest per hash bucket of the members and of the replicated
+  /// state. Members of older versions send none.
   std::optional<BucketDigests> member_buckets;
   std::optional<BucketDigests> state_buckets;
   /// In a kSync: the part of the hash space for which `updates` lists all members that the sender knows. In a
   /// kState: the part for which `state` lists all entries that the sender stores.
   std::optional<DigestRange> range;
-  std::optional<LeaseMessage> lease;  ///< in a kLease
+  std::optional<LeaseMessage> lease;  ///< set in a kLease
   std::string channel;                ///< in a kPayload: the channel whose subscriber receives the payload
   nlohmann::json payload;             ///< in a kPayload; the fleet does not interpret it
 };
--- a/src/state/snapshot.cpp
+++ b/src/state/snapshot.cpp
@@ -20,7 +20,7 @@
     "absent",    "unreadable", "torn",         "no snapshot",     "checksum",
     "malformed", "version",    "another name", "from the future", "too old"};
 
-// The format version is the seed, so that a file of another format fails the check.
+// Uses the format version as the seed of the hash, so that a file of another format fails the check.
 std::uint64_t ChecksumOf(std::span<const std::uint8_t> content) {
   return XXH64(content.data(), content.size(), kFormatVersion);
 }
--- a/src/state/snapshot_file.h
+++ b/src/state/snapshot_file.h
@@ -31,7 +31,7 @@
 std::variant<Snapshot, SnapshotRejection> Recover(const std::string& path, const AcceptanceCriteria& criteria,
                                                   const OnFileRejected& on_rejected);
 
-/// WriteStep is a step of a write. A crash of the process after any step leaves a complete file.
+/// WriteStep is a step of WriteAtomically. A crash of the process after any step leaves a complete file.
 enum class WriteStep { kOpened, kWritten, kSynced, kPreviousSaved, kRenamed, kDone };
 
 /// Replaces the content of the file at `path` with `bytes`. Renames the old file to `previous`, unless
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -17,7 +17,8 @@
 namespace {
 
 constexpr char kComponent[] = "state";
-// The interval doubles with each snapshot until it reaches the configured one.
+// The first interval between snapshots. It doubles with each snapshot until it reaches the configured
+// interval.
 constexpr std::chrono::milliseconds kFirstInterval{500};
 
 void LogRejectedFile(const std::string& path, SnapshotRejection rejection) {
--- a/tests/fleet/cluster.h
+++ b/tests/fleet/cluster.h
@@ -94,7 +94,7 @@
     return counts;
   }
 
-  // Returns "state incarnation" of each member, by name, as the observer answers MEMBERS.
+  // Returns a map from each member's name to its "state incarnation" in the observer's answer to MEMBERS.
   std::map<std::string, std::string> View(std::size_t observer) {
     std::map<std::string, std::string> view;
     const std::string answer = Call(fleet_[observer].operators, "MEMBERS");
--- a/tests/fleet/harness.h
+++ b/tests/fleet/harness.h
@@ -226,7 +226,7 @@
   Tcp::endpoint clients, operators;
 };
 
-// Starts proxies from the program at `path` and holds them. Each proxy has free ports, which it logs at its
+// Starts proxies from the program at `path` and owns them. Each proxy has free ports, which it logs at its
 // start.
 class Fleet {
  public:
--- a/tests/fleet/harness_test.cpp
+++ b/tests/fleet/harness_test.cpp
@@ -83,7 +83,8 @@
   EXPECT_EQ(process.Reap(), 0);
 }
 
-// 400 ports drawn at random from 20,000 without reservation would almost never all differ.
+// 400 ports drawn at random from 20,000 without reservation would almost never all differ, so the test would
+// fail.
 TEST(LeasedPort, AllPortsInUseAreDistinct) {
   std::set<unsigned short> numbers;
   std::vector<LeasedPort> ports(400);
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -83,7 +83,7 @@
   // Called after the faults of the route have changed.
   virtual void OnFaults() {}
   Faults faults;
-  std::map<std::string, Faults> pairs;  // by sender; they replace the route's faults
+  std::map<std::string, Faults> pairs;  // faults by sender, which replace the route's faults
   Counts counts;
 
  protected:
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -74,7 +74,7 @@
 }
 
 // Ejections are announced while messages are lost, delayed, duplicated and reordered and while members stall
-// and restart. Three sync intervals later all members must have the same ones.
+// and restart. Three sync intervals later all members must have the same ejections.
 TEST_P(ConvergenceTest, StatesAgreeThreeSyncsAfterFaultsEnd) {
   const FederationOptions options = Options(3, 4);
   const Trace trace = DrawTrace(GetParam(), {FaultKind::kLoss, FaultKind::kDelay, FaultKind::kDuplicate,
--- a/tests/model/registers_test.cpp
+++ b/tests/model/registers_test.cpp
@@ -80,8 +80,8 @@
   EXPECT_EQ(a.state.ComputeDigest(kNow), b.state.ComputeDigest(kNow));
 }
 
-// A member that invents roles and values fills the limits of both and no more. The stored tokens expire, so
-// the capacity becomes available again.
+// A member that invents roles and values cannot make others store more than the maximum number of each. The
+// stored tokens expire, so the capacity becomes available again.
 TEST(Registers, AFaultyPeerCannotExceedTheLimitsOfRolesAndValues) {
   Registers faulty("faulty"), one("one");
   const auto receive = [&](const fl::FencedValue& value, fl::UnixMs now) {
--- a/tests/model/world_test.cpp
+++ b/tests/model/world_test.cpp
@@ -43,8 +43,8 @@
   }
 };
 
-// The usual number of packets per second from one machine to another: each machine sends about 100 to three
-// others.
+// The number of packets per second from one machine to another without faults: each machine sends about 100
+// packets per second, divided among three others.
 constexpr std::size_t kPacketsPerSecond = 30;
 
 TEST(WorldTest, RunsWithTheSameSeedHaveTheSameEvents) {
@@ -104,8 +104,8 @@
   FaultKind kind;
   std::vector<std::size_t> machines;
   double magnitude;
-  // The shares of the usual packets that are received while the fault lasts, from 2 s to 4 s: from machine 0
-  // to 1, from 1 to 0, and from 2 to 3.
+  // The number of packets received while the fault lasts, from 2 s to 4 s, as a share of the number without
+  // faults: from machine 0 to 1, from 1 to 0, and from 2 to 3.
   double forward, back, others;
 };
 class FaultTest : public testing::TestWithParam<FaultCase> {};
@@ -148,7 +148,7 @@
   const std::vector<Fault> faults{{seconds(2), seconds(2), FaultKind::kDelay, {0}, 80},
                                   {seconds(6), seconds(2), FaultKind::kReorder, {0}, 0.5}};
   const TenSecondRun run(5, faults);
-  Moment max_delays[5]{};  // of affected packets, by two-second period of sending
+  Moment max_delays[5]{};  // by the two-second period in which the affected packets were sent
   std::size_t late = 0;
   for (const auto& packet : run.recording.received) {
     const bool is_affected = packet.sender == 0 || packet.receiver == 0;
