--- a/model/fault.cpp
+++ b/model/fault.cpp
@@ -67,7 +67,7 @@
   return fault;
 }
 
-// Returns what a fault adds to the links of the machines that it affects.
+// Returns the probabilities and delays that a fault adds to the links of the affected machines.
 Link LinkChange(const Fault& fault) {
   Link change{0, 0, 0, Moment(0), Moment(0), kMaxReorderDelay};
   if (fault.kind == Kind::kLoss) change.loss = fault.magnitude;
--- a/model/network.cpp
+++ b/model/network.cpp
@@ -6,7 +6,7 @@
 namespace load_balancer::model {
 namespace {
 
-// Returns the value of a machine, or a default value if there is none.
+// Returns the element of a machine in a list, or a default value if the list is too short.
 template <typename T>
 T ValueOrDefault(const std::vector<T>& values, std::size_t machine) {
   return machine < values.size() ? values[machine] : T{};
--- a/model/network.h
+++ b/model/network.h
@@ -45,7 +45,7 @@
   // Each of the following three faults lasts until End is called with the returned id. Faults accumulate.
   // Packets that were sent before a fault still arrive.
 
-  // Blocks packets from the first machines to the second ones.
+  // Blocks packets from the machines `from` to the machines `to`.
   Id Cut(const Machines& from, const Machines& to);
   // Blocks packets between different groups. The machines that are in no group form one group.
   Id Partition(const std::vector<Machines>& groups);
@@ -54,7 +54,7 @@
   Id Degrade(const Machines& machines, const Link& change);
   void End(Id id);
 
-  // Sets `delays` to the delay of each copy of a packet that arrives; there are none, one or two.
+  // Sets `delays` to one delay for each copy of a packet that arrives. There are at most two copies.
   void DrawDelays(std::size_t from, std::size_t to, std::mt19937_64& random,
                   std::vector<Moment>* delays) const;
   // Returns whether no cut or partition blocks packets between the machines.
--- a/model/trace.h
+++ b/model/trace.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A run as text that can be read and replayed. It has a header line, a line with the seed and one line per
-// fault.
+// Formats and parses traces. A trace is a text from which a run can be replayed. It has a header line, a line
+// with the seed and one line per fault.
 #ifndef LOAD_BALANCER_MODEL_TRACE_H_
 #define LOAD_BALANCER_MODEL_TRACE_H_
 
--- a/model/world.cpp
+++ b/model/world.cpp
@@ -138,8 +138,8 @@
   ScheduleTick(machine, now_);
 }
 
-// If an earlier tick is scheduled already, it stays: Machine::Tick does nothing when the program is not due
-// yet.
+// An earlier tick that is already scheduled is not removed, because Machine::Tick does nothing if the program
+// is not due yet.
 void World::ScheduleTick(std::size_t machine, Moment earliest) {
   const Moment due = machines_[machine]->NextTick();
   if (due == Moment::max() || next_ticks_[machine] <= due) return;
--- a/model/world.h
+++ b/model/world.h
@@ -99,7 +99,8 @@
   void CallProgram(std::size_t machine, Call call);
   // Schedules the machine's next tick, at `earliest` or later.
   void ScheduleTick(std::size_t machine, Moment earliest);
-  // Schedules the action for now if the machine's program is in a call. Returns whether it did.
+  // If the machine's program is in a call, schedules the action for the current moment and returns true.
+  // Otherwise returns false.
   bool Defer(std::size_t machine, std::function<void()> action);
   void Record(const Event& event, std::size_t machine);
 
--- a/src/fleet/failures.h
+++ b/src/fleet/failures.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The kinds of failure between members of a fleet. Those of leases are in lease/failures.h.
+/// The kinds of failure between members of a fleet. lease/failures.h defines the failures of leases.
 #ifndef LOAD_BALANCER_FLEET_FAILURES_H_
 #define LOAD_BALANCER_FLEET_FAILURES_H_
 
--- a/src/fleet/federation/section.h
+++ b/src/fleet/federation/section.h
@@ -20,7 +20,8 @@
 /// The addresses at which other sites reach a gateway.
 struct GatewayAddresses {
   boost::asio::ip::udp::endpoint pool;  ///< UDP address as a member of the pool
-  /// TCP address at which it serves clients. Connections that it opens use the same IP address.
+  /// TCP address at which the gateway serves clients. Connections that the gateway opens use the same IP
+  /// address.
   boost::asio::ip::tcp::endpoint clients;
 };
 
@@ -34,7 +35,7 @@
   std::string site;                                    ///< name of this process's site
   boost::asio::ip::udp::endpoint bind;                 ///< UDP address of this process in the pool
   boost::asio::ip::udp::endpoint advertise;            ///< address that other members use; defaults to `bind`
-  std::map<std::string, SiteGateways> gateways;        ///< by name of the site
+  std::map<std::string, SiteGateways> gateways;        ///< gateways of each site, by the site's name
   std::vector<boost::asio::ip::udp::endpoint> voters;  ///< pool addresses of the gateways that vote on leases
   Milliseconds probe_interval{2000};
   int suspicion_multiplier = 5;
--- a/src/fleet/node/lease_announcement.h
+++ b/src/fleet/node/lease_announcement.h
@@ -14,7 +14,7 @@
 
 namespace load_balancer::fleet {
 
-/// Names the holder of a lease and the time for which the lease remains valid.
+/// Contains the name of a lease's holder and the time for which the lease remains valid.
 struct LeaseAnnouncement {
   std::string holder;
   std::chrono::milliseconds left{0};  ///< remaining time of the lease
--- a/src/fleet/node/lease_participant.h
+++ b/src/fleet/node/lease_participant.h
@@ -31,8 +31,8 @@
    public:
     virtual ~Host() = default;
     virtual void SendLease(const Udp::endpoint& to, const LeaseMessage& message) = 0;
-    /// Publishes a value under a lease for `lifetime`. Fails with kLeaseExpired if the proof is no longer
-    /// valid.
+    /// Publishes a value with the token of a lease. The value expires after `lifetime`. Fails with
+    /// kLeaseExpired if the proof is no longer valid.
     virtual Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                                  Span lifetime) = 0;
   };
@@ -60,7 +60,7 @@
 
   /// Returns the highest known token of each duty. The map is empty before Start.
   std::map<std::string, FencingToken> HighestTokens() const;
-  /// Ensures that future tokens are higher than these.
+  /// Ensures that future tokens are higher than those in `tokens`.
   void RaiseTokens(const std::map<std::string, FencingToken>& tokens);
 
   /// Returns whether this process must perform the duty; node.h lists the cases.
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -46,10 +46,10 @@
   Update();
 }
 
-// Returns the number of members that hold a share. These are the members that are present. Dead members are
-// included unless the present ones are a majority of all known members, because dead members may be on the
-// other side of a partition and continue to serve. A member that sees no other member counts at least the
-// seeds.
+// Returns the number of members among which the limit is divided. These include all present members. They
+// also include dead members unless the present ones are a majority of all known members, because dead members
+// may be on the other side of a partition and continue to serve. A member that sees no other member counts at
+// least the seeds.
 std::size_t LimitShare::CountHolders() const {
   std::size_t dead = 0;
   for (const auto& [name, member] : membership_->others())
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -34,7 +34,7 @@
              private StateExchange::Host,
              private LeaseParticipant::Host {
  public:
-  /// Joins the fleet. If the process that this one replaces still has the address, the node joins as soon as
+  /// Joins the fleet. If the process that this one replaces still uses the address, the node joins as soon as
   /// the address is free. `name` is the member's name, and `seed` seeds its random numbers. `listener` must
   /// outlive the node; it is called from the event loop only, never from within the constructor.
   Node(boost::asio::io_context& io, const FleetSection& section, const std::string& name, std::uint64_t seed,
@@ -62,7 +62,7 @@
   void Announce(KeyAffinity affinity) { state_.Announce(std::move(affinity)); }
 
   /// Returns whether this process must perform the duty: it holds the lease, duties have no leases, or there
-  /// is no quorum of voters and the duty is of the kind that stays available without one.
+  /// is no quorum of voters and the duty is of kind kAvailable.
   bool IsResponsibleFor(const std::string& duty) const { return leases_.IsResponsibleFor(duty); }
   /// Returns the proof that this process holds the duty's lease, or nothing if it does not.
   std::optional<LeaseProof> ProveLease(const std::string& duty) const { return leases_.ProveLease(duty); }
@@ -81,9 +81,9 @@
   /// Publishes several values in as few messages as possible.
   Result<void> Publish(const LeaseProof& proof, std::vector<NamedValue> values, Span lifetime);
 
-  /// Sends a payload to the channel's subscriber at another member. A member without a subscriber drops it,
-  /// and it may be lost like any datagram. Returns false and sends nothing if the channel's name is empty or
-  /// exceeds kMaxChannelBytes, or if the payload exceeds kMaxPayloadBytes.
+  /// Sends a payload to the channel's subscriber at another member. A member without a subscriber drops the
+  /// payload. The payload may also be lost, like any datagram. Returns false and sends nothing if the
+  /// channel's name is empty or exceeds kMaxChannelBytes, or if the payload exceeds kMaxPayloadBytes.
   bool Send(const Udp::endpoint& to, std::string channel, nlohmann::json payload);
   /// Sets the handler of the payloads that arrive on a channel.
   void Subscribe(std::string channel, PayloadHandler handler) {
--- a/src/fleet/node/payload_subscriptions.h
+++ b/src/fleet/node/payload_subscriptions.h
@@ -14,8 +14,8 @@
 
 namespace load_balancer::fleet {
 
-/// Handles a received payload, which has not been validated. `sender` is the entry that the sending member
-/// has for itself.
+/// Handles a received payload, which has not been validated. `sender` is the sending member's claim about its
+/// own state.
 using PayloadHandler = std::function<void(const Update& sender, const nlohmann::json& payload)>;
 
 /// Maps channels to payload handlers.
--- a/src/fleet/section.cpp
+++ b/src/fleet/section.cpp
@@ -9,8 +9,8 @@
 
 // The ratio of the longest suspicion to the shortest one, as in Lifeguard.
 constexpr int kLongestToShortestSuspicion = 6;
-// The shortest suspicion grows with the decimal logarithm of the number of members. 4 stands for 10,000
-// members.
+// The shortest suspicion grows with the decimal logarithm of the number of members. This is the logarithm of
+// 10,000 members.
 constexpr int kLogarithmOfMembers = 4;
 
 void ReadMembership(Section* section, FleetSection* fleet) {
--- a/src/fleet/state/entry_key.cpp
+++ b/src/fleet/state/entry_key.cpp
@@ -19,7 +19,8 @@
   return KeyAffinityKey{std::get<KeyAffinity>(entry.content).key};
 }
 
-// The prefixes give a server and a fenced value of the same name different hashes.
+// Server ids and the keys of fenced values are hashed with different prefixes, so that a server and a fenced
+// value of the same name have different hashes.
 std::uint64_t HashOf(const EntryKey& key) {
   if (const auto* ejection = std::get_if<EjectionKey>(&key)) return HashText("v:" + ejection->server);
   if (const auto* fenced = std::get_if<FencedValueKey>(&key)) return HashText("d:" + fenced->key);
--- a/src/fleet/state/fencing_tokens.h
+++ b/src/fleet/state/fencing_tokens.h
@@ -27,7 +27,7 @@
     return tokens_.size() < kMaxLeasedRoles || tokens_.contains(role);
   }
   /// Records that a value was written with the token at the time `written_at`. Returns whether the token
-  /// exceeds all earlier ones of the role.
+  /// exceeds all earlier tokens of the role.
   bool Raise(const std::string& role, std::uint64_t token, UnixMs written_at);
   /// Erases the tokens that expire at `now` or earlier.
   void Expire(UnixMs now);
--- a/src/fleet/state/state.h
+++ b/src/fleet/state/state.h
@@ -67,7 +67,7 @@
   /// several members. The push does not count as a transmission, because one local fault may lose all of its
   /// datagrams.
   PackedPush PackPush(UnixMs now, std::size_t max_bytes);
-  /// Marks entries as pushed. PackPush skips them until they change.
+  /// Marks entries as pushed. PackPush skips an entry that is marked until the entry changes.
   void MarkPushed(const std::vector<EntryKey>& keys);
   /// Packs all entries, in arrays of at most `max_bytes` each.
   std::vector<nlohmann::json> PackAll(UnixMs now, std::size_t max_bytes);
--- a/src/fleet/state/state_options.h
+++ b/src/fleet/state/state_options.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Options of the replicated state and the expiry of entries that follows from them.
+/// Options of the replicated state, and the time at which an entry expires under these options.
 #ifndef LOAD_BALANCER_FLEET_STATE_STATE_OPTIONS_H_
 #define LOAD_BALANCER_FLEET_STATE_STATE_OPTIONS_H_
 
--- a/src/fleet/sync/chunks.h
+++ b/src/fleet/sync/chunks.h
@@ -23,8 +23,8 @@
   Entry entry;
 };
 
-/// Chunk holds all entries of the sender in a range. A chunk without entries tells the receiver that the
-/// sender has none in the range.
+/// Chunk contains all of the sender's entries in a range. A chunk without entries means that the sender has
+/// no entries in the range.
 template <typename Entry>
 struct Chunk {
   DigestRange range;
@@ -32,8 +32,8 @@
 };
 
 /// Splits the entries that are in `buckets` into chunks of at most `max_bytes` each, in the order of their
-/// hashes from `start` on. Returns at least one and at most `max_chunks` chunks. Their ranges together cover
-/// the whole hash space, unless the last one is marked as truncated.
+/// hashes, which begins at `start` and wraps around. Returns at least one and at most `max_chunks` chunks.
+/// Their ranges together cover the whole hash space, unless the last one is marked as truncated.
 template <typename Entry>
 std::vector<Chunk<Entry>> SplitIntoChunks(std::vector<HashedEntry<Entry>> entries, const BucketSet& buckets,
                                           std::uint64_t start, std::size_t max_bytes,
--- a/src/fleet/wire/codec.h
+++ b/src/fleet/wire/codec.h
@@ -21,14 +21,15 @@
 /// fit RemainingBytes.
 std::vector<std::uint8_t> Encode(std::string_view fleet, const Message& message);
 
-/// Decodes a datagram. Returns the message, or the reason for which the datagram is dropped if it is not a
-/// complete, well-formed message of `fleet`.
+/// Decodes a datagram. Returns the message if the datagram is a complete, well-formed message of `fleet`.
+/// Otherwise returns the reason for which it is dropped.
 std::variant<Message, DropReason> Decode(std::string_view fleet, std::span<const std::uint8_t> datagram);
 
 /// Returns an upper bound of the size of an update in a message, in bytes.
 std::size_t EncodedSize(const Update& update);
 
-/// Returns a lower bound of the bytes that are available for updates and state in a message that has neither.
+/// Returns a lower bound of the space that updates and state may take together in the message, in bytes.
+/// Updates and state that the message already contains are not subtracted.
 std::size_t RemainingBytes(std::string_view fleet, const Message& message);
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/wire/decode.cpp
+++ b/src/fleet/wire/decode.cpp
@@ -11,7 +11,8 @@
 
 using nlohmann::json;
 
-// Number of elements that members of older versions send in the array of an update and of a lease message.
+// Number of elements in the array of an update and in the array of a lease message from members of older
+// versions.
 constexpr std::size_t kUpdateFields = 4;
 constexpr std::size_t kLeaseFields = 6;
 constexpr std::size_t kBitsPerByte = 8;
--- a/src/fleet/wire/message.h
+++ b/src/fleet/wire/message.h
@@ -29,7 +29,8 @@
 inline constexpr std::size_t kMaxNameBytes = 64;
 /// Maximum length of the name of a channel, in bytes.
 inline constexpr std::size_t kMaxChannelBytes = 16;
-/// Maximum size of a packed payload, in bytes. It fits a datagram with the longest names.
+/// Maximum size of a packed payload, in bytes. A payload of this size fits a datagram even if all names have
+/// their maximum length.
 inline constexpr std::size_t kMaxPayloadBytes = 1024;
 
 /// MemberState is the state of a member in the view of another one.
--- a/src/state/snapshot_file.h
+++ b/src/state/snapshot_file.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Reads snapshot files, recovers the newer of two and replaces them atomically. docs/recovery.md describes
-/// the order of the writes.
+/// Reads snapshot files, recovers the newer one of the current and the previous file, and replaces files
+/// atomically. docs/recovery.md describes the order of the writes.
 #ifndef LOAD_BALANCER_STATE_SNAPSHOT_FILE_H_
 #define LOAD_BALANCER_STATE_SNAPSHOT_FILE_H_
 
@@ -26,7 +26,7 @@
 /// OnFileRejected is called for each file that exists and is not used.
 using OnFileRejected = std::function<void(const std::string& path, SnapshotRejection rejection)>;
 
-/// Reads the files at `path` and at its previous path. Returns the acceptable snapshot with the larger
+/// Reads the files at `path` and at PreviousPath(path). Returns the acceptable snapshot with the larger
 /// sequence. If there is none, returns the reason for which the last existing file was rejected.
 std::variant<Snapshot, SnapshotRejection> Recover(const std::string& path, const AcceptanceCriteria& criteria,
                                                   const OnFileRejected& on_rejected);
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -67,7 +67,8 @@
 // Skips the snapshot if the previous write is still in progress.
 void SnapshotWriter::Write() {
   if (is_writing_.exchange(true)) return;
-  // The wall time makes the sequence larger than the sequence of a file that was rejected at the start.
+  // A sequence is at least the wall time in milliseconds, and therefore exceeds the sequence of a file that
+  // was rejected at the start.
   sequence_ = std::max(sequence_ + 1, UnixMilliseconds());
   Snapshot snapshot{options_.name, sequence_, UnixMilliseconds(), collect_()};
   boost::asio::post(writer_, [this, snapshot = std::move(snapshot)] {
--- a/tests/fleet/harness.h
+++ b/tests/fleet/harness.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The process harness of the fleet tests. It runs real processes of the proxy and of the fault relay, each
-// with its own ports and $TMPDIR, reads their log lines and waits for lines with a time limit, and sends
-// signals by process id. At the end of a test it kills and reaps every process and removes every folder, also
-// if the test fails.
+// The process harness of the fleet tests. The harness runs real processes of the proxy and of the fault
+// relay, each with its own ports and $TMPDIR, reads their log lines and waits for lines with a time limit,
+// and sends signals by process id. At the end of a test it kills and reaps every process and removes every
+// folder, also if the test fails.
 #ifndef LOAD_BALANCER_TESTS_FLEET_HARNESS_H_
 #define LOAD_BALANCER_TESTS_FLEET_HARNESS_H_
 
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -20,8 +20,9 @@
 //
 // A cut drops every datagram, closes the route's TCP connections, and closes new connections at once. On a
 // TCP route only delay, cut and the two stalls apply, so the byte stream stays complete. A stall delays the
-// data from clients (there) or to clients (back) until the stall ends, which is how TCP behaves on a link
-// that is cut in one direction. The connections to the target have the source IP address of the client.
+// data from clients (stall_there) or to clients (stall_back) until the stall ends, which is how TCP behaves
+// on a link that is cut in one direction. The connections to the target have the source IP address of the
+// client.
 #include <CLI/CLI.hpp>
 #include <array>
 #include <boost/asio/io_context.hpp>
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -27,7 +27,7 @@
 }
 
 // Three servers. The first one answers 500 to the first process; the other processes reach a healthy server
-// under its id.
+// under the same id.
 struct ServersWithOneSidedFailure {
   ServersWithOneSidedFailure() : failing(AnswerWith500()), one("s-1"), two("s-2"), three("s-3") {}
   void operator()(std::size_t member, nlohmann::json& config) const {
--- a/tests/model/numbered_sender.h
+++ b/tests/model/numbered_sender.h
@@ -27,7 +27,7 @@
   std::vector<std::pair<std::size_t, Moment>> ticks, starts;
 };
 
-// Sends a numbered packet to each other machine in turn, one per interval. The next number is kept on disk.
+// Sends one numbered packet per interval, to the other machines in turn. The next number is kept on disk.
 class NumberedSender : public Program {
  public:
   struct Content {
--- a/tests/model/site_test.cpp
+++ b/tests/model/site_test.cpp
@@ -48,7 +48,7 @@
   return ledger.Total([=](const Ledger::Call& call) { return from <= call.asked && call.asked < to; });
 }
 
-// Returns the share of requests that ended in this way.
+// Returns the share of requests that have the given ending.
 double ShareOf(const Ledger::Sum& sum, Ending ending) {
   double all = 0;
   for (const std::uint64_t ended : sum.ended) all += static_cast<double>(ended);
