--- a/model/fleet/federation.h
+++ b/model/fleet/federation.h
@@ -51,7 +51,7 @@
   static Endpoint AddressOf(std::size_t machine);
   // Returns the machine's program, or null while it is down.
   FleetProgram* program(std::size_t machine);
-  // Returns the machine's member of a pool, or null while the machine is down or if there is no such pool.
+  // Returns the PoolMember of a machine in a pool, or null if the machine is down or there is no such pool.
   PoolMember* member(std::size_t machine, std::size_t pool);
   // Returns all machines of the machine's pool, including itself.
   std::vector<std::size_t> PoolOf(std::size_t machine, std::size_t pool) const;
--- a/model/fleet/program.h
+++ b/model/fleet/program.h
@@ -14,7 +14,7 @@
 
 inline constexpr std::size_t kSitePool = 0, kFederationPool = 1;
 
-// Identifies a machine and holds the options of its members.
+// Contains the numbers of a machine and the options of its members.
 struct FleetSetup {
   std::size_t machine = 0, site = 0, member = 0;  // numbers from 0; `member` is the number within the site
   PoolOptions site_pool;
--- a/src/fleet/node/lease_participant.h
+++ b/src/fleet/node/lease_participant.h
@@ -22,7 +22,7 @@
 
 namespace load_balancer::fleet {
 
-/// Votes on leases, acquires them, and announces those that this process holds.
+/// Votes on leases, acquires leases, and announces the leases that this process holds.
 class LeaseParticipant : private Leases::Callbacks {
  public:
   /// Sends messages and publishes values. Its functions are called only from within calls of
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -88,8 +88,8 @@
   Counts counts;
 
  protected:
-  // Passes `data` to `send` with the given faults. For a byte stream only delay and cut apply, so that it
-  // loses no data.
+  // Passes `data` to `send` with the given faults. Only delay and cut apply to a byte stream, because a
+  // stream must not lose data.
   template <typename Send>
   void Forward(const Faults& faults, Bytes data, Send send, bool is_stream = false) {
     if (faults.cut) return void(++counts.cut);
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -61,7 +61,8 @@
   std::vector<std::thread> threads_;
 };
 
-// Sends requests until the process has ejected a server. Returns false if that takes longer than kMaxWait.
+// Sends requests until the member's process has ejected a server. Returns false if that takes longer than
+// kMaxWait.
 bool ProvokeEjection(Cluster& cluster, std::size_t member) {
   const auto log_position = cluster.process(member).LineCount();
   const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
