--- a/src/fleet/node/lease_participant.h
+++ b/src/fleet/node/lease_participant.h
@@ -22,7 +22,7 @@
 
 namespace load_balancer::fleet {
 
-/// Votes on leases, acquires them, and announces those that this process holds.
+/// Votes on leases, acquires leases, and announces the leases that this process holds.
 class LeaseParticipant : private Leases::Callbacks {
  public:
   /// Sends messages and publishes values. Its functions are called only from within calls of
@@ -31,8 +31,8 @@
    public:
     virtual ~Host() = default;
     virtual void SendLease(const Udp::endpoint& to, const LeaseMessage& message) = 0;
-    /// Publishes a value under a lease for `lifetime`. Fails with kLeaseExpired if the proof is no longer
-    /// valid.
+    /// Publishes a value with the token of a lease. The value expires after `lifetime`. Fails with
+    /// kLeaseExpired if the proof is no longer valid.
     virtual Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                                  Span lifetime) = 0;
   };
@@ -58,17 +58,22 @@
   /// Processes the announcement of another holder. Returns false if the value is not an announcement.
   bool ReceiveAnnouncement(const FencedValue& fenced);
 
-  /// Returns the highest known token of each duty. Empty before Start.
+  /// Returns the highest known token of each duty. The map is empty before Start.
   std::map<std::string, FencingToken> HighestTokens() const;
-  /// Ensures that future tokens are higher than these.
+  /// Ensures that future tokens are higher than those in `tokens`.
   void RaiseTokens(const std::map<std::string, FencingToken>& tokens);
 
-  /// These functions are described at the functions of the same name in Node.
+  /// Returns whether this process must perform the duty; node.h lists the cases.
   bool IsResponsibleFor(const std::string& duty) const;
+  /// Returns the proof that this process holds the duty's lease, or nothing if it does not.
   std::optional<LeaseProof> ProveLease(const std::string& duty) const;
+  /// Returns whether another member is known to hold the duty's lease.
   bool IsFollowerOf(const std::string& duty) const;
+  /// Returns the token of the duty's lease if this process holds it, and 0 otherwise.
   FencingToken HeldToken(const std::string& duty) const;
+  /// Returns the known holder of the duty's lease, or an empty string.
   std::string HolderOf(const std::string& duty) const;
+  /// Returns one line with every duty; Node::DescribeLeases documents the format.
   std::string Describe() const;
 
  private:
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -20,8 +20,9 @@
 //
 // A cut drops every datagram, closes the route's TCP connections, and closes new connections at once. On a
 // TCP route only delay, cut and the two stalls apply, so the byte stream stays complete. A stall delays the
-// data from clients (there) or to clients (back) until the stall ends, which is how TCP behaves on a link
-// that is cut in one direction. The connections to the target have the source IP address of the client.
+// data from clients (stall_there) or to clients (stall_back) until the stall ends, which is how TCP behaves
+// on a link that is cut in one direction. The connections to the target have the source IP address of the
+// client.
 #include <CLI/CLI.hpp>
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -83,12 +84,12 @@
   // Called after the faults of the route have changed.
   virtual void OnFaults() {}
   Faults faults;
-  std::map<std::string, Faults> pairs;  // by sender; they replace the route's faults
+  std::map<std::string, Faults> pairs;  // faults by sender, which replace the route's faults
   Counts counts;
 
  protected:
-  // Passes `data` to `send` with the given faults. For a byte stream only delay and cut apply, so that it
-  // loses no data.
+  // Passes `data` to `send` with the given faults. Only delay and cut apply to a byte stream, because a
+  // stream must not lose data.
   template <typename Send>
   void Forward(const Faults& faults, Bytes data, Send send, bool is_stream = false) {
     if (faults.cut) return void(++counts.cut);
--- a/tests/fleet/state_test.cpp
+++ b/tests/fleet/state_test.cpp
@@ -27,7 +27,7 @@
 }
 
 // Three servers. The first one answers 500 to the first process; the other processes reach a healthy server
-// under its id.
+// under the same id.
 struct ServersWithOneSidedFailure {
   ServersWithOneSidedFailure() : failing(AnswerWith500()), one("s-1"), two("s-2"), three("s-3") {}
   void operator()(std::size_t member, nlohmann::json& config) const {
@@ -61,7 +61,8 @@
   std::vector<std::thread> threads_;
 };
 
-// Sends requests until the process has ejected a server. Returns false if that takes longer than kMaxWait.
+// Sends requests until the member's process has ejected a server. Returns false if that takes longer than
+// kMaxWait.
 bool ProvokeEjection(Cluster& cluster, std::size_t member) {
   const auto log_position = cluster.process(member).LineCount();
   const auto deadline = std::chrono::steady_clock::now() + kMaxWait;
