--- a/src/quota/account.cpp
+++ b/src/quota/account.cpp
@@ -12,10 +12,12 @@
 
 using std::chrono::milliseconds;
 
-// Interval of the requests that only report the revision. They end when all gateways have it.
+// Interval of the requests that only report the revision. They are sent until all gateways have that
+// revision.
 constexpr Span kAnnounceInterval = std::chrono::seconds(1);
 
-// Converts a cost. The result is at least one MilliUnit and at most kMaxBurst + 1, which fits no bucket.
+// Converts a cost to MilliUnits. The result is at least 1 and at most kMaxBurst + 1, which no bucket can
+// hold.
 MilliUnits CostOf(double units) {
   const double cost = std::ceil(units * static_cast<double>(kUnit));
   if (!(cost >= 1)) return 1;
--- a/src/quota/account.h
+++ b/src/quota/account.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The gateway's side of quotas: decides whether a request is within its partner's budget, and requests
-/// grants from the allocators. It reads no clock and uses no socket: its state depends only on the calls that
-/// it gets. docs/federation.md shows why the gateways together never exceed a budget. docs/quota.md has
-/// measurements.
+/// The gateway's part of quotas: decides whether a request is within its partner's budget, and requests
+/// grants from the allocators. The account reads no clock and uses no socket: its state depends only on the
+/// calls of its functions. docs/federation.md shows why the gateways together never exceed a budget.
+/// docs/quota.md has measurements.
 #ifndef LOAD_BALANCER_QUOTA_ACCOUNT_H_
 #define LOAD_BALANCER_QUOTA_ACCOUNT_H_
 
@@ -31,11 +31,11 @@
   Timings timings;
 };
 
-/// How a request relates to its partner's budget.
+/// Whether a request is within its partner's budget, if the partner has one.
 enum class ChargeVerdict { kWithinBudget, kOverBudget, kNoBudget };
 
-/// What was charged for a request. It is kept with the request, so that the charge can be returned if the
-/// request is proven not to have run.
+/// The charge of a request. The caller stores the receipt with the request, so that the charge can be
+/// returned if the request provably did not run.
 struct ChargeReceipt {
   std::string partner;
   Time charged_at;
@@ -46,7 +46,7 @@
 struct ChargeResult {
   ChargeVerdict verdict = ChargeVerdict::kNoBudget;
   OverLimitAction over_limit_action = OverLimitAction::kMark;  ///< The budget's setting.
-  /// For a request over the budget: the estimated time until it would fit.
+  /// For a request over the budget: the estimated time until the budget would cover the request.
   Span retry_after{0};
   ChargeReceipt receipt;
 };
@@ -87,25 +87,26 @@
   /// Charges a request of `partner` that costs `units`: 1, or its hinted work in milliseconds. Must be called
   /// once for each request, at the gateway that received it.
   ChargeResult Charge(Time now, std::string_view partner, double units);
-  /// Returns the charge of a request that every server rejected or that is proven not to have run. Returns no
-  /// more than the bucket would hold if the request had never come (see Bucket::Credit). After a grant that
-  /// shrank the bucket it therefore returns nothing.
+  /// Returns the charge of a request to the bucket if every server rejected the request, or if the request
+  /// provably did not run. Afterwards the bucket holds no more than if the request had never arrived (see
+  /// Bucket::Credit). If a grant with a smaller depth has discarded tokens since the charge, nothing is
+  /// returned.
   void Credit(Time now, const ChargeReceipt& receipt);
 
-  /// Handles a response of the holder of the allocator's lease. A response that is late, repeated or older
-  /// than one that was handled before changes nothing.
+  /// Handles a response of the holder of the allocator's lease. A response has no effect if it is late, was
+  /// handled before or is older than a response that was handled before.
   void OnResponse(Time now, std::size_t allocator, const AllocationResponse& response,
                   AccountActions* actions);
-  /// Sends the requests that are due. Call it at Next() or soon after.
+  /// Appends to `actions` the requests that are due. Call this function at Next() or soon after.
   void Tick(Time now, AccountActions* actions);
-  /// Returns when to call Tick; Time::max() if nothing is due.
+  /// Returns the time at which to call Tick; Time::max() if nothing is due.
   Time Next() const { return next_; }
 
   /// Replaces the budgets. Where the old and the new reserved minimum differ, the smaller one applies until
   /// an allocator reports that all gateways have the new budgets.
   void UpdateBudgets(Time now, std::shared_ptr<const Budgets> budgets, AccountActions* actions);
-  /// Called when the process hands the gateway's pool address to another process. Its grants expire without
-  /// renewal, and it uses no reserved minimum from now on.
+  /// Called when the process hands the gateway's pool address to another process. The grants of this process
+  /// expire without renewal, and it uses no reserved minimum from now on.
   void Retire(Time now);
 
   /// Returns the status of the partners that have recent traffic or a grant.
@@ -132,7 +133,7 @@
   PartnerAccounts accounts_;
   Time next_ = Time::max();
   std::uint64_t last_request_ = 0;  // number of the last request
-  // When each request was made, by number, as long as its grants may be in force.
+  // The time of each request, by the request's number, for as long as its grants may be in force.
   std::map<std::uint64_t, Time> request_times_;
   bool is_agreed_ = true;
   Time announce_at_ = Time::max();
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -9,7 +9,7 @@
 namespace load_balancer::quota {
 namespace {
 
-// The process that a response is sent to. Incarnation 0 means any process of the gateway.
+// The process to which a response is sent. Incarnation 0 stands for any process of the gateway.
 struct Recipient {
   GatewayId gateway = 0;
   std::uint64_t incarnation = 0;
@@ -48,8 +48,8 @@
   return {incarnation, revisions_.current->revision, last_grant_.token, is_agreed, {}, {}, {}};
 }
 
-// Begins a term if the token of the lease is new. The grants of earlier holders have expired with their
-// leases.
+// Begins a term if the token of the lease is new. The grants of earlier holders have expired, because no
+// grant lasts longer than the lease of its holder.
 void Allocator::BeginTerm(const fleet::LeaseProof& proof, AllocatorActions* actions) {
   if (proof.token() == last_grant_.token) return;
   last_grant_.token = proof.token();
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -1,10 +1,10 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The budget allocator: while it holds its lease, it divides the budgets of the partners that hash to it
-/// among the gateways, as grants that expire. It reads no clock and uses no socket: its state depends only on
-/// the calls that it gets.
-/// docs/federation.md shows why the sum of the grants never exceeds a budget.
+/// The budget allocator. Each partner belongs to one allocator, which is chosen by a hash of the partner's
+/// name. While the allocator holds its lease, it divides the budgets of its partners among the gateways, by
+/// issuing grants that expire. It reads no clock and uses no socket: its state depends only on the calls of
+/// its functions. docs/federation.md shows why the sum of the grants never exceeds a budget.
 #ifndef LOAD_BALANCER_QUOTA_ALLOCATOR_H_
 #define LOAD_BALANCER_QUOTA_ALLOCATOR_H_
 
@@ -28,7 +28,7 @@
 
 /// The identity of an allocator and its settings.
 struct AllocatorOptions {
-  std::size_t index = 0;       ///< The index of this allocator. Its lease is AllocatorRoleName(index).
+  std::size_t index = 0;       ///< The index of this allocator. Its lease is named AllocatorRoleName(index).
   std::size_t allocators = 1;  ///< The number of allocators.
   SiteLayout layout;
   Timings timings;
@@ -67,23 +67,23 @@
   /// valid.
   void OnRequest(Time now, const fleet::LeaseProof& proof, const std::string& gateway,
                  const AllocationRequest& request, AllocatorActions* actions);
-  /// Issues the grants that are due. Call it at Next() or soon after, while the lease is held.
+  /// Issues the grants that are due. Call this function at Next() or soon after, while the lease is held.
   void Tick(Time now, const fleet::LeaseProof& proof, AllocatorActions* actions);
-  /// Returns when to call Tick; Time::max() if nothing is due.
+  /// Returns the time at which to call Tick; Time::max() if nothing is due.
   Time Next() const { return schedule_.empty() ? Time::max() : schedule_.begin()->due; }
 
   /// Replaces the budgets, after a reload of the configuration.
   void UpdateBudgets(std::shared_ptr<const Budgets> budgets);
 
-  /// Returns when the last outstanding grant expires; `now` if there is none. The lease must not be released
-  /// earlier, because the next holder assumes that no grant is outstanding.
+  /// Returns the time at which the last outstanding grant expires; `now` if there is none. The lease must not
+  /// be released earlier, because the next holder assumes that no grant is outstanding.
   Time GrantsExpireAt(Time now) const;
 
-  /// Returns the demand of each partner's gateways, for the next holder or process (see demand_ledger.h). It
-  /// is a hint for the division of the first grants. Safety does not depend on it.
+  /// Returns the demand of each partner's gateways, for the next holder or process (see demand_ledger.h). The
+  /// ledger helps to divide the first grants. Whether the budgets are kept does not depend on it.
   nlohmann::json Ledger(Time now) const;
-  /// Loads a complete ledger. Fails with kBadLedger and loads nothing if it is malformed. Skips gateways and
-  /// partners that are not configured.
+  /// Loads a complete ledger. If the ledger is malformed, fails with kBadLedger and loads nothing. Skips
+  /// gateways and partners that are not configured.
   Result<void> Load(Time now, const nlohmann::json& ledger);
 
   std::vector<PartnerBudgetStatus> Statuses(Time now) const;
@@ -113,7 +113,7 @@
   const AllocatorOptions options_;
   const GatewayRegistry gateways_;
   BudgetRevisions revisions_;
-  GrantId last_grant_;                     // the token is that of the lease
+  GrantId last_grant_;                     // its token is the fencing token of the lease
   std::map<std::string, Entry> partners_;  // kept when the lease is lost and acquired again
   std::set<ScheduledPartner> schedule_;
   std::set<std::string> warned_;
--- a/src/quota/amount.h
+++ b/src/quota/amount.h
@@ -16,8 +16,8 @@
 /// One unit of a budget.
 inline constexpr MilliUnits kUnit = 1000;
 
-/// Limits of one budget. Within these limits, the product of a rate and a burst and the level of a bucket fit
-/// 64 bits.
+/// The largest rate and burst of a budget. Within these limits, the product of a rate and a burst fits 64
+/// bits, and so does the level of a bucket.
 inline constexpr MilliUnits kMaxRate = 1'000'000 * kUnit;  // per second
 inline constexpr MilliUnits kMaxBurst = 9'000'000 * kUnit;
 
--- a/src/quota/bucket.cpp
+++ b/src/quota/bucket.cpp
@@ -18,8 +18,8 @@
   RecordHeadroom();
 }
 
-// Records the headroom of the current period. Between two records the bucket only fills, so the headroom is
-// smallest at the later one.
+// Records the headroom in the current period. Between two records the bucket only fills, so the headroom is
+// smallest at the later record.
 void Bucket::RecordHeadroom() {
   const std::int64_t current = PeriodOf(last_update_);
   const std::int64_t oldest_kept = current - static_cast<std::int64_t>(kPeriods) + 1;
--- a/src/quota/bucket.h
+++ b/src/quota/bucket.h
@@ -1,8 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// A token bucket whose rate and depth may change (Turner, "New Directions in Communications", 1986). It
-/// counts in integers, so a charge succeeds from the exact nanosecond at which the bucket holds its cost.
+/// A token bucket whose rate and depth may change (Turner, "New Directions in Communications", 1986). The
+/// bucket counts in integers, so a charge succeeds from the exact nanosecond at which the bucket holds the
+/// cost.
 #ifndef LOAD_BALANCER_QUOTA_BUCKET_H_
 #define LOAD_BALANCER_QUOTA_BUCKET_H_
 
@@ -25,27 +26,28 @@
   /// Sets the rate and depth from `at` on. Tokens that exceed the new depth are lost.
   void SetAllocation(Time at, const Allocation& allocation);
 
-  /// Takes `cost`, which must be above 0, if the bucket holds that much at `now`. Returns whether it did.
+  /// Removes `cost`, which must be above 0, from the bucket if it holds that much at `now`. Returns whether
+  /// the cost was removed.
   bool Charge(Time now, MilliUnits cost);
 
-  /// Returns to the bucket a charge of `cost` that was made at `charged_at`. The bucket
-  /// then holds no more than if the charge had never been made: tokens that would have overflowed since then
-  /// are lost. May return less than possible, and returns nothing after about 2 s.
+  /// Adds the charge of `cost` that was made at `charged_at` back to the bucket. The bucket then holds no
+  /// more than if the charge had never been made: tokens that would have overflowed since the charge are
+  /// lost. May add less than this limit allows, and adds nothing once the charge is older than about 2 s.
   void Credit(Time now, Time charged_at, MilliUnits cost);
 
-  /// Returns the time from `now` until the bucket holds `cost`, provided that it is neither charged nor
-  /// changed before. Returns nothing if the bucket will never hold that much.
+  /// Returns the time from `now` until the bucket holds `cost`, provided that the bucket is neither charged
+  /// nor given another allocation before then. Returns nothing if the bucket will never hold that much.
   std::optional<Span> TimeUntilAvailable(Time now, MilliUnits cost) const;
 
   Time last_update() const { return last_update_; }
 
  private:
-  /// Billionths of a MilliUnit. A rate of 1 adds one of them per nanosecond.
+  /// Billionths of a MilliUnit. A rate of 1 adds one billionth per nanosecond.
   using FineUnits = std::int64_t;
   static constexpr FineUnits kFineUnits = 1'000'000'000;  // per MilliUnit
 
-  // Credit needs the smallest headroom (depth less level) that the bucket had since a charge. The minimum is
-  // recorded for each period.
+  // Credit needs the smallest headroom (depth minus level) of the bucket since a charge. The bucket therefore
+  // records the smallest headroom of each period.
   static constexpr std::size_t kPeriods = 8;
   static constexpr std::int64_t kPeriodNs = 1 << 28;
 
--- a/src/quota/budget.h
+++ b/src/quota/budget.h
@@ -48,7 +48,7 @@
 struct Timings {
   /// The longest lifetime of a grant.
   Span max_grant_lifetime = std::chrono::milliseconds(2000);
-  /// Interval of the grant requests of a gateway that has less than it needs.
+  /// The interval between the grant requests of a gateway whose allocation is below its demand.
   Span request_interval = std::chrono::milliseconds(250);
   /// The term of the allocators' leases.
   Span lease_term = std::chrono::milliseconds(3000);
@@ -59,22 +59,22 @@
   Span MaxClockDifference() const { return 2 * clock_drift; }
 };
 
-/// Returns the portion of `budget` that has the given rate. Its depth is the proportional part of the burst,
-/// rounded down.
+/// Returns the portion of `budget` that has the given rate. The depth of the portion is the proportional part
+/// of the burst, rounded down.
 Allocation AllocationForRate(const Budget& budget, MilliUnits rate);
 
-/// Returns the allocation that one gateway of `site` has without a grant: the site's reserved minimum divided
-/// by the number of its configured gateways, rounded down. It is zero for a site without a reserved minimum
-/// or without gateways.
+/// Returns the allocation that one gateway of `site` may use without a grant: the site's reserved minimum
+/// divided by the number of the site's configured gateways, rounded down. The allocation is zero if the site
+/// has no reserved minimum or no gateways.
 Allocation ReservedMinimumOf(const Budget& budget, const std::string& site, std::size_t gateways);
 
-/// Returns the rate at which a bucket may fill by the local clock so that it never fills faster than `rate`
-/// in true time. A local clock runs fast by at most drift / term, so the result is rate * term / (term +
+/// Returns the rate, measured by the local clock, at which a bucket never fills faster than `rate` in true
+/// time. A local clock runs fast by at most drift / term, so the result is rate * term / (term +
 /// drift), rounded down.
 MilliUnits SlowedRate(MilliUnits rate, const Timings& timings);
 
-/// Returns the index of the allocator that the partner belongs to: the XXH3 hash of the partner's name modulo
-/// `allocators`, which must not be 0.
+/// Returns the index of the allocator that is responsible for the partner: the XXH3 hash of the partner's
+/// name modulo `allocators`, which must not be 0.
 std::size_t AllocatorOf(std::string_view partner, std::size_t allocators);
 
 }  // namespace load_balancer::quota
--- a/src/quota/budget_revisions.h
+++ b/src/quota/budget_revisions.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// Tracks which gateways have the allocator's current budgets while a new configuration file is rolled out.
+/// Tracks which gateways already have the allocator's current budgets while a new configuration file is
+/// rolled out.
 #ifndef LOAD_BALANCER_QUOTA_BUDGET_REVISIONS_H_
 #define LOAD_BALANCER_QUOTA_BUDGET_REVISIONS_H_
 
@@ -21,10 +22,10 @@
   std::vector<std::shared_ptr<const Budgets>> previous;
   std::vector<bool> has_current;         ///< By gateway: whether it has reported the current revision.
   std::size_t current_count = 0;         ///< The number of gateways that have reported the current revision.
-  Time all_current_since = Time::min();  ///< When the last gateway reported it.
+  Time all_current_since = Time::min();  ///< When the last gateway reported the current revision.
 
-  /// Returns whether gateways may use reserved minimums that were raised. They may once all gateways have had
-  /// the current budgets for `wait`, so that no grant of earlier budgets is in force.
+  /// Returns whether gateways may use raised reserved minimums. The result is true once all gateways have had
+  /// the current budgets for `wait`, because no grant of earlier budgets is in force then.
   bool IsAgreed(Time now, Span wait) const {
     return current_count == has_current.size() && now - wait >= all_current_since;
   }
--- a/src/quota/commitments.cpp
+++ b/src/quota/commitments.cpp
@@ -43,7 +43,7 @@
     const std::uint64_t incarnation = first->incarnation;
     if (excluded_incarnation && incarnation == *excluded_incarnation) continue;
     const auto is_same = [&](const OutstandingGrant& grant) { return grant.incarnation == incarnation; };
-    if (std::any_of(grants.begin(), first, is_same)) continue;  // this incarnation is in the sum
+    if (std::any_of(grants.begin(), first, is_same)) continue;  // the sum already includes this incarnation
     Allocation largest;
     for (auto grant = first; grant != grants.end(); ++grant) {
       if (is_same(*grant) && grant->expires_at > begin) largest = ElementwiseMax(largest, grant->allocation);
--- a/src/quota/commitments.h
+++ b/src/quota/commitments.h
@@ -2,8 +2,8 @@
 //
 /// @file
 /// Tracks how much of one budget each gateway may have in force, from now until the last outstanding grant
-/// has expired. The rest of the budget can be granted. An amount counts as in force until it certainly is
-/// not.
+/// has expired. The rest of the budget can be granted. An amount that may or may not be in force counts as in
+/// force.
 #ifndef LOAD_BALANCER_QUOTA_COMMITMENTS_H_
 #define LOAD_BALANCER_QUOTA_COMMITMENTS_H_
 
@@ -38,9 +38,9 @@
   /// Adds a grant to the gateway.
   void Add(GatewayId gateway, const OutstandingGrant& grant);
   /// Records that the gateway has put the grant in force. Earlier grants to the same incarnation are no
-  /// longer in force, and the gateway does not use its reserved minimum for `lent_for` from the time of the
-  /// acknowledgement, which is later than the time at which the grant was sent. Does nothing for an unknown
-  /// grant.
+  /// longer in force. The gateway does not use its reserved minimum for the duration `lent_for`, which begins
+  /// when the gateway sends the acknowledgement, that is, after the grant was sent. Does nothing if the grant
+  /// is unknown.
   void Acknowledge(GatewayId gateway, std::uint64_t incarnation, const GrantId& id, Span lent_for);
   /// Removes expired grants.
   void Prune(Time now);
@@ -50,11 +50,12 @@
   /// Returns the sum of the grants that processes of the gateway other than `incarnation` may have in force
   /// during the slot that contains `at`.
   Allocation OfOtherIncarnations(GatewayId gateway, Time at, std::uint64_t incarnation) const;
-  /// Returns until when the gateway does not use its reserved minimum; Time::min() if it may use it.
+  /// Returns the time until which the gateway does not use its reserved minimum; Time::min() if the gateway
+  /// may use its reserved minimum now.
   Time lent_until(GatewayId gateway) const;
   /// Returns the newest unexpired grant to this incarnation; null if there is none.
   const OutstandingGrant* Newest(GatewayId gateway, std::uint64_t incarnation) const;
-  /// Returns when all grants have expired; `now` if there is none.
+  /// Returns the time by which all grants have expired; `now` if there are no grants.
   Time LastExpiry(Time now) const;
 
   /// Returns the sum of At over all gateways for each slot, from the slot of `now` to the last slot that
@@ -70,15 +71,16 @@
     std::vector<OutstandingGrant> grants;
     Time lent_until = Time::min();
   };
-  // Returns the grants that may be in force in the slot that begins at `begin`. Leaves out grants to
-  // `excluded_incarnation` if it is not null.
+  // Returns the sum of the grants that may be in force in the slot that begins at `begin`. Leaves out grants
+  // to `excluded_incarnation` if that pointer is not null.
   static Allocation Granted(const GatewayCommitment& commitment, Time begin,
                             const std::uint64_t* excluded_incarnation);
   // Returns the allocation that may be in force in the slot that begins at `begin`, the reserved minimum
   // included.
   Allocation InForce(const GatewayCommitment& commitment, Time begin,
                      const Allocation& reserved_minimum) const;
-  // Returns a time after `begin`. InForce is the same for all slots that begin from `begin` until that time.
+  // Returns a time after `begin`. InForce returns the same amount for all slots that begin between `begin`
+  // and the returned time.
   Time NextChange(const GatewayCommitment& commitment, Time begin) const;
 
   static constexpr Span kEarliest = Time::min().time_since_epoch() / 2;  // earlier than all times in use
--- a/src/quota/demand_estimator.cpp
+++ b/src/quota/demand_estimator.cpp
@@ -6,11 +6,11 @@
 namespace load_balancer::quota {
 namespace {
 
-// The traffic has ended when a silence lasts so long that this many charges were expected.
+// The traffic has ended if, at the estimated rate, this many charges would have come since the last one.
 constexpr double kEndOfTrafficCharges = 7;
-// Fewer charges in a window are not enough to detect a shift.
+// The fewest charges in a window from which a shift can be detected.
 constexpr double kMinShiftCharges = 8;
-// A larger difference than this many standard deviations is a shift.
+// A difference of more than this many standard deviations is a shift.
 constexpr double kShiftDeviations = 3;
 
 double Seconds(Span span) { return std::chrono::duration<double>(span).count(); }
--- a/src/quota/demand_estimator.h
+++ b/src/quota/demand_estimator.h
@@ -21,10 +21,11 @@
 /// traffic is measured on the coarse scale, because the noise of a short window would shift the partner's
 /// budget between gateways.
 ///
-/// Each scale detects a shift: the rate of the short window differs from that of the long window by more than
-/// three standard deviations of a Poisson process of the long window's rate. The scale then drops everything
-/// before the short window. A rise or fall of heavy traffic is therefore noticed within 200 ms. The traffic
-/// counts as ended after a silence of at least 150 ms in which seven charges were expected.
+/// Each scale detects shifts. In a shift, the rate in the short window differs from the rate in the rest of
+/// the long window by more than three standard deviations of a Poisson process that has the rate of that
+/// rest. The scale then discards all charges before the short window. A rise or fall of heavy traffic is
+/// therefore noticed within 200 ms. The traffic counts as ended if no charge has come for at least 150 ms,
+/// and if more than seven charges were expected in that time.
 class DemandEstimator {
  public:
   /// The width of a bin of the fine scale.
@@ -32,21 +33,21 @@
 
   /// Counts a charge.
   void Add(Time now, MilliUnits cost);
-  /// Returns the estimated rate per second. It is 0 once the traffic has ended, at the latest 8 s after the
-  /// last charge.
+  /// Returns the estimated rate per second. The rate is 0 once the traffic has ended, at the latest 8 s after
+  /// the last charge.
   MilliUnits Estimate(Time now);
-  /// Returns the largest cost of a charge within at least the last 8 s; 0 if there was no charge.
+  /// Returns the largest cost of a recent charge; 0 if there was none. Covers at least the last 8 s.
   MilliUnits LargestCost(Time now);
 
  private:
   // Lengths of the windows in complete bins. Each window also contains the current bin.
   static constexpr int kLongWindow = 20;
   static constexpr int kShortWindow = 3;
-  // Added to bin numbers before the modulo, because they may be negative. It is larger than the absolute
-  // value of any bin number.
+  // Added to bin numbers before the modulo operation, because bin numbers may be negative. The offset is
+  // larger than the absolute value of any bin number.
   static constexpr std::int64_t kBinOffset = std::int64_t{1} << 40;
   static constexpr Span kCoarseBinWidth = 8 * kBinWidth;
-  // The fine scale is used if it contains at least this many charges of the largest cost.
+  // The fine scale is used if its charges add up to at least this many times the largest cost.
   static constexpr MilliUnits kMinFineCharges = 32;
 
   /// A long and a short sliding window over bins of one width.
@@ -80,7 +81,7 @@
     const Span min_window_;
     std::array<MilliUnits, kLongWindow + 1> bins_{};
     std::int64_t current_bin_ = -kBinOffset;
-    std::int64_t first_bin_ = 0;  // earlier bins do not count
+    std::int64_t first_bin_ = 0;  // bins before this one are ignored
   };
 
   void Advance(Time now);
--- a/src/quota/demand_ledger.h
+++ b/src/quota/demand_ledger.h
@@ -25,7 +25,7 @@
 /// Encodes a ledger.
 nlohmann::json DemandLedgerToJson(const std::vector<DemandLedgerEntry>& entries);
 
-/// Decodes a complete ledger. Fails with kBadLedger, which names `subject`, if anything is malformed.
+/// Decodes a complete ledger. If any part is malformed, fails with kBadLedger and the given `subject`.
 Result<std::vector<DemandLedgerEntry>> DemandLedgerFromJson(const nlohmann::json& ledger,
                                                             const std::string& subject);
 
--- a/src/quota/division.cpp
+++ b/src/quota/division.cpp
@@ -41,7 +41,8 @@
     const MilliUnits minimum = minimums_fit ? ReservedDemand(claims[i]) : 0;
     return std::max(minimum, std::min(claims[i].demand, level));
   };
-  // Finds the highest level that fits by bisection. It is in [low, high).
+  // A bisection finds the highest level at which the rates fit into the capacity. That level is in [low,
+  // high).
   MilliUnits low = 0;
   MilliUnits high = totals.largest_demand;
   while (high - low > 1) {
@@ -56,7 +57,8 @@
   for (const std::size_t i : selected) (*rates)[i] = rate_at(i, low);
 }
 
-// Sorts claims whose turn lasts first, then the others by the end of their last turn.
+// Sorts the claims: those whose turn has not ended by `now` come first, then the others by the end of their
+// last turn.
 void SortByTurn(const std::vector<RateClaim>& claims, Time now, Indices* indices) {
   std::stable_sort(indices->begin(), indices->end(), [&](std::size_t left, std::size_t right) {
     const bool left_lasts = claims[left].turn_until > now;
--- a/src/quota/division.h
+++ b/src/quota/division.h
@@ -13,15 +13,15 @@
 
 namespace load_balancer::quota {
 
-/// The claim of one gateway to a part of a rate.
+/// The claim of one gateway to a share of a rate.
 struct RateClaim {
   MilliUnits demand = 0;
-  /// This much of the demand is served before the rest is divided.
+  /// This part of the demand is satisfied before the rest of the rate is divided.
   MilliUnits reserved_minimum = 0;
   /// A smaller rate is useless to the gateway.
   MilliUnits min_useful_rate = 0;
-  /// When the claim's current or last turn ends. During its turn a claim gets `min_useful_rate` while others
-  /// get nothing.
+  /// The end of the claim's current or last turn. During its turn a claim gets `min_useful_rate`, while
+  /// claims that wait for their turn get nothing.
   Time turn_until = Time::min();
 };
 
@@ -29,8 +29,8 @@
 /// the total demand is divided in proportion to demand.
 ///
 /// Claims whose rate would be below their minimum useful rate take turns: at least one of them, and as many
-/// as fit, get that minimum, and the others get nothing. Claims whose turn lasts at `now` come first, then
-/// claims whose last turn is longest ago.
+/// as fit, get that minimum, and the others get nothing. Claims whose turn has not ended by `now` come
+/// first, followed by the others in the order in which their last turns ended.
 std::vector<MilliUnits> DivideRate(MilliUnits capacity, const std::vector<RateClaim>& claims, Time now);
 
 }  // namespace load_balancer::quota
--- a/src/quota/duty.h
+++ b/src/quota/duty.h
@@ -11,8 +11,8 @@
 
 namespace load_balancer::quota {
 
-/// Returns the name of the leased role of the allocator `index`. Its lease is held by the process that issues
-/// the allocator's grants.
+/// Returns the name of the leased role of allocator `index`. The process that holds this lease issues the
+/// allocator's grants.
 inline std::string AllocatorRoleName(std::size_t index) {
   return std::string("treasurer/").append(std::to_string(index));
 }
--- a/src/quota/grant_planner.cpp
+++ b/src/quota/grant_planner.cpp
@@ -6,7 +6,7 @@
 namespace load_balancer::quota {
 namespace {
 
-// Returns the largest rate whose allocation fits into `capacity`: neither the rate nor the depth exceeds it.
+// Returns the largest rate whose allocation exceeds neither the rate nor the depth of `capacity`.
 MilliUnits LargestRateWithin(const Budget& budget, const Allocation& capacity) {
   const MilliUnits rate = std::max<MilliUnits>(capacity.rate, 0);
   const MilliUnits depth = std::clamp<MilliUnits>(capacity.depth, 0, budget.burst);
--- a/src/quota/grant_planner.h
+++ b/src/quota/grant_planner.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// Finds grants that fit into one budget beside all other allocations that may be in force.
+/// Finds grants that, together with all other allocations that may be in force, do not exceed one budget.
 #ifndef LOAD_BALANCER_QUOTA_GRANT_PLANNER_H_
 #define LOAD_BALANCER_QUOTA_GRANT_PLANNER_H_
 
@@ -11,22 +11,23 @@
 
 namespace load_balancer::quota {
 
-/// An allocation that fits, and the time at which it must have expired.
+/// An allocation that fits into the budget, and the time by which it must have expired.
 struct FittingGrant {
   Allocation allocation;
   Time expires_at;
 };
 
-/// Plans the grants that are issued at one time. It caches, for each time slot of the commitments, the sum of
-/// the allocations of all gateways, because each grant changes the sums for the next one.
+/// Plans the grants that are issued at one time. For each time slot of the commitments, the planner caches
+/// the sum of the allocations of all gateways. Each grant changes these sums, and the next grant must fit
+/// beside it.
 class GrantPlanner {
  public:
-  /// Considers the slots from `now` to `end`. The arguments must outlive this object.
+  /// Plans for the slots from `now` to `end`. The arguments must outlive this object.
   GrantPlanner(const Budget& budget, const ReservedMinimums& minimums, Commitments* commitments, Time now,
                Time end);
 
-  /// Returns the largest rate up to `rate` that fits at least until `min_end`, and the time, at most
-  /// `max_end`, until which it fits.
+  /// Returns the allocation for the largest rate that is at most `rate` and fits into the budget at least
+  /// until `min_end`, and the time until which this allocation fits, which is at most `max_end`.
   FittingGrant Fit(GatewayId gateway, std::uint64_t incarnation, MilliUnits rate, Time min_end,
                    Time max_end) const;
   /// Adds a grant to the commitments.
--- a/src/quota/message_codec.h
+++ b/src/quota/message_codec.h
@@ -24,8 +24,8 @@
 nlohmann::json ToJson(const AllocationRequest& request);
 nlohmann::json ToJson(const AllocationResponse& response);
 
-/// Decodes a message. Checks for unknown and missing keys, and checks types, lengths and ranges. Fails with
-/// kBadMessage, which names the sender `from`.
+/// Decodes a message. Checks for unknown and missing keys, and checks types, lengths and ranges. If a check
+/// fails, returns kBadMessage with the name of the sender, `from`.
 Result<AllocationRequest> AllocationRequestFromJson(const nlohmann::json& json, const std::string& from);
 Result<AllocationResponse> AllocationResponseFromJson(const nlohmann::json& json, const std::string& from);
 
--- a/src/quota/message_split.cpp
+++ b/src/quota/message_split.cpp
@@ -8,7 +8,7 @@
 namespace load_balancer::quota {
 namespace {
 
-// Upper bound of the length of a message's JSON text without its entries.
+// An upper bound of the length of a message's JSON text, without the message's entries.
 constexpr std::size_t kHeaderBytes = 140;
 
 // Distributes entries over messages, each of which starts as a copy of an empty message.
--- a/src/quota/message_split.h
+++ b/src/quota/message_split.h
@@ -11,8 +11,8 @@
 
 namespace load_balancer::quota {
 
-/// Returns the entries of a message in as many messages as needed, each within kMaxMessageBytes. Returns no
-/// message if there are no entries.
+/// Distributes the entries of a message over as many messages as needed, each of at most kMaxMessageBytes.
+/// Returns no message if there are no entries.
 std::vector<AllocationRequest> Split(const AllocationRequest& request);
 std::vector<AllocationResponse> Split(const AllocationResponse& response);
 
--- a/src/quota/messages.h
+++ b/src/quota/messages.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The messages between gateways and allocators. A message may be lost, repeated, delayed or reordered. It
-/// carries entries for many partners.
+/// The messages between gateways and allocators. A message may be lost, repeated, delayed or reordered. One
+/// message contains entries for many partners.
 ///
 /// A gateway that has a grant lends its reserved minimum: it does not use the minimum until the grant
 /// expires, so that the allocator can grant that part of the budget to other gateways.
@@ -26,8 +26,8 @@
   auto operator<=>(const GrantId&) const = default;
 };
 
-/// Acknowledges that the gateway has put a grant in force in place of all earlier grants. By its own clock
-/// the gateway does not use its reserved minimum for `lent_ms` from the time of sending.
+/// Acknowledges that the gateway has put a grant in force in place of all earlier grants. After sending
+/// this message, the gateway does not use its reserved minimum for `lent_ms`, measured by its own clock.
 struct GrantAck {
   std::string partner;
   GrantId grant;
@@ -50,7 +50,7 @@
   std::uint64_t lifetime_ms = 0;
 };
 
-/// The gateway's reserved minimum according to the allocator's budgets.
+/// The reserved minimum of the receiving gateway in the allocator's budgets.
 struct ReservedMinimum {
   std::string partner;
   Allocation allocation;
@@ -58,9 +58,9 @@
 
 /// A message from a gateway to an allocator.
 struct AllocationRequest {
-  std::uint64_t incarnation = 0;  ///< The sending process. It must not use grants to another process.
+  std::uint64_t incarnation = 0;  ///< The sending process, which must not use grants to other processes.
   std::uint64_t revision = 0;     ///< The revision of the sender's budgets.
-  std::uint64_t number = 0;       ///< Numbers the requests of this incarnation. Grants refer to it.
+  std::uint64_t number = 0;       ///< The request's number within this incarnation. Grants refer to it.
   std::vector<GrantRequest> grant_requests;
   std::vector<GrantAck> acks;
 };
@@ -79,8 +79,8 @@
   std::vector<ReservedMinimum> reserved_minimums;  ///< Empty unless the revisions differ.
 };
 
-/// The limit of a message's size, in bytes of JSON text. The MessagePack form, which is sent, is shorter and
-/// fits the payload of a datagram.
+/// The largest size of a message, in bytes of JSON text. The message is sent as MessagePack, which is shorter
+/// and fits the payload of a datagram.
 inline constexpr std::size_t kMaxMessageBytes = 1000;
 inline constexpr std::size_t kMaxPartnerNameBytes = 64;
 
--- a/src/quota/partner_account.cpp
+++ b/src/quota/partner_account.cpp
@@ -85,8 +85,8 @@
   UpdateBucket(now);
 }
 
-// Returns whether demand differs from the requested demand by more than a quarter plus two of the largest
-// charges, or whether exactly one of them is zero.
+// Returns whether `demand` differs from the requested demand by more than a quarter of the requested demand
+// plus twice the largest charge, or whether exactly one of the two demands is zero.
 bool PartnerAccount::HasDemandShifted(MilliUnits demand, Time now) {
   const MilliUnits tolerance = requested_demand_ / 4 + 2 * demand_.LargestCost(now);
   if (std::abs(demand - requested_demand_) > tolerance) return true;
@@ -95,7 +95,7 @@
 
 PartnerAccount::RequestUrgency PartnerAccount::NextRequest(Time now) {
   if (is_recalled_) return RequestUrgency::kNow;
-  // Before the first request the difference would overflow.
+  // Before the first request, `requested_at_` is Time::min(), and the subtraction would overflow.
   const Span since_request =
       requested_at_ == Time::min() ? timings_->max_grant_lifetime : now - requested_at_;
   if (since_request < DemandEstimator::kBinWidth) return RequestUrgency::kNone;
@@ -103,7 +103,7 @@
   const bool has_grant = now < grant_expires_at_;
   if (has_grant && HasDemandShifted(demand, now)) return RequestUrgency::kNow;
   if (demand == 0 || since_request < timings_->request_interval) return RequestUrgency::kNone;
-  // The allocator granted what it could, and grants more on its own when it can.
+  // The allocator has granted as much as it could. When it can grant more, it does so without a request.
   const bool is_grant_up_to_date = has_grant && is_answered_;
   if (InForce(now).rate < demand && !is_grant_up_to_date) return RequestUrgency::kNow;
   if (!has_grant) return RequestUrgency::kNone;
--- a/src/quota/partner_account.h
+++ b/src/quota/partner_account.h
@@ -17,14 +17,14 @@
 
 namespace load_balancer::quota {
 
-/// The reserved minimum of a gateway. From `available_from` on it is in force whenever no grant is.
+/// The reserved minimum of a gateway. From `available_from` on, it is in force whenever no grant is in force.
 struct ReservedMinimumTerms {
   Allocation usable;
   Allocation configured;  ///< The minimum of the current budgets, usable once all gateways have them.
   Time available_from;
 };
 
-/// The account of one partner at one gateway.
+/// One partner's account at one gateway.
 class PartnerAccount {
  public:
   /// Starts with an empty bucket at `since`, which may be in the past. `minimum` applies from then on.
@@ -34,23 +34,24 @@
   /// The source of the allocation in force.
   enum class Source { kNone, kReservedMinimum, kGrant };
 
-  /// Charges `cost` if it fits and returns whether it did. Counts it as demand in any case.
+  /// Charges `cost` if the bucket holds that much, and returns whether it did. Counts `cost` as demand in
+  /// either case.
   bool Charge(Time now, MilliUnits cost);
-  /// Returns a charge to the bucket (see Bucket::Credit).
+  /// Adds a charge back to the bucket (see Bucket::Credit).
   void Credit(Time now, Time charged_at, MilliUnits cost);
-  /// Returns the time until `cost` fits if nothing else happens. Returns nothing if it never fits without a
-  /// new grant.
+  /// Returns the time until the bucket holds `cost`, provided that no other charge or grant comes before.
+  /// Returns nothing if the bucket will not hold that much without a new grant.
   std::optional<Span> TimeUntilAvailable(Time now, MilliUnits cost);
 
   /// Puts a grant in force and returns true. Returns false and does nothing if the grant has expired or is
   /// not newer than all grants accepted before. The reserved minimum is lent until the grant expires, even if
   /// another grant replaces this one earlier.
   bool Accept(Time now, const Grant& grant, const GrantId& id, Time expires_at);
-  /// Returns the grant in force, without the partner's name, for a request or an acknowledgement. The id is
-  /// zero if there is no grant.
+  /// Returns the grant in force, for use in a request or an acknowledgement. The partner's name is left
+  /// empty. The id is zero if there is no grant.
   GrantAck HeldGrant(Time now) const;
 
-  /// Changes the reserved minimum from `now` on. The time until which it is lent stays the same.
+  /// Changes the reserved minimum from `now` on. The time until which it is lent does not change.
   void SetReservedMinimum(Time now, const Allocation& usable, const Allocation& configured);
   /// Makes the reserved minimum unavailable until `until`.
   void LendReservedMinimum(Time until) { minimum_.available_from = std::max(minimum_.available_from, until); }
@@ -58,12 +59,12 @@
 
   /// How soon to request a grant: not now, only in a message that is sent for other partners anyway, or now.
   enum class RequestUrgency { kNone, kWithOthers, kNow };
-  /// Returns how soon to request a grant. A rise or fall of demand is urgent. A gateway that has less than it
-  /// needs and got no response repeats its request at each Timings::request_interval. After a response the
-  /// gateway only renews its grant, well before the grant expires, because an allocator that can grant more
-  /// does so without another request.
+  /// Returns how soon to request a grant. A rise or fall of demand is urgent. A gateway whose allocation
+  /// is below its demand repeats its request every Timings::request_interval until it gets a response. After
+  /// a response the gateway only renews its grant, well before the grant expires, because an allocator that
+  /// can grant more does so without another request.
   RequestUrgency NextRequest(Time now);
-  /// Returns the request, and records it as sent.
+  /// Returns the request to send, and records that it was sent at `now`.
   GrantRequest MakeRequest(Time now);
   /// Records that the allocator wants the gateway to request a grant.
   void OnRecall() { is_recalled_ = true; }
--- a/src/quota/partner_accounts.h
+++ b/src/quota/partner_accounts.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// @file
-/// The accounts of all partners at one gateway, and the subset of them that needs work.
+/// The accounts of all partners at one gateway, and the subset of accounts that are active.
 #ifndef LOAD_BALANCER_QUOTA_PARTNER_ACCOUNTS_H_
 #define LOAD_BALANCER_QUOTA_PARTNER_ACCOUNTS_H_
 
@@ -23,8 +23,8 @@
   std::size_t gateways = 1;  ///< The number of configured gateways of the site.
 };
 
-/// The accounts of all partners at one gateway. An account is active while it has traffic, a grant or a
-/// recall.
+/// The accounts of all partners at one gateway. An account is active while it has traffic, a grant or an
+/// unanswered recall.
 class PartnerAccounts {
  public:
   struct Entry {
@@ -41,8 +41,8 @@
   /// object.
   PartnerAccounts(GatewaySite site, const Timings& timings, std::shared_ptr<const Budgets> budgets, Time now);
 
-  /// Returns the entry of a partner, which is created at its first use. Returns null if the partner has no
-  /// budget.
+  /// Returns the entry of a partner. Creates the entry at the first call for the partner. Returns null if the
+  /// partner has no budget.
   Entry* Find(std::string_view partner);
   /// Returns the entry of a partner that was used before; null if there is none.
   Entry* FindExisting(std::string_view partner);
@@ -55,9 +55,10 @@
   /// Replaces the budgets. Where the old and the new reserved minimum differ, the smaller one applies until
   /// UseConfiguredMinimums is called. Returns false, and changes no account, if the revision is the same.
   bool UpdateBudgets(Time now, std::shared_ptr<const Budgets> budgets);
-  /// Makes the reserved minimums of the current budgets usable. Call it once all gateways have these budgets.
+  /// Makes the reserved minimums of the current budgets usable. Call this function once all gateways have
+  /// these budgets.
   void UseConfiguredMinimums(Time now);
-  /// Removes all reserved minimums from now on.
+  /// Sets all reserved minimums to zero from `now` on.
   void Retire(Time now);
   const Budgets& budgets() const { return *budgets_; }
 
--- a/src/quota/partner_allocator.cpp
+++ b/src/quota/partner_allocator.cpp
@@ -13,7 +13,8 @@
 // The shortest time between two issues of grants. It grows with the number of requesters, as the work does.
 constexpr Span kMinIssueInterval = milliseconds(10);
 constexpr Span kIssueIntervalPerRequester = std::chrono::microseconds(50);
-// A grant should fit for at least this fraction (1 / 4) of its lifetime, so that there is time to renew it.
+// A grant should last at least this fraction (1 / 4) of the longest lifetime, so that there is time to renew
+// it.
 constexpr int kRenewalFraction = 4;
 
 // Returns the smallest rate whose allocation has at least `depth`.
@@ -86,9 +87,9 @@
   return demand;
 }
 
-// Divides the capacity among the gateways with demand. The allocations of all other gateways, which are their
-// reserved minimums and unexpired grants, are no part of the capacity. While the capacity suffices, a gateway
-// gets no less than its reserved minimum.
+// Divides the capacity among the gateways with demand. The capacity excludes the allocations of all other
+// gateways, which are their reserved minimums and unexpired grants. If the capacity suffices, each gateway
+// with demand gets at least its reserved minimum.
 void PartnerAllocator::ComputeTargets(Time now, const Budget& budget, const ReservedMinimums& minimums) {
   std::vector<GatewayId> gateways;
   std::vector<RateClaim> claims;
@@ -119,8 +120,8 @@
   }
 }
 
-// Starts the turn of a gateway that gets no more than the minimum useful rate. A turn lasts a grant's
-// lifetime.
+// Starts a turn for a gateway whose rate is at most its minimum useful rate. A turn lasts for the longest
+// lifetime of a grant.
 void PartnerAllocator::StartTurn(Time now, GatewayId gateway, const RateClaim& claim, MilliUnits rate) {
   if (rate <= 0 || rate > claim.min_useful_rate) return;
   const auto requester = requesters_.find(gateway);
@@ -174,8 +175,8 @@
       issued.push_back(std::move(*grant));
   }
   due_ = Time::max();
-  // While demand exceeds the capacity, grants are issued again at intervals: turns end, reserved minimums are
-  // recalled, and grants expire that are not renewed.
+  // While demand exceeds the capacity, grants are issued again at intervals, because turns end, reserved
+  // minimums are recalled, and grants that were not renewed expire.
   if (is_oversubscribed_) due_ = now + timings_->request_interval;
   if (is_waiting_) due_ = now + commitments_.slot();
   return issued;
--- a/src/quota/partner_allocator.h
+++ b/src/quota/partner_allocator.h
@@ -17,7 +17,7 @@
 
 namespace load_balancer::quota {
 
-/// A grant, and the process that receives it.
+/// A grant, and the process to which it is sent.
 struct IssuedGrant {
   GatewayId gateway = 0;
   std::uint64_t incarnation = 0;  ///< The incarnation of the gateway's process.
@@ -35,19 +35,20 @@
                       const GrantRequest& request);
   /// Handles an acknowledgement: a gateway's process has put a grant in force.
   void OnAck(Time now, GatewayId gateway, std::uint64_t incarnation, const GrantAck& ack);
-  /// Sets the demand of a gateway from a ledger. It counts until the gateway's first request, for at most two
-  /// request intervals.
+  /// Sets the demand of a gateway according to a ledger. This demand is used until the gateway's first
+  /// request, but for no longer than two request intervals.
   void SetExpectedDemand(Time now, GatewayId gateway, MilliUnits demand);
 
   /// Returns the grants to issue now: one for each unanswered request, and one for each gateway whose grant
   /// differs from its target while some gateway has less than it needs. No grant lasts beyond `deadline`.
-  /// `last` is the id of the last grant that was issued. It is advanced with each grant.
+  /// `last` is the id of the last grant that was issued. Each new grant increments its number.
   std::vector<IssuedGrant> IssueGrants(Time now, Time deadline, const Budget& budget,
                                        const ReservedMinimums& minimums, GrantId* last);
-  /// Returns the gateways that should request a grant, because their reserved minimum is needed elsewhere and
-  /// is not lent for much longer. Call it after IssueGrants.
+  /// Returns the gateways that should request a grant, because other gateways need their reserved minimum and
+  /// it is not lent, or will soon no longer be lent. Call this function after IssueGrants.
   std::vector<GatewayId> Recalls(Time now, const GatewayRegistry& gateways, const ReservedMinimums& minimums);
-  /// Returns when to issue grants again if no event comes first; Time::max() if there is no such time.
+  /// Returns the time at which to issue grants again if no request or acknowledgement arrives before;
+  /// Time::max() if no grants are due.
   Time due() const { return due_; }
 
   const Commitments& commitments() const { return commitments_; }
@@ -77,7 +78,8 @@
   // Returns the gateways that should get another grant, beginning with those whose rate shrinks the most.
   std::vector<GatewayId> GatewaysDue() const;
   MilliUnits HeldRate(GatewayId gateway, const Requester& requester) const;
-  // Issues a grant of up to the gateway's target. Returns nothing if what fits is too small to be useful.
+  // Issues a grant with a rate of at most the gateway's target. Returns nothing if no useful grant fits, or
+  // if the gateway already has an equal grant that lasts as long.
   std::optional<IssuedGrant> IssueGrant(Time now, Time deadline, GatewayId gateway, const Budget& budget,
                                         GrantPlanner* planner, GrantId* last);
   bool WasRequestedSince(GatewayId gateway, Time since) const;
@@ -89,7 +91,8 @@
   std::map<GatewayId, ExpectedDemand> expected_;
   std::map<GatewayId, MilliUnits> targets_;
   bool is_oversubscribed_ = false;  // whether demand exceeds the capacity
-  // Whether some gateway gets its target only after other gateways have returned parts of theirs.
+  // Whether some gateway gets its target rate only after other gateways have returned parts of their
+  // allocations.
   bool is_waiting_ = false;
   std::map<GatewayId, Time> recalled_at_;
   Time issued_at_ = Time::min();
--- a/src/quota/reserved_minimums.h
+++ b/src/quota/reserved_minimums.h
@@ -26,16 +26,18 @@
     const bool is_certain = largest_.empty() || (*has_current_)[gateway];
     return (is_certain ? current_ : largest_)[gateways_->site(gateway)];
   }
-  /// Returns the gateway's reserved minimum in the current budgets, whether or not the gateway has these.
+  /// Returns the gateway's reserved minimum in the current budgets, even if the gateway does not have these
+  /// budgets yet.
   Allocation CurrentOf(GatewayId gateway) const { return current_[gateways_->site(gateway)]; }
-  /// Returns the sum of Of over all gateways.
+  /// Returns the sum of Of(gateway) over all gateways.
   Allocation total() const { return total_; }
 
  private:
   const GatewayRegistry* gateways_;
   const std::vector<bool>* has_current_;
-  std::vector<Allocation> current_;  // per gateway of a site, by site: in the current budgets
-  std::vector<Allocation> largest_;  // the same over all budgets; empty if equal to `current_`
+  std::vector<Allocation>
+      current_;  // by site: the reserved minimum of each of its gateways in the current budgets
+  std::vector<Allocation> largest_;  // the same, but the largest of all budgets; empty if equal to `current_`
   Allocation total_;
 };
 
--- a/src/quota/section.h
+++ b/src/quota/section.h
@@ -17,19 +17,21 @@
 
 namespace load_balancer::quota {
 
-/// The key names that the file uses, for keys that have a former name. Faults name a key as the file does.
+/// For each key that has a former name: the name that the configuration file uses. Fault messages use the
+/// same name as the file.
 struct QuotaKeyNames {
   std::string allocators = kAllocatorsKey.key;
   std::string grant_lifetime = kGrantLifetimeKey.key;
-  std::map<std::string, std::string> reserved_minimums;  ///< The name of that key, by partner.
+  std::map<std::string, std::string>
+      reserved_minimums;  ///< The name of the key `reserved_minimums`, by partner.
 };
 
 /// The section's values. docs/configuration.md lists keys, units and ranges.
 struct QuotaSection {
-  /// Whether the section is present. If it is absent, tenants' quotas are divided evenly, as the settings
-  /// say.
+  /// Whether the section is present. If it is absent, tenants' quotas are divided evenly, according to the
+  /// settings.
   bool on = false;
-  /// The number of allocators that the partners are distributed over. It must not change while the fleet
+  /// The number of allocators among which the partners are distributed. It must not change while the fleet
   /// runs.
   std::size_t allocators = 4;
   std::chrono::milliseconds max_grant_lifetime{2000};
