--- a/model/quota/gateways.cpp
+++ b/model/quota/gateways.cpp
@@ -10,7 +10,7 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kLeaseBytes = 120;
-constexpr Span kArrivalBatch = milliseconds(20);  // the arrivals of this span are drawn at a time
+constexpr Span kArrivalBatch = milliseconds(20);  // arrivals are drawn for one such span at a time
 
 struct WireMessage {
   std::size_t allocator = 0;
@@ -66,7 +66,7 @@
     if (const auto* lease = std::get_if<fleet::LeaseMessage>(&wire.message))
       return leases_.Receive(packet.from, *lease);
     const auto from = gateways_.by_address_.find(packet.from);
-    // Pass an earlier proof on if there is no current one: the allocator itself must check the proof.
+    // If there is no current proof, pass an earlier one to the allocator, which must itself check the proof.
     std::optional<fleet::LeaseProof>& proof = proofs_[wire.allocator];
     if (auto current = leases_.ProveLease(wire.allocator)) proof.emplace(std::move(*current));
     if (!proof || stepping_down_) return;
@@ -178,7 +178,7 @@
       if (credited) account().Credit(now, charged.receipt);
     }
     if (now < next_batch_at_) return;
-    // The requests that came while the machine was stalled arrive together now.
+    // The requests of the time in which the machine was stalled arrive together now.
     const Span spread = std::min<Span>(now - next_batch_at_, milliseconds(500)) + kArrivalBatch;
     arrivals_.clear();
     next_arrival_ = 0;
@@ -216,7 +216,7 @@
     }
   }
 
-  // Sends a message. According to the options, delays it or sends a delayed copy as well.
+  // Sends a message. Depending on the options, delays the message or also sends a delayed copy of it.
   void Send(std::size_t to, const WireMessage& wire, std::size_t bytes) {
     const auto send = [&host = host_, address = gateways_.addresses_[to], wire, bytes] {
       host.Send(address, wire, bytes);
@@ -234,7 +234,7 @@
   const std::uint64_t incarnation_;
   std::mt19937_64 random_;
   const std::size_t site_;
-  // One account per process. The last one belongs to the process that has the gateway's address.
+  // One account per process. The last account belongs to the process that has the gateway's address.
   std::vector<std::unique_ptr<quota::Account>> accounts_;
   std::vector<quota::Allocator> allocators_;
   std::vector<std::optional<fleet::LeaseProof>> proofs_;  // the newest proof of each lease
@@ -272,7 +272,8 @@
                                 std::chrono::duration<double>(options.timings.lease_term);
   for (std::size_t i = 0; i < count; ++i) {
     MachineClock clock;
-    // Draw the ends of the range often: a missing safety margin shows there.
+    // Draw the ends of the range often, because a missing safety margin is most likely to show with the
+    // largest clock errors.
     const double position = std::uniform_real_distribution<>(-3, 3)(world_.random());
     clock.rate = 1 + max_rate_error * std::clamp(position, -1.0, 1.0);
     clock.offset = std::chrono::hours(1 + i % 7);
--- a/model/quota/gateways.h
+++ b/model/quota/gateways.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The gateways of several sites in the model. Each gateway has its account of quotas and can become the
-// holder of allocators' leases. A scenario sets the load that clients put on each gateway.
+// The gateways of several sites in the model. Each gateway has a quota account and can become the holder of
+// allocators' leases. A scenario sets the load that clients put on each gateway.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_GATEWAYS_H_
 #define LOAD_BALANCER_MODEL_QUOTA_GATEWAYS_H_
 
@@ -29,15 +29,15 @@
   double credited_fraction = 0;    // fraction of the admitted requests that are proven not to have run
   double delayed_fraction = 0;     // fraction of the quota messages that are delayed
   double duplicated_fraction = 0;  // fraction of the quota messages that are sent again after a delay
-  Span max_delay = std::chrono::seconds(4);  // of delayed and duplicated messages
-  double mean_cost = 1;                      // mean units of a request; costs vary if it is over 1
-  SpenderOptions spender;                    // if enabled, spenders replace the clients that come at a rate
+  Span max_delay = std::chrono::seconds(4);  // the longest delay of delayed and duplicated messages
+  double mean_cost = 1;                      // mean units per request; if over 1, costs vary
+  SpenderOptions spender;                    // if enabled, spenders replace the clients of SetLoad
   bool record_admissions = true;             // false: requests are counted, but admissions are not recorded
 };
 
 // Counts of one partner's requests. The ideal limiter sees the requests of all gateways at once.
 struct PartnerTally {
-  std::vector<Admission> admissions;               // in the order of time, without credited requests
+  std::vector<Admission> admissions;               // in order of time, without credited requests
   std::vector<std::uint64_t> requests_by_gateway;  // by gateway
   std::vector<std::uint64_t> admitted_by_gateway;  // by gateway, without credited requests
   std::uint64_t wrongly_rejected = 0;  // rejected, though the ideal limiter would have admitted them
@@ -61,12 +61,12 @@
   void SetBudgets(std::size_t gateway, std::shared_ptr<const quota::Budgets> budgets);
   // Sets whether spenders let their accounts fill instead of spending.
   void SetSaving(bool saving) { saving_ = saving; }
-  // Makes another process take over the gateway's address. The previous process runs on until its grants
-  // expire.
+  // Makes another process take over the gateway's address. The previous process keeps running until its
+  // grants expire.
   void HandOver(std::size_t gateway);
   // Makes the gateway stop issuing grants and release its leases once the grants that it issued have expired.
   void StepDown(std::size_t gateway);
-  // Returns the machine that holds the allocator's lease, as other machines know it.
+  // Returns the machine that the other machines regard as the holder of the allocator's lease.
   std::optional<std::size_t> Holder(std::size_t allocator) const {
     return holders_.HolderAt(allocator, world_.now());
   }
--- a/model/quota/lease_member.h
+++ b/model/quota/lease_member.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The part of one modelled gateway in the allocators' leases.
+// How a modelled gateway requests, holds and releases the allocators' leases.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_LEASE_MEMBER_H_
 #define LOAD_BALANCER_MODEL_QUOTA_LEASE_MEMBER_H_
 
@@ -17,11 +17,11 @@
 
 namespace load_balancer::model {
 
-// The holder of each allocator's lease, as the other machines know it. They learn of a new holder after
+// The holder of each allocator's lease that is known to the other machines. These learn of a new holder after
 // kPropagationTime.
 class RoleHolders {
  public:
-  // Records that `machine` holds the allocator's lease since `at`.
+  // Records that `machine` has held the allocator's lease since `at`.
   void Update(std::size_t allocator, std::size_t machine, Moment at) {
     Record& record = records_[allocator];
     if (record.machine == machine) return;
@@ -65,7 +65,7 @@
     if (leases_.Next() <= host_.Now()) leases_.Tick(host_.Now(), host_.Wall());
   }
   Time Next() const { return leases_.Next(); }
-  // Releases all leases that the process holds. It may acquire them again.
+  // Releases all leases that the process holds. The process may acquire them again.
   void ReleaseLeases() {
     leases_.Release(host_.Now());
     leases_.Resume(host_.Now());
--- a/model/quota/overspend_check.h
+++ b/model/quota/overspend_check.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Checks that the gateways together never admit more than a budget, and provides an ideal limiter to compare
-// with.
+// Checks that the gateways together never admit more than a budget, and provides an ideal limiter for
+// comparisons.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_OVERSPEND_CHECK_H_
 #define LOAD_BALANCER_MODEL_QUOTA_OVERSPEND_CHECK_H_
 
@@ -27,14 +27,15 @@
   double excess = 0;  // units in excess of rate x window + burst
 };
 
-// A token bucket that starts full and uses exact arithmetic. It admits a request if all windows of any length
-// stay within rate x window + burst.
+// A token bucket that starts full and uses exact arithmetic. It admits a request if, in every time window of
+// any length, the admitted requests then stay within rate x window + burst.
 class ExactTokenBucket {
  public:
   ExactTokenBucket(quota::MilliUnits rate, quota::MilliUnits burst)
       : rate_(rate), depth_(burst * kFineUnitsPerMilliUnit), level_(depth_) {}
 
-  // Charges the admission even if it does not fit. Returns by how many units the bucket is overdrawn.
+  // Charges the admission even if the bucket does not hold its cost. Returns the number of units by which the
+  // bucket is overdrawn.
   double ForceCharge(const Admission& admission) {
     Fill(admission.at);
     level_ -= admission.cost * kFineUnitsPerMilliUnit;
@@ -42,7 +43,7 @@
                ? static_cast<double>(-level_) / (static_cast<double>(kFineUnitsPerMilliUnit) * quota::kUnit)
                : 0;
   }
-  // Charges the admission if it fits and returns whether it did.
+  // Charges the admission if the bucket holds its cost, and returns whether it was charged.
   bool TryCharge(const Admission& admission) {
     Fill(admission.at);
     if (admission.cost * kFineUnitsPerMilliUnit > level_) return false;
@@ -74,7 +75,7 @@
     if (excess > 0 && (!worst || excess > worst->excess)) worst = Overspend{Moment(0), admission.at, excess};
   }
   if (!worst) return worst;
-  // Find the beginning of the window with the largest excess. It ends at worst->to.
+  // Find the beginning of the window with the largest excess. This window ends at worst->to.
   double sum = 0, largest_excess = 0;
   for (auto it = admissions.rbegin(); it != admissions.rend(); ++it) {
     if (it->at > worst->to) continue;
--- a/model/quota/scale/clients.h
+++ b/model/quota/scale/clients.h
@@ -37,7 +37,7 @@
   }
   // Returns the time of the next request; Moment::max() if there is none.
   Moment Next() const { return streams_.empty() ? Moment::max() : streams_.front().next; }
-  // Removes and returns the next request if it arrives by `now`.
+  // Removes and returns the next request if it arrives no later than `now`.
   std::optional<Arrival> Take(Moment now) {
     if (Next() > now) return std::nullopt;
     std::pop_heap(streams_.begin(), streams_.end(), std::greater<>());
--- a/model/quota/scale/fairness.h
+++ b/model/quota/scale/fairness.h
@@ -25,9 +25,9 @@
   return shares;
 }
 
-// Returns Jain's fairness index of the ratios of `received` to the max-min fair shares of the received total.
-// The index is 1 if all received the same fraction of their share, and 1 / n if one of n received everything.
-// Entries whose share is 0 do not count. Returns 1 if no entry counts.
+// Divides the sum of `received` into max-min fair shares, and returns Jain's fairness index of the ratios of
+// received amount to fair share. The index is 1 if all ratios are equal, and 1 / n if one of n entries
+// received everything. Entries whose fair share is 0 are ignored. Returns 1 if there are no other entries.
 inline double JainIndex(const std::vector<double>& received, const std::vector<double>& demands) {
   double total = 0;
   for (const double amount : received) total += amount;
--- a/model/quota/scale/gateway_cluster.cpp
+++ b/model/quota/scale/gateway_cluster.cpp
@@ -12,9 +12,9 @@
 using nlohmann::json;
 
 constexpr std::size_t kLeaseBytes = 120;
-// The bytes of a datagram beside its payload: sender, channel, and IP and UDP headers.
+// The bytes of a datagram in addition to its payload: sender, channel, and IP and UDP headers.
 constexpr std::size_t kDatagramOverheadBytes = 120;
-// One charge of this many is timed, because reading the clock costs as much as a charge.
+// The CPU time of one in this many charges is measured, because reading the clock costs as much as a charge.
 constexpr std::uint64_t kChargesPerTiming = 16;
 
 struct WireMessage {
@@ -206,7 +206,7 @@
 
 GatewayCluster::~GatewayCluster() = default;
 
-// Uses a stall of zero length, after which the world calls Next of the program again.
+// Stalls the gateway for zero time, because the world calls the program's Next again after a stall.
 void GatewayCluster::Wake(std::size_t gateway) { world_.Stall(gateway, Moment(0)); }
 
 void GatewayCluster::Crash(std::size_t gateway) {
--- a/model/quota/scale/gateway_cluster.h
+++ b/model/quota/scale/gateway_cluster.h
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// A cluster of many gateways with clients of many partners, in virtual time. Each gateway has its account of
-// quotas, and some can become holders of allocators' leases. The sizes of messages are those of the wire
+// A cluster of many gateways with clients of many partners, in virtual time. Each gateway has a quota
+// account, and some gateways can become holders of allocators' leases. Message sizes are those of the wire
 // format.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SCALE_GATEWAY_CLUSTER_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SCALE_GATEWAY_CLUSTER_H_
@@ -30,7 +30,7 @@
   quota::Timings timings;
   double (*cpu_seconds)() = nullptr;  // returns the CPU time of this thread; null: costs are not measured
   double clock_error = 0.001;         // largest clock error as a fraction of the allowed drift
-  // The range of the network delay between sites, one way.
+  // The range of the one-way network delay between sites.
   Moment min_intersite_delay = std::chrono::milliseconds(8),
          max_intersite_delay = std::chrono::milliseconds(15);
 };
@@ -64,14 +64,15 @@
   const std::string& partner(PartnerId id) const { return partners_[id]; }
 
   Clients& clients(std::size_t gateway) { return clients_[gateway]; }
-  // Makes the gateway check again when it is due. Call it after a change of its clients.
+  // Makes the gateway recompute when to act next. Call this function after a change of the gateway's clients.
   void Wake(std::size_t gateway);
-  // Crashes the gateway. Its clients move to the next gateway of its site.
+  // Crashes the gateway. Its clients move to the next gateway of the same site.
   void Crash(std::size_t gateway);
 
-  // Returns the requests since the last call, by partner, in the order of time.
+  // Returns the requests since the last call, by partner, in order of time.
   std::vector<std::vector<ChargedRequest>> TakeRequests();
-  // Returns the machine that is known as the holder of the allocator's lease. Returns nothing if it is down.
+  // Returns the machine that the other machines regard as the holder of the allocator's lease. Returns
+  // nothing if that machine is down.
   std::optional<std::size_t> Holder(std::size_t allocator);
 
   const Costs& gateways() const { return gateway_costs_; }
@@ -81,7 +82,8 @@
  private:
   class Program;
   friend class Program;
-  // Adds the CPU time since `begin` to `sum`, without the time that reading the CPU clock takes.
+  // Adds to `sum` the CPU time since `begin`, multiplied by `times`. Excludes the time of reading the CPU
+  // clock.
   void AddCpuTime(double begin, double* sum, double times = 1) const {
     *sum += times * (CpuSeconds() - begin - clock_read_s_);
   }
@@ -102,7 +104,7 @@
   std::vector<Clients> clients_;                       // by gateway
   std::vector<std::vector<ChargedRequest>> requests_;  // by partner
   Costs gateway_costs_, allocator_costs_;
-  double clock_read_s_ = 0;  // how long it takes to read the CPU clock
+  double clock_read_s_ = 0;  // CPU time of one reading of the CPU clock
   std::uint64_t last_incarnation_ = 0;
 };
 
--- a/model/quota/scale/run.cpp
+++ b/model/quota/scale/run.cpp
@@ -18,7 +18,7 @@
 
 constexpr Moment kStep = milliseconds(100);
 constexpr Moment kShiftInterval = seconds(5);
-constexpr Moment kSettlingTime = seconds(2);  // after a shift; not measured
+constexpr Moment kSettlingTime = seconds(2);  // time after each shift that is not measured
 
 std::string PartnerName(std::size_t number) { return std::string(1, 'p').append(std::to_string(number)); }
 
@@ -57,7 +57,7 @@
   };
 
   MilliUnits rate;
-  ExactTokenBucket exact;  // charged with each admitted request, to find an excess
+  ExactTokenBucket exact;  // charged with each request that the product admits, to find an excess
   ExactTokenBucket ideal;
   StaticDivision divided;
   CentralCounter central;
@@ -65,7 +65,7 @@
   std::map<std::uint32_t, Count> by_gateway;
 };
 
-// One run.
+// Runs one scenario and collects its measurements.
 class Runner {
  public:
   explicit Runner(const RunOptions& options)
@@ -221,8 +221,8 @@
     result_.central_delay_ms /= std::max(result_.requests - result_.central_unreachable, 1.0);
   }
 
-  // Crashes the holder of the first partner's lease. From now on only the partners of its leases are
-  // measured.
+  // Crashes the holder of the first partner's lease. From then on, only the partners whose
+  // allocators' leases it held are measured.
   void CrashHolder() {
     const auto crashed = cluster_.Holder(quota::AllocatorOf(cluster_.partner(0), options_.allocators));
     if (!crashed) return;
@@ -232,7 +232,7 @@
     cluster_.Crash(*crashed);
   }
 
-  // Cuts the last third of the sites off from the others until `until`.
+  // Partitions the network until `until`: the last third of the sites cannot reach the others.
   void PartitionSites(Moment until) {
     Network::Machines others, last;
     for (std::size_t i = 0; i < cluster_.size(); ++i)
--- a/model/quota/scenario.cpp
+++ b/model/quota/scenario.cpp
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Moment kSettledAt = seconds(4);  // new voters do not vote for a lease term
+constexpr Moment kSettledAt = seconds(4);  // new voters cast no vote in their first lease term
 constexpr std::size_t kSites = 3;
 
 bool ReloadsBudgets(std::uint64_t seed) { return seed % 5 < 2; }
@@ -43,8 +43,8 @@
   DrawRevisions();
 }
 
-// Draws a budget without reserved minimums, or with minimums of up to the whole budget. One site then gets at
-// least half of their sum.
+// Draws a budget without reserved minimums, or with reserved minimums that add up to at most the whole
+// budget. In the second case, one site gets at least half of the sum.
 Budget QuotaScenario::DrawBudget() {
   Budget budget;
   budget.rate = rate_;
@@ -99,8 +99,8 @@
   options.count = seed_ % 5 == 1 ? 3 : 8;
   using enum FaultKind;
   options.kinds = {kStall, kCutOneWay, kPartition, kPartition, kLoss, kDelay, kDuplicate, kReorder};
-  // No process may start while others have older budgets (docs/quota.md), so there are no crashes then.
-  // ScheduleEvents hands over no address then, for the same reason.
+  // No process may start while others have older budgets (docs/quota.md). Scenarios that reload budgets
+  // therefore have no crashes, and ScheduleEvents schedules no handovers of addresses in them.
   if (!ReloadsBudgets(seed_))
     options.kinds.insert(options.kinds.end(), {kCrash, kCrashNoDisk, kCrash, kCrash});
   std::vector<Fault> faults = DrawFaults(seed_, options);
@@ -122,7 +122,7 @@
   return faults;
 }
 
-// Schedules changes of a partner's demand to one, some or all gateways.
+// Schedules changes of a partner's demand, which moves to one, some or all gateways.
 void QuotaScenario::ScheduleDemand(Gateways& gateways, const std::string& partner) {
   const Moment longest = milliseconds(Chance(50) ? 3000 : 600);
   for (Moment at{0}; at < kRunLength; at += DrawMoment(milliseconds(100), longest)) {
@@ -136,8 +136,8 @@
   }
 }
 
-// Schedules times of saving. Each lasts about as long as a bucket takes to fill, so that the following window
-// begins with full buckets.
+// Schedules times at which spenders save. Each lasts about as long as a bucket needs to fill, so that the
+// time window that follows begins with full buckets.
 void QuotaScenario::ScheduleSaving(Gateways& gateways) {
   const Moment fill_time = Moment(1'000'000 * (burst_ * 1000 / rate_));
   for (Moment at = kSettledAt; at < kRunLength; at += DrawMoment(milliseconds(100), milliseconds(1200))) {
--- a/model/quota/scenario.h
+++ b/model/quota/scenario.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The scenario of one run of the search for an overspent budget. It is drawn from the run's seed.
+// The scenario of one run of the search for an overspent budget. The run's seed determines the scenario.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SCENARIO_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SCENARIO_H_
 
@@ -25,13 +25,13 @@
   const GatewaysOptions& options() const { return options_; }
   // Returns the one to three revisions of the budgets, oldest first. The second one may have no partners.
   const std::vector<std::shared_ptr<const quota::Budgets>>& revisions() const { return revisions_; }
-  // Returns when all gateways have the last revision; zero if they have it from the start.
+  // Returns the time at which all gateways have the last revision; zero if they have it from the start.
   Moment all_reloaded_at() const { return all_reloaded_at_; }
 
   // Draws the faults of the run.
   std::vector<Fault> Faults() const;
-  // Schedules the events that are not faults: changes of demand, times of saving, reloads of budgets, and
-  // gateways that hand over their address or step down as lease holders.
+  // Schedules the events that are not faults: changes of demand, times at which spenders save, reloads of
+  // budgets, handovers of gateway addresses, and gateways that step down as lease holders.
   void ScheduleEvents(Gateways& gateways);
 
  private:
@@ -52,9 +52,9 @@
   std::mt19937_64 random_;
   GatewaysOptions options_;
   std::vector<std::string> partners_;
-  MilliUnits rate_ = 0, burst_ = 0;  // of each partner; a later revision may change them
+  MilliUnits rate_ = 0, burst_ = 0;  // of each partner's budget; a later revision may differ
   std::vector<std::shared_ptr<const quota::Budgets>> revisions_;
-  std::vector<std::vector<Moment>> reload_times_;  // by revision, without the first, then by gateway
+  std::vector<std::vector<Moment>> reload_times_;  // by revision (except the first), then by gateway
   Moment all_reloaded_at_{0};
 };
 
--- a/model/quota/search.h
+++ b/model/quota/search.h
@@ -13,12 +13,12 @@
 
 namespace load_balancer::model {
 
-// The seed determines the scenario of a run (model/quota/scenario.h). Bursts are small, clients let accounts
-// fill and then spend all that these admit, and demand moves between gateways. Clocks err by up to the
-// allowed drift, grants last up to as long as a lease allows, and some charges are credited. Messages are
-// delayed and duplicated, leases and addresses are handed over, and faults occur. In two of five seeds the
-// budgets are reloaded, gateway by gateway, and no process restarts. In another fifth of the seeds all
-// gateways restart at once.
+// The seed determines the scenario of a run (model/quota/scenario.h). Bursts are small, and demand moves
+// between gateways. Clients let the buckets of accounts fill and then send requests until an account rejects
+// one. Clocks err by up to the allowed drift, grants last at most as long as a lease allows, and some charges
+// are credited. Messages are delayed and duplicated, leases and addresses are handed over, and faults occur.
+// With two fifths of the seeds, the budgets are reloaded, gateway by gateway, and no process restarts. With
+// another fifth of the seeds, all gateways restart at once.
 
 // An overspent budget.
 struct QuotaFinding {
@@ -31,8 +31,8 @@
 // Returns the faults of the seed's scenario.
 std::vector<Fault> DrawQuotaFaults(std::uint64_t seed);
 
-// Runs the seed's scenario for 20 s with the given faults, and checks all windows of all lengths. Returns the
-// first overspent budget, or nothing.
+// Runs the seed's scenario for 20 s with the given faults, and checks all time windows of any length. Returns
+// the first overspent budget, or nothing.
 std::optional<QuotaFinding> RunQuotaScenario(std::uint64_t seed, const std::vector<Fault>& faults);
 
 }  // namespace load_balancer::model
--- a/model/quota/spender.cpp
+++ b/model/quota/spender.cpp
@@ -6,7 +6,7 @@
 namespace load_balancer::model {
 namespace {
 
-constexpr int kMaxChargesPerSeries = 20'000;  // of one cost, in one call of Serve
+constexpr int kMaxChargesPerSeries = 20'000;  // charges of the same cost in one call of Serve
 
 }  // namespace
 
--- a/model/quota/spender.h
+++ b/model/quota/spender.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The worst-case clients of a gateway. They spend all that an account admits as soon as it admits it, or they
-// let the account fill and then spend it at once. Every excess allocation therefore becomes an overspend.
+// The worst-case clients of a gateway. Either they spend tokens as soon as an account's bucket has them, or
+// they let the bucket fill and then spend all tokens at once. Every excess allocation therefore becomes an
+// overspend.
 #ifndef LOAD_BALANCER_MODEL_QUOTA_SPENDER_H_
 #define LOAD_BALANCER_MODEL_QUOTA_SPENDER_H_
 
@@ -19,13 +20,13 @@
 struct SpenderOptions {
   bool enabled = false;
   Span interval = std::chrono::milliseconds(4);  // between two series of charges
-  double request_cost = 0.5;     // units of a request; the rest of an account is spent in eighths of that
-  double probe_cost = 1;         // units of the last request of a series, whose rejection signals demand
+  double request_cost = 0.5;     // units per request; the rest of the bucket is spent in eighths of this cost
+  double probe_cost = 1;         // units of a series' last request; its rejection counts as demand
   double credited_fraction = 0;  // fraction of admitted requests that turn out not to have run
   Span max_proof_delay = std::chrono::milliseconds(1500);  // the longest time from a charge to its credit
 };
 
-// The clients of one gateway's process. All times are readings of its clock.
+// The clients of one gateway's process. All times are readings of that process's clock.
 class Spender {
  public:
   // Called for each charge with its partner, its cost, whether it was admitted, and whether the request ran.
@@ -35,8 +36,8 @@
   Spender(const SpenderOptions& options, std::uint64_t seed, Time now, ChargeCallback on_charge)
       : options_(options), random_(seed), next_(now), on_charge_(std::move(on_charge)) {}
 
-  // Credits the requests that are now proven not to have run. Unless `saving`, spends all that each account
-  // admits for each partner.
+  // Credits the requests that by `now` provably did not run. Unless `saving` is true, sends requests of each
+  // partner until each account rejects them.
   void Serve(Time now, const std::vector<quota::Account*>& accounts, const std::vector<std::string>& partners,
              bool saving);
   Time Next() const { return next_; }
@@ -44,7 +45,7 @@
  private:
   bool Spend(Time now, quota::Account& account, const std::string& partner, double units);
 
-  // A charge of a request that did not run, to be credited at `credit_at`.
+  // The charge of a request that did not run. The charge is credited at `credit_at`.
   struct PendingCredit {
     Time credit_at;
     quota::Account* account;
