--- a/tests/quota/account_test.cpp
+++ b/tests/quota/account_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint64_t kIncarnation = 77;
 
-// A budget of 60 requests per second. A sixth of it is the reserved minimum of one gateway.
+// Returns a budget of 60 requests per second. A sixth of the budget is the reserved minimum of one gateway.
 std::shared_ptr<Budgets> SampleBudgets(std::uint64_t revision = 1, MilliUnits minimum = 20 * kUnit) {
   auto budgets = std::make_shared<Budgets>();
   budgets->revision = revision;
@@ -35,7 +35,7 @@
   static Time At(int ms) { return Time(milliseconds(1'000'000 + ms)); }
 
   ChargeVerdict Charge(int ms) { return account_.Charge(At(ms), "isar", 1).verdict; }
-  // Charges as many requests as fit at once and returns their number.
+  // Charges requests until one is over the budget. Returns the number of requests within the budget.
   int ChargeAll(int ms) {
     int charged = 0;
     while (Charge(ms) == ChargeVerdict::kWithinBudget) ++charged;
@@ -83,7 +83,7 @@
 }
 
 TEST_F(AccountTest, CountsTheLifetimeOfAGrantFromItsRequestAndLendsTheReservedMinimumUntilItsExpiry) {
-  ChargeAll(3000);  // empties the bucket, so that demand exceeds the reserved minimum
+  ChargeAll(3000);  // the bucket is empty then, and demand exceeds the reserved minimum
   const std::uint64_t request_number = RequestGrant(3000);
   ChargeAll(3500);
   const auto acks = OnResponse(3500, GrantOf(request_number, 1, 2 * kUnit));
@@ -91,7 +91,7 @@
   EXPECT_EQ(acks[0].acks.at(0).grant, (GrantId{1, 1}));
   EXPECT_EQ(acks[0].acks.at(0).lent_ms, 1500u);
   EXPECT_EQ(ChargeAll(4500), 2);
-  EXPECT_EQ(ChargeAll(4999), 0);  // the grant of 2 per second has not filled one unit
+  EXPECT_EQ(ChargeAll(4999), 0);  // the grant of 2 per second has not yet added one unit
   // One unit comes from the grant's last half second, and one from the reserved minimum since 5000 ms.
   EXPECT_EQ(ChargeAll(5101), 2);
 }
@@ -100,7 +100,8 @@
   const std::uint64_t request_number = RequestGrant(0);
   ASSERT_EQ(OnResponse(10, GrantOf(request_number, 5, 30 * kUnit)).size(), 1u);
   EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 5, 60 * kUnit)).empty());  // repeated
-  EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 4, 60 * kUnit)).empty());  // older than the one in force
+  EXPECT_TRUE(
+      OnResponse(10, GrantOf(request_number, 4, 60 * kUnit)).empty());  // older than the grant in force
   EXPECT_TRUE(OnResponse(10, GrantOf(request_number + 1, 6, 60 * kUnit)).empty());  // for an unknown request
   AllocationResponse foreign = GrantOf(request_number, 7, 60 * kUnit);
   foreign.incarnation = kIncarnation + 1;
@@ -110,14 +111,14 @@
   EXPECT_TRUE(OnResponse(10, newer).empty());
   EXPECT_EQ(ChargeAll(1010), 30);
   EXPECT_TRUE(OnResponse(2000, GrantOf(request_number, 9, 60 * kUnit)).empty());  // expired
-  // A newer fencing token starts the numbers of grants again.
+  // With a newer fencing token, the numbers of grants start from 1 again.
   EXPECT_EQ(OnResponse(1020, GrantOf(request_number, 1, 60 * kUnit, 2)).size(), 1u);
 }
 
 TEST_F(AccountTest, RequestsAGrantAtOnceWhenDemandShiftsAndNoneWithoutDemand) {
   std::vector<int> requested_at;
   std::uint64_t last = 0;
-  // 50 requests per second for 2 s, then none.
+  // The gateway gets 50 requests per second for 2 s, then none.
   for (int ms = 0; ms < 6000; ms += 10) {
     if (ms < 2000 && ms % 20 == 0) Charge(ms);
     if (account_.Next() > At(ms)) continue;
@@ -133,7 +134,7 @@
   EXPECT_EQ(requested_at[0], 0);
   EXPECT_LE(requested_at.size(), 10u);
   EXPECT_GE(requested_at.back(), 2000);
-  EXPECT_LE(requested_at.back(), 2250);  // reports the end of demand at once
+  EXPECT_LE(requested_at.back(), 2250);  // the account reports the end of demand at once
   EXPECT_EQ(account_.Next(), Time::max());
   // A recall without demand makes the account request again.
   OnResponse(6000, {0, 1, 1, false, {}, {"isar"}, {}});
@@ -142,7 +143,8 @@
 }
 
 TEST_F(AccountTest, RenewsAGrantThatIsSmallerThanTheDemand) {
-  // Grants of a tenth of the demand, for 10 s. Each is renewed well before it expires, but not every 250 ms.
+  // For the first 8 s, the account gets grants of a tenth of its demand, and then no more responses. While it
+  // gets responses, it renews each grant well before the grant expires, but sends no request every 250 ms.
   int answered = 0, unanswered = 0;
   for (int ms = 0; ms < 10'000; ms += 10) {
     if (ms % 50 == 0) Charge(ms);
@@ -154,7 +156,7 @@
     }
   }
   EXPECT_LE(answered, 6000 / 500);
-  EXPECT_GE(unanswered, 6);  // every 250 ms after the first renewal without a response
+  EXPECT_GE(unanswered, 6);  // one request every 250 ms after the first renewal without a response
 }
 
 TEST_F(AccountTest, CreditsOnlyRequestsThatWereCharged) {
@@ -170,7 +172,7 @@
 TEST_F(AccountTest, UsesARaisedReservedMinimumOnceAllGatewaysHaveIt) {
   AccountActions actions;
   account_.UpdateBudgets(At(30'000), SampleBudgets(2, 40 * kUnit), &actions);
-  // The account reports the new revision although it has no grant to request.
+  // The account reports the new revision although it requests no grant.
   ASSERT_EQ(Requests(actions).size(), 1u);
   EXPECT_EQ(Requests(actions)[0].revision, 2u);
   EXPECT_EQ(ChargeAll(60'000), 20);
--- a/tests/quota/bucket_test.cpp
+++ b/tests/quota/bucket_test.cpp
@@ -105,7 +105,8 @@
   EXPECT_EQ(SlowedRate(6000, Timings{}), 5806);  // 6000 * 3000 / 3100, rounded down
 }
 
-// The estimate of steady Poisson traffic is close to its rate, and follows a shift within 200 ms.
+// The estimate for steady Poisson traffic is close to the rate of the traffic, and follows a shift within 200
+// ms.
 TEST(DemandEstimator, IsCloseForSteadyTrafficAndFollowsAShiftWithin200Ms) {
   for (const auto& [before, after] : std::vector<std::pair<int, int>>{{200, 1000}, {1000, 0}, {1000, 300}}) {
     std::mt19937_64 random(7);
--- a/tests/quota/messages_test.cpp
+++ b/tests/quota/messages_test.cpp
@@ -31,7 +31,7 @@
   EXPECT_EQ(ToJson(*decoded_response), response);
 }
 
-// Each of these values makes a valid message invalid when it is put at the given place.
+// A valid message becomes invalid if the given value is written to the given JSON pointer.
 TEST(QuotaMessages, AreRejectedIfMalformed) {
   const std::vector<std::pair<const char*, json>> requests{{"/l", -1},
                                                            {"/r", 1.5},
--- a/tests/quota/scale_test.cpp
+++ b/tests/quota/scale_test.cpp
@@ -18,8 +18,8 @@
   return options;
 }
 
-// Each of many small partners has sparse traffic at a few gateways. The noise of the estimated demand must
-// not leave budget unspent, and the gateways must not send a message per partner.
+// Each of many small partners has sparse traffic at a few gateways. Noise in the estimated demand must
+// not cause parts of the budgets to stay unspent, and the gateways must not send one message per partner.
 TEST(QuotaScale, SpendsTheBudgetsOfSmallPartnersAndBatchesTheirEntries) {
   RunOptions options = Options();
   options.partners = 300;
--- a/tests/quota/search.cpp
+++ b/tests/quota/search.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Runs the search for an overspent budget with the seeds FROM to FROM + COUNT - 1. If a seed overspends,
-// prints the first one with the faults reduced to those that it needs, and exits with 1. Otherwise prints
-// that there is none and exits with 0.
+// prints the first such seed with the smallest set of faults found that still causes the overspend, and exits
+// with 1. Otherwise prints that no seed overspends, and exits with 0.
 #include "model/quota/search.h"
 
 #include <cstdio>
--- a/tests/quota/use_test.cpp
+++ b/tests/quota/use_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Checks in the model how much of a budget is spent when there is demand for it.
+// Checks in the model how much of a budget is spent while demand exceeds the budget.
 #include <gtest/gtest.h>
 
 #include "model/quota/gateways.h"
@@ -13,9 +13,10 @@
 using std::chrono::seconds;
 
 constexpr double kRequestsPerSecond = 300;
-constexpr Moment kWarmup = seconds(12);  // new voters do not vote for a lease term
+constexpr Moment kWarmup = seconds(12);  // new voters cast no vote in their first lease term
 
-// Returns a budget of which the fraction `minimums` is reserved, in equal parts for the sites.
+// Returns a budget whose reserved minimums are equal for all sites and add up to the fraction `minimums` of
+// the rate.
 std::shared_ptr<quota::Budgets> SampleBudgets(double minimums) {
   auto budgets = std::make_shared<quota::Budgets>();
   budgets->revision = 1;
@@ -53,7 +54,8 @@
          std::chrono::duration<double>(span).count();
 }
 
-// All demand moves from one gateway to another. The reserved minimums are none, some or most of the budget.
+// All demand moves from one gateway to another. The reserved minimums add up to none, some or most of the
+// budget.
 TEST(QuotaUse, Spends95PercentFrom2SecondsAfterAShift) {
   for (const double minimums : {0.0, 0.4, 0.9})
     for (std::uint64_t seed = 1; seed <= 3; ++seed) {
@@ -78,8 +80,8 @@
   EXPECT_NEAR(SpentFraction(gateways, seconds(4)), 0.6 * 3000 / 3100, 0.02);
 }
 
-// The holder of the lease crashes and does not restart. The spent fraction of the next minute may be at most
-// 5 percentage points below that of the time before.
+// The holder of the lease crashes and does not restart. In the next minute, the spent fraction of the
+// budget may be at most 5 percentage points lower than before the crash.
 TEST(QuotaUse, LosesLessThan5PercentOfAMinuteWhenTheAllocatorCrashes) {
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     Gateways gateways(Options(seed), SampleBudgets(0));
