--- a/model/quota/scenario.cpp
+++ b/model/quota/scenario.cpp
@@ -12,7 +12,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Moment kSettledAt = seconds(4);  // new voters cast no vote in their first lease term
+constexpr Moment kSettledAt = seconds(4);  // after the first lease term, in which new voters cast no vote
 constexpr std::size_t kSites = 3;
 
 bool ReloadsBudgets(std::uint64_t seed) { return seed % 5 < 2; }
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -80,7 +80,7 @@
   Time GrantsExpireAt(Time now) const;
 
   /// Returns the demand of each partner's gateways, for the next holder or process (see demand_ledger.h). The
-  /// ledger helps to divide the first grants. Whether the budgets are kept does not depend on it.
+  /// ledger helps to divide the first grants. No budget is exceeded if the ledger is wrong.
   nlohmann::json Ledger(Time now) const;
   /// Loads a complete ledger. If the ledger is malformed, fails with kBadLedger and loads nothing. Skips
   /// gateways and partners that are not configured.
--- a/src/quota/commitments.cpp
+++ b/src/quota/commitments.cpp
@@ -112,7 +112,7 @@
     const Allocation minimum = minimums.Of(gateway);
     Time begin = first;
     Time change = first;
-    Allocation difference;  // the gateway's allocation less its reserved minimum; valid until `change`
+    Allocation difference;  // the gateway's allocation minus its reserved minimum; valid until `change`
     for (Allocation& total : totals) {
       if (begin >= change) {
         difference = InForce(commitment, begin, minimum) - minimum;
--- a/src/quota/demand_estimator.h
+++ b/src/quota/demand_estimator.h
@@ -58,12 +58,13 @@
     void Add(MilliUnits cost) { Bin(current_bin_) += cost; }
     MilliUnits Sum(int bins) const;
     MilliUnits LongSum() const { return Sum(kLongWindow); }
-    /// Returns whether the rates of the short and the long window differ significantly.
+    /// Returns whether the rate in the short window differs significantly from that in the rest of the long
+    /// one.
     bool HasShifted(Time now, double largest_cost) const;
     double Rate(Time now) const;
-    /// Drops the charges of bins that lie more than `bins` bins before the current one.
+    /// Discards the charges of bins that lie more than `bins` bins before the current bin.
     void KeepLast(int bins) { first_bin_ = std::max(first_bin_, current_bin_ - bins); }
-    /// Drops all charges and puts `sum` into the current bin.
+    /// Discards all charges and puts `sum` into the current bin.
     void Restart(MilliUnits sum);
 
    private:
@@ -87,7 +88,7 @@
   void Advance(Time now);
 
   Scale fine_{kBinWidth, kBinWidth};
-  // The shortest window is half a bin, so that a single charge counts as the traffic of 200 ms.
+  // Windows are at least half a bin long, so that a single charge counts as the traffic of 200 ms.
   Scale coarse_{kCoarseBinWidth, kCoarseBinWidth / 2};
   Time last_charge_;
   // The largest costs of the current and of the previous period. A period is as long as the long window of
--- a/src/quota/reserved_minimums.h
+++ b/src/quota/reserved_minimums.h
@@ -35,9 +35,10 @@
  private:
   const GatewayRegistry* gateways_;
   const std::vector<bool>* has_current_;
-  std::vector<Allocation>
-      current_;  // by site: the reserved minimum of each of its gateways in the current budgets
-  std::vector<Allocation> largest_;  // the same, but the largest of all budgets; empty if equal to `current_`
+  // The reserved minimum of each gateway of a site, by site, in the current budgets.
+  std::vector<Allocation> current_;
+  // The largest such minimum in all budgets, by site. Empty if it equals `current_`.
+  std::vector<Allocation> largest_;
   Allocation total_;
 };
 
--- a/src/quota/section.h
+++ b/src/quota/section.h
@@ -22,8 +22,8 @@
 struct QuotaKeyNames {
   std::string allocators = kAllocatorsKey.key;
   std::string grant_lifetime = kGrantLifetimeKey.key;
-  std::map<std::string, std::string>
-      reserved_minimums;  ///< The name of the key `reserved_minimums`, by partner.
+  /// The name of the key `reserved_minimums`, by partner.
+  std::map<std::string, std::string> reserved_minimums;
 };
 
 /// The section's values. docs/configuration.md lists keys, units and ranges.
--- a/tests/quota/account_test.cpp
+++ b/tests/quota/account_test.cpp
@@ -83,7 +83,7 @@
 }
 
 TEST_F(AccountTest, CountsTheLifetimeOfAGrantFromItsRequestAndLendsTheReservedMinimumUntilItsExpiry) {
-  ChargeAll(3000);  // the bucket is empty then, and demand exceeds the reserved minimum
+  ChargeAll(3000);  // afterwards the bucket is empty, and demand exceeds the reserved minimum
   const std::uint64_t request_number = RequestGrant(3000);
   ChargeAll(3500);
   const auto acks = OnResponse(3500, GrantOf(request_number, 1, 2 * kUnit));
@@ -100,8 +100,8 @@
   const std::uint64_t request_number = RequestGrant(0);
   ASSERT_EQ(OnResponse(10, GrantOf(request_number, 5, 30 * kUnit)).size(), 1u);
   EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 5, 60 * kUnit)).empty());  // repeated
-  EXPECT_TRUE(
-      OnResponse(10, GrantOf(request_number, 4, 60 * kUnit)).empty());  // older than the grant in force
+  // Older than the grant in force.
+  EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 4, 60 * kUnit)).empty());
   EXPECT_TRUE(OnResponse(10, GrantOf(request_number + 1, 6, 60 * kUnit)).empty());  // for an unknown request
   AllocationResponse foreign = GrantOf(request_number, 7, 60 * kUnit);
   foreign.incarnation = kIncarnation + 1;
@@ -136,7 +136,7 @@
   EXPECT_GE(requested_at.back(), 2000);
   EXPECT_LE(requested_at.back(), 2250);  // the account reports the end of demand at once
   EXPECT_EQ(account_.Next(), Time::max());
-  // A recall without demand makes the account request again.
+  // A recall makes the account send a request even if there is no demand.
   OnResponse(6000, {0, 1, 1, false, {}, {"isar"}, {}});
   EXPECT_EQ(Tick(6000).size(), 1u);
   EXPECT_GT(last, 0u);
@@ -179,7 +179,8 @@
   AllocationResponse agreed{0, 2, 1, true, {}, {}, {}};
   OnResponse(60'000, agreed);
   EXPECT_EQ(ChargeAll(120'000), 40);
-  // A lower minimum applies at once. Here an allocator reports it before this gateway has read the file.
+  // A lower minimum applies at once. Here an allocator reports the lower minimum before this gateway has
+  // read the file.
   OnResponse(120'000, {0, 3, 1, false, {}, {}, {{"isar", {kUnit, 2 * kUnit}}}});
   EXPECT_EQ(ChargeAll(180'000), 2);
 }
--- a/tests/quota/bucket_test.cpp
+++ b/tests/quota/bucket_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(bucket.TimeUntilAvailable(At(333'333'334), 3 * kUnit), std::nullopt);  // more than the depth
   EXPECT_TRUE(bucket.Charge(At(10'000'000'000), 2 * kUnit));
   EXPECT_FALSE(bucket.Charge(At(10'000'000'000), 1));
-  EXPECT_FALSE(bucket.Charge(At(0), 1));  // an earlier time adds nothing
+  EXPECT_FALSE(bucket.Charge(At(0), 1));  // a time before the last update adds no tokens
 }
 
 TEST(Bucket, LosesTokensThatExceedANewDepth) {
--- a/tests/quota/use_test.cpp
+++ b/tests/quota/use_test.cpp
@@ -13,7 +13,7 @@
 using std::chrono::seconds;
 
 constexpr double kRequestsPerSecond = 300;
-constexpr Moment kWarmup = seconds(12);  // new voters cast no vote in their first lease term
+constexpr Moment kWarmup = seconds(12);  // includes the first lease term, in which new voters cast no vote
 
 // Returns a budget whose reserved minimums are equal for all sites and add up to the fraction `minimums` of
 // the rate.
@@ -32,8 +32,8 @@
 GatewaysOptions Options(std::uint64_t seed) {
   GatewaysOptions options;
   options.seed = seed;
-  // Clocks are as exact as real ones. The allowed drift of 100 ms in 3 s leaves a thirtieth of the budget
-  // unused.
+  // Clocks are as exact as those of real machines. The allowed drift of 100 ms in 3 s leaves a thirtieth of
+  // the budget unused.
   options.clock_error = 0.001;
   return options;
 }
