--- a/tests/quota/bucket_test.cpp
+++ b/tests/quota/bucket_test.cpp
@@ -26,7 +26,7 @@
   EXPECT_EQ(bucket.TimeUntilAvailable(At(333'333'334), 3 * kUnit), std::nullopt);  // more than the depth
   EXPECT_TRUE(bucket.Charge(At(10'000'000'000), 2 * kUnit));
   EXPECT_FALSE(bucket.Charge(At(10'000'000'000), 1));
-  EXPECT_FALSE(bucket.Charge(At(0), 1));  // an earlier time adds nothing
+  EXPECT_FALSE(bucket.Charge(At(0), 1));  // a time before the last update adds no tokens
 }
 
 TEST(Bucket, LosesTokensThatExceedANewDepth) {
@@ -105,7 +105,8 @@
   EXPECT_EQ(SlowedRate(6000, Timings{}), 5806);  // 6000 * 3000 / 3100, rounded down
 }
 
-// The estimate of steady Poisson traffic is close to its rate, and follows a shift within 200 ms.
+// The estimate for steady Poisson traffic is close to the rate of the traffic, and follows a shift within 200
+// ms.
 TEST(DemandEstimator, IsCloseForSteadyTrafficAndFollowsAShiftWithin200Ms) {
   for (const auto& [before, after] : std::vector<std::pair<int, int>>{{200, 1000}, {1000, 0}, {1000, 300}}) {
     std::mt19937_64 random(7);
