--- a/model/overflow/federation.h
+++ b/model/overflow/federation.h
@@ -23,15 +23,16 @@
 
 namespace load_balancer::model {
 
-// Strategy says how a request is forwarded that its own site has rejected.
+// Strategy selects how the model forwards a request that its own site has rejected.
 enum class Strategy {
   kOff,
   kRandom,     // to a random gateway of another site, without estimates
   kEstimates,  // by the real OverflowRouter
-  // As kOracle, but by the state of the sites when the request is sent, and with the usual number of
-  // attempts.
+  // The same as kOracle, except that the site is chosen by the state of the sites when the request is sent,
+  // and that the number of attempts is the usual one.
   kInformed,
-  // If it passes the admission threshold, to the site with the most free cores when the request arrives.
+  // A request that passes the admission threshold goes to the site with the most free cores at the moment
+  // when the request arrives there.
   kOracle,
 };
 
@@ -42,10 +43,11 @@
   Strategy strategy = Strategy::kOff;
   std::uint64_t seed = 1;
   overflow::Options overflow_options;
-  std::chrono::milliseconds estimate_delay{0};  // of estimates between sites, on top of the network's delay
+  std::chrono::milliseconds estimate_delay{
+      0};  // delay of estimates between sites, on top of the network's delay
 };
 
-// OverflowFederation runs the sites and counts what becomes of the requests.
+// OverflowFederation runs the sites and counts the outcomes of the requests.
 class OverflowFederation {
  public:
   explicit OverflowFederation(OverflowFederationOptions options);
--- a/model/overflow/gateway.cpp
+++ b/model/overflow/gateway.cpp
@@ -28,8 +28,8 @@
 
 constexpr std::size_t kRequestBytes = 600, kStateBytes = 120;
 
-// Returns the seed of one of a gateway's random generators, which `part` numbers. It depends only on the
-// arguments, so that each run of a seed has the same clients.
+// Returns the seed of one of a gateway's random generators; `part` is the number of the generator. The seed
+// depends only on the arguments, so that all runs with the same `seed` have the same clients.
 std::uint64_t SeedOf(std::uint64_t seed, std::size_t site, std::size_t gateway, int part) {
   std::seed_seq sequence{static_cast<std::size_t>(seed), site, gateway, static_cast<std::size_t>(part)};
   std::uint64_t out[1];
@@ -86,7 +86,7 @@
 void OverflowGateway::Arrive() {
   const double load = federation_.load(site_);
   if (load <= 0) {
-    next_arrival_ = next_report_;  // checks again then, as the load may have been set
+    next_arrival_ = next_report_;  // the load may have been changed by then
     return;
   }
   const OverflowFederationOptions& options = federation_.options();
--- a/model/overflow/gateway.h
+++ b/model/overflow/gateway.h
@@ -44,7 +44,7 @@
 
   // Handles the arrival of the next request of a client.
   void Arrive();
-  // Handles a request that the own site has rejected, as the strategy says.
+  // Handles a request that the gateway's own site has rejected, according to the strategy.
   void HandleRejected(const ModelRequest& request);
   // Sends the request to a random site that it has not been sent to, or gives it up. For Strategy::kRandom.
   void ForwardRandomly(Pending pending);
--- a/model/overflow/servers.h
+++ b/model/overflow/servers.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A site's servers as one pool of cores with a queue for the site's own requests. Forwarded requests have a
-// lower priority: one is admitted only if it can start at once, and all of them only up to a fraction of the
-// capacity that own requests leave free. A running request is not interrupted, so a forwarded one can still
-// delay an own one. The model exists to show this effect.
+// lower priority. A forwarded request is admitted only if it can start at once, and forwarded requests
+// together may use only a fraction of the capacity that own requests leave free. A running request is not
+// interrupted, so a forwarded request can still delay an own one. The model exists to show this effect.
 #ifndef LOAD_BALANCER_MODEL_OVERFLOW_SERVERS_H_
 #define LOAD_BALANCER_MODEL_OVERFLOW_SERVERS_H_
 
@@ -42,7 +42,7 @@
   // Sets the number of cores from now on. Requests that run on removed cores are finished.
   void Resize(int cores) { cores_ = cores; }
   double capacity() const { return 1000.0 * cores_; }  // ms of work per second
-  Moment Wait() const;                                 // of an own request that arrives now
+  Moment Wait() const;                                 // wait of an own request that arrives now
 
  private:
   void Start(double work, bool is_own, Done done);
--- a/model/overflow/traffic.h
+++ b/model/overflow/traffic.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The requests that clients send to the gateways of the model, and the counts of what becomes of them.
+// The requests that clients send to the gateways of the model, and the counts of their outcomes.
 #ifndef LOAD_BALANCER_MODEL_OVERFLOW_TRAFFIC_H_
 #define LOAD_BALANCER_MODEL_OVERFLOW_TRAFFIC_H_
 
@@ -34,7 +34,7 @@
 // ModelRequest is one request of a client.
 struct ModelRequest {
   std::uint64_t id = 0;
-  std::size_t site = 0;  // at which it arrived
+  std::size_t site = 0;  // the site at which it arrived
   const RequestClass* request_class = nullptr;
   double work_ms = 0;  // 50 % to 150 % of the work of its class
   std::uint64_t key = 0;
--- a/src/overflow/hysteresis.h
+++ b/src/overflow/hysteresis.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Detects whether a site is over capacity, with hysteresis. A site is over capacity once its spare capacity
-// has been zero without interruption for a set time, and no longer once there has been spare capacity without
-// interruption for another set time.
+// Detects whether a site is over capacity, with hysteresis. The site becomes over capacity when its spare
+// capacity has been zero without interruption for a set time. It stops being over capacity when its spare
+// capacity has been above zero without interruption for another set time.
 #ifndef LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
 #define LOAD_BALANCER_OVERFLOW_HYSTERESIS_H_
 
@@ -15,8 +15,8 @@
 // Hysteresis holds the state of one site: over capacity or not, and since when.
 class Hysteresis {
  public:
-  // `zero_time` is how long the spare capacity must be zero before the site counts as over capacity, and
-  // `spare_time` how long it must be above zero before the site no longer does.
+  // The site becomes over capacity after its spare capacity has been zero for `zero_time`, and stops being
+  // over capacity after its spare capacity has been above zero for `spare_time`.
   Hysteresis(Span zero_time, Span spare_time) : zero_time_(zero_time), spare_time_(spare_time) {}
 
   // Records whether the spare capacity is zero at `now`. The first call sets the state without a delay.
--- a/src/overflow/overflow_router.cpp
+++ b/src/overflow/overflow_router.cpp
@@ -161,8 +161,8 @@
   for (const auto& [site, bucket] : buckets_) {
     const auto site_reason = CheckSite(open, site);
     if (!site_reason) candidates.push_back(site);
-    // Reports the reason of the site that came closest: no capacity ranks above too late, and too late above
-    // no gateway.
+    // If no site can take the request, reports kNoCapacity in preference to kTooLate, and kTooLate in
+    // preference to kNoGateway.
     if (site_reason == RejectReason::kNoCapacity ||
         (site_reason == RejectReason::kTooLate && reason != RejectReason::kNoCapacity))
       reason = *site_reason;
--- a/src/overflow/overflow_router.h
+++ b/src/overflow/overflow_router.h
@@ -39,7 +39,7 @@
 // ForwardOutcome says how a ForwardTo ended.
 enum class ForwardOutcome {
   kOk,         // the other gateway's final response went to the client, whatever its status
-  kRejected,   // the other gateway states that it rejected the request and ran nothing of it
+  kRejected,   // the other gateway states that it rejected the request and ran no part of it
   kNotRun,     // the request was never sent, as there was no connection
   kMayHaveRun  // it was sent, but timed out, was reset, or got a response that does not say whether it ran
 };
@@ -52,7 +52,8 @@
   Span took{0};
   std::optional<EstimateReceived> estimate;  // from a header of the response
 };
-// ClientGone reports that the client no longer waits for the request. No action about it follows.
+// ClientGone reports that the client no longer waits for the request. The router returns no ForwardTo or
+// GiveUp for this request afterwards.
 struct ClientGone {
   RequestId request = 0;
 };
@@ -72,8 +73,8 @@
                            NewSettings>;
 
 // ---- actions -------------------------------------------------------------------------------------------
-// ForwardTo has the caller forward the request to the gateway, marked as forwarded, and end it after
-// `timeout`.
+// ForwardTo tells the caller to forward the request to the gateway, marked as forwarded, and to end the
+// attempt after `timeout`.
 struct ForwardTo {
   RequestId request = 0;
   RemoteGateway destination;
@@ -86,13 +87,13 @@
   Span retry_after{0};        // 0: no advice
   RejectReason reason = RejectReason::kNoCapacity;
 };
-// Log has the caller log a decision that affects which site serves requests. If `kind` is set, it is a
-// failure, and `text` says what it concerns.
+// Log tells the caller to log a decision that affects which site serves requests. If `kind` is set, the
+// decision is a failure, and `text` names what the failure concerns.
 struct Log {
   const FailureKind* kind = nullptr;
   std::string text;
 };
-// SetTimer has the caller send a Tick at the given time.
+// SetTimer tells the caller to send a Tick at the given time.
 struct SetTimer {
   Time at{};
 };
@@ -157,8 +158,8 @@
   // Returns whether the site's gateways may forward requests now: always, unless the site is known to have
   // settled spare capacity.
   bool MayForward(const std::string& site) const;
-  // Returns whether the request passes the admission threshold. Sets the fraction of the buckets that the
-  // request must leave to others.
+  // Returns whether the request passes the admission threshold. Sets `open.reserved_fraction`, the fraction
+  // of each bucket's depth that is reserved for requests of higher weight.
   bool PassesThreshold(Open& open);
   void LogFailure(const Failure& failure);
   // Logs when this site begins or ceases to forward requests.
--- a/src/overflow/remote_gateways.h
+++ b/src/overflow/remote_gateways.h
@@ -2,7 +2,7 @@
 //
 // Tracks the gateways of the other sites: which are present, and which are ejected for a while because they
 // reject requests or fail. Ejection follows the failure percentage of gRFC A50, with its multiplied ejection
-// time. Unlike there, all gateways may be ejected at once: no request depends on being forwarded.
+// time. Unlike in A50, all gateways may be ejected at once: no request depends on being forwarded.
 #ifndef LOAD_BALANCER_OVERFLOW_REMOTE_GATEWAYS_H_
 #define LOAD_BALANCER_OVERFLOW_REMOTE_GATEWAYS_H_
 
@@ -26,11 +26,11 @@
 // RemoteGateways holds the health of each gateway of the other sites.
 class RemoteGateways {
  public:
-  // The constants have the names of A50.
+  // The constants are named as in A50.
   static constexpr std::chrono::milliseconds kInterval{2000};
   static constexpr std::chrono::milliseconds kBaseEjectionTime{2000}, kMaxEjectionTime{30000};
   static constexpr int kRequestVolume = 5;       // minimum number of results in an interval for an ejection
-  static constexpr int kFailurePercentage = 50;  // minimum percentage of them that were rejected or failed
+  static constexpr int kFailurePercentage = 50;  // minimum percentage of results that were rejected or failed
 
   // `random` varies each ejection time by up to 25 % in both directions, so that the gateways of a site do
   // not all return to the ejected one at the same moment.
--- a/src/overflow/rules.h
+++ b/src/overflow/rules.h
@@ -18,7 +18,7 @@
 struct RejectedRequest {
   RequestId request = 0;
   Idempotency idempotency = Idempotency::kNotIdempotent;
-  Span latency_objective_left{0}, deadline_left{0};  // time left until each of them
+  Span latency_objective_left{0}, deadline_left{0};  // time left until the objective and the deadline
   double work_ms = 0;          // the hinted work, or the module's mean where there is no hint
   double priority_weight = 0;  // of a response within the latency objective
   std::uint64_t key = 0;       // 0: the request has no key
@@ -32,7 +32,7 @@
 enum class RejectReason {
   kMayHaveRun,         // the request could run twice
   kIdempotencyKey,     // servers of another site do not recognise repeats that ran at this site
-  kAlreadyForwarded,   // another site forwarded it to this site; there is only one hop
+  kAlreadyForwarded,   // another site forwarded it to this site; a request is forwarded only once
   kOverBudget,         // requests of a tenant over its budget are never forwarded
   kUnknownWork,        // no capacity can be charged for a request of unknown work
   kBelowThreshold,     // its priority weight per work is below the threshold
@@ -51,10 +51,11 @@
 
 // Maximum number of times that an idempotent request is sent to other sites.
 inline constexpr int kMaxAttempts = 2;
-// Returns that number for a request. Any request that is not idempotent is sent once, whatever the result.
+// Returns the maximum number of times that a request is sent to other sites. A request that is not idempotent
+// is sent once, whatever the result.
 int MaxAttempts(Idempotency idempotency);
 
-// Returns the expected time until the response is back: the propagation time in both directions, the wait at
+// Returns the expected time until the response arrives: the propagation time in both directions, the wait at
 // the other site, and the work itself.
 Span EstimateResponseTime(const Options& options, std::uint64_t wait_ms, double work_ms);
 
--- a/src/overflow/section.cpp
+++ b/src/overflow/section.cpp
@@ -22,7 +22,7 @@
   section.Real("least_worth_per_work", 0, 1e9, &options.min_weight_per_work);
   section.Time("slack_ms", 1, 10000, &options.slack);
   section.Time("key_ttl_ms", 0, 600000, &options.key_ttl);
-  // If one estimate is lost, the one before it must not be stale yet.
+  // The previous estimate must not be stale yet if one estimate is lost.
   if (overflow.on && options.staleness < options.estimate_interval * 2)
     faults->push_back("spill.staleness_ms is less than 2 times spill.estimate_interval_ms");
   return overflow;
--- a/src/proxy/backend/connection.cpp
+++ b/src/proxy/backend/connection.cpp
@@ -21,8 +21,8 @@
 
 Steady::duration ToSteady(Duration d) { return std::chrono::ceil<Steady::duration>(d); }
 
-// Returns the outcome of a response. Any intermediary may send a 503 or 504; only with the header
-// Srv-Declined does it prove that the request did not run.
+// Returns the outcome of a response. Any intermediary may send a 503 or 504. Such a response proves that the
+// request did not run only if it has the header Srv-Declined.
 Outcome OutcomeOf(const ResponseReader::Head& response, bool from_proxy) {
   const unsigned status = response.result_int();
   if (status == 200) return Outcome::kOk;
@@ -176,7 +176,8 @@
   };
 }
 
-// Waits a while for a response that is already being read, as it may contain the reason.
+// Waits a while for a response that is already being read, because the response may state why the server
+// stopped reading the request.
 void Backends::Connection::OnWriteFailed() {
   if (!awaiting_head_) return FinishWithoutResponse(Outcome::kReset);
   phase_ = Phase::kReading;
--- a/src/proxy/backend/connection.h
+++ b/src/proxy/backend/connection.h
@@ -26,7 +26,7 @@
   ServerId server() const { return server_; }
   std::uint64_t generation() const { return generation_; }
   Steady::time_point idle_since() const { return idle_since_; }
-  // Returns whether an attempt is in progress of which no byte has been sent.
+  // Returns whether an attempt is in progress and none of its bytes has been sent.
   bool IsConnecting() const { return HasAttempt() && phase_ == Phase::kConnecting; }
 
   // Returns whether this attempt is in progress and its last byte has not been written.
--- a/src/proxy/backend/request_writer.h
+++ b/src/proxy/backend/request_writer.h
@@ -29,15 +29,16 @@
     serializer_.emplace(*message_);
   }
 
-  // Writes `bytes`, the next bytes of the body, and before them the head if that has not been written yet.
-  // `bytes` must stay valid until `done(error_code)`, which is never called within this call. The socket must
-  // be non-blocking.
+  // Writes `bytes`, the next bytes of the body. Writes the head first if it has not been written yet. `bytes`
+  // must stay valid until `done(error_code)`, which is never called within this call. The socket must be
+  // non-blocking.
   template <typename Done>
   void Write(boost::asio::ip::tcp::socket& socket, const std::string& bytes, bool last, Done done) {
     message_->body() = {bytes.empty() ? nullptr : const_cast<char*>(bytes.data()), bytes.size(), !last};
     ContinueWriting(socket, std::move(done));
   }
-  // Does the same as Write, but stores the bytes until they are written.
+  // Writes the next bytes of the body as Write does, but stores them until they are written, so that the
+  // caller need not keep them.
   template <typename Done>
   void WritePiece(boost::asio::ip::tcp::socket& socket, std::string bytes, bool last, Done done) {
     piece_ = std::move(bytes);
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -17,7 +17,7 @@
 using Tcp = asio::ip::tcp;
 
 constexpr double kIdleShare =
-    0.8;  // of the time after which servers close idle connections; the proxy must close first
+    0.8;  // fraction of the time after which servers close idle connections; the proxy must close first
 
 // A response does not say to which request it belongs. A duplicate that arrives some ms late would be taken
 // for the response to the next request on its connection. After unexpected bytes, connections therefore stay
@@ -125,7 +125,7 @@
   if (backend.address.port() == 0) {
     connection->FinishSoon(Outcome::kConnectFailed);  // the address of the server was never set
   } else if (open_ > limits_.max_connections() && !CloseOldestIdle()) {
-    // The limit of the proxy says nothing about the server, so this is not a failure of the server.
+    // The attempt ends because of the proxy's own connection limit, so this is not a failure of the server.
     connection->FinishSoon(Outcome::kNotSent);
   } else {
     ++opened_;
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -25,7 +25,8 @@
 
 namespace load_balancer::proxy {
 
-// ResponseHead is the part of a streamed response that is passed on first. `body` provides the rest.
+// ResponseHead is the part of a streamed response that is passed on before the body. `body` provides the
+// body.
 struct ResponseHead {
   std::string content_type;             // empty if the response has none
   std::optional<std::uint64_t> length;  // the Content-Length, if the response has one
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -15,8 +15,9 @@
 constexpr std::size_t kMaxChunkHeaderBytes = 4 * 1024;
 constexpr std::uint64_t kMaxBodyBytes = 32 * 1024 * 1024;  // per request
 constexpr std::chrono::seconds kIdleTimeout{90};           // between two requests
-// Time for a complete head. It starts with the connection for the first request and with the first byte for
-// later ones. A client that sends no valid request must get an error or a close within 3 s of connecting.
+// Time for a complete head. For the first request of a connection, the time starts when the client connects;
+// for later requests, it starts with their first byte. A client that sends no valid request must get an error
+// or a close within 3 s of connecting.
 constexpr std::chrono::milliseconds kHeadTimeout{2500};
 // The body must not pause for longer than kMaxBodyPause, and must be complete no later than kMaxBodyPause
 // after the time that it takes at kMinBodyBytesPerSecond.
--- a/src/proxy/client/response_writer.h
+++ b/src/proxy/client/response_writer.h
@@ -25,8 +25,8 @@
   Response& head() { return response_; }
   void Begin() { serializer_.emplace(response_); }
 
-  // Writes `piece`, the next bytes of the body, and before it the head if that has not been written yet.
-  // `last` says that the body ends with `piece`. Calls `done(error_code)` when all of it is written.
+  // Writes `piece`, the next bytes of the body. Writes the head first if it has not been written yet. `last`
+  // says whether the body ends with `piece`. Calls `done(error_code)` when all bytes have been written.
   template <typename Done>
   void Write(boost::beast::tcp_stream& stream, std::string piece, bool last, Done done) {
     piece_ = std::move(piece);
--- a/src/proxy/client/session.cpp
+++ b/src/proxy/client/session.cpp
@@ -59,8 +59,8 @@
   if (owner_) owner_->Remove(this);
 }
 
-// Bytes from an unfinished read, or unread bytes in the socket, are known only after the read has completed.
-// The shutdown therefore waits for the read.
+// Whether an unfinished read has received bytes, or the socket has unread bytes, is known only after the read
+// has completed. The shutdown therefore waits for the read.
 void Clients::Session::End() {
   if (!IsReading() || end_requested_) return;
   end_requested_ = true;
@@ -110,8 +110,9 @@
       buffer, [self = shared_from_this()](const Error& failed, std::size_t n) { self->OnRead(failed, n); });
 }
 
-// Reads while no more input is needed, as far as the buffer has space. The close of the connection is thereby
-// noticed after all bytes that the client has sent before, for this request or later ones.
+// Continues to read while no input is needed, until the buffer is full, in order to notice when the client
+// closes the connection. The close is seen only after all bytes that the client sent before it, for this
+// request or later ones, have been read.
 void Clients::Session::ReadAhead() {
   if (read_in_progress_ || client_closed_) return;
   const auto buffer =
@@ -153,8 +154,8 @@
   });
 }
 
-// Finishes the write of a complete response, but aborts a pending request or a streamed response, as nobody
-// would read it.
+// Finishes the write of a complete response. Aborts a pending request or a streamed response, because the
+// client would not read the response.
 void Clients::Session::OnClientClosed() {
   client_closed_ = true;
   if (state_ != State::kWriting || response_source_) AbortRequest();
@@ -258,7 +259,7 @@
   if (IsPending() && !on_piece_) ReadAhead();
 }
 
-// Returns when the response is due. During a stop that is limited by the deadline of the stop.
+// Returns when the response is due. During a stop, this is no later than the deadline of the stop allows.
 Steady::time_point Clients::Session::ResponseDeadline() const {
   const auto due = Steady::now() + std::chrono::duration_cast<Steady::duration>(client_timeout_);
   return owner_->stopping_ ? std::min(due, owner_->stop_deadline_ - kResponseReserve) : due;
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -25,9 +25,10 @@
     1000};  // the last part of a stop, in which no new requests are accepted
 constexpr std::chrono::milliseconds kFirstByteTimeout{500};  // from connecting to the first byte of a request
 constexpr std::chrono::milliseconds kStallBeforeEviction{
-    250};  // without a byte within a request, after which its connection may be evicted
-constexpr double kCrowdedShare = 0.75;  // of the connection limit, above which connections are not kept alive
-constexpr int kMaxAcceptsPerTurn = 32;  // so that other handlers of the event loop get their turn
+    250};  // time without a byte within a request before its connection may be evicted
+constexpr double kCrowdedShare =
+    0.75;  // fraction of the connection limit above which connections are not kept alive
+constexpr int kMaxAcceptsPerTurn = 32;            // then other handlers of the event loop may run
 constexpr std::size_t kMaxEndingConnections = 8;  // ending connections allowed above the limit
 constexpr std::chrono::milliseconds kCloseNoticeTime{
     200};  // for clients to notice the close of their connections during a stop
@@ -162,9 +163,10 @@
   return longest;
 }
 
-// Returns the connection to evict for a new one, or null. Preferred are idle connections that have had a
-// response, then those stalled within a request, then those without a request yet, as the first request of a
-// slow client may be about to arrive. Within each group, the one that has been silent for longest is chosen.
+// Returns the connection to evict for a new one, or null. Prefers idle connections that have had a response,
+// then connections that are stalled within a request. Connections without a request yet come last, because
+// the first request of a slow client may be about to arrive. Within each group, chooses the connection that
+// has been silent for longest.
 std::shared_ptr<Clients::Session> Clients::ConnectionToEvict() const {
   const auto stalled_since = Steady::now() - kStallBeforeEviction;
   const auto first = [this](auto test) { return std::find_if(sessions_.begin(), sessions_.end(), test); };
--- a/src/proxy/request.cpp
+++ b/src/proxy/request.cpp
@@ -71,7 +71,7 @@
   if (has_transfer_encoding && !boost::beast::iequals(coding->value(), "chunked"))
     return RequestError{http::status::not_implemented, "unknown Transfer-Encoding"};
   if (has_transfer_encoding && message.version() < 11) return bad("Transfer-Encoding before HTTP/1.1");
-  EraseHopByHop(message);  // done first, as these headers say nothing about the request itself
+  EraseHopByHop(message);  // done first, as these headers describe only the connection
   for (const char* name : {"Host", "Req-Id", "Req-Kind", "Req-Owner", "Req-Deadline-Ms", "Req-Cost"})
     if (message.count(name) > 1) return bad("a header that may come once came twice");
   const std::string_view kind = FirstPathSegment(View(message.target()));
--- a/src/proxy/request.h
+++ b/src/proxy/request.h
@@ -25,7 +25,7 @@
   HttpRequest message;               // what is sent to servers
   Buffers::Reservation reservation;  // memory of a completely buffered body
   std::shared_ptr<BodySource> body;  // a streamed body; null if the body is buffered
-  Duration client_timeout{0};        // how long the client waits after its last byte
+  Duration client_timeout{0};        // how long the client waits after sending its last byte
   Steady::time_point due{};          // when the response is due
   int request_class = 0;
   int tenant = 0;
--- a/tests/backend/deadline_test.cpp
+++ b/tests/backend/deadline_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The header Req-Deadline-Ms of an attempt never exceeds the time that the client has left when it is
+// The header Req-Deadline-Ms of an attempt never exceeds the time that the client has left when the header is
 // written.
 #include <gtest/gtest.h>
 
--- a/tests/client/gone_test.cpp
+++ b/tests/client/gone_test.cpp
@@ -42,7 +42,8 @@
   client.socket.close();
 }
 
-// Returns how long the proxy has a pending request; kGiveUp or more if the request stays.
+// Waits until the proxy has no pending request. Returns how long that took, or kGiveUp or more if a request
+// stays pending.
 milliseconds TimeUntilNoRequestIsPending(RunningProxy& proxy) {
   const auto began = std::chrono::steady_clock::now();
   const bool finished = proxy.WaitUntilNoRequestIsPending();
--- a/tests/client/malformed_test.cpp
+++ b/tests/client/malformed_test.cpp
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Malformed requests get an error response and the end of the connection within the time limit. Nothing of
+// Malformed requests get an error response and the end of the connection within the time limit. No part of
 // them is sent to a server.
 #include <gtest/gtest.h>
 
--- a/tests/client/signals_test.cpp
+++ b/tests/client/signals_test.cpp
@@ -77,7 +77,7 @@
   EXPECT_EQ(program.process->Reap(), 0);
 }
 
-// The same case, with the order of the two determined by the test.
+// The same case as in the previous test, but here the test determines the order of the two signals.
 TEST(Signals, AReloadIsAppliedBeforeOrAfterAStop) {
   for (const bool reload_first : {true, false}) {
     Watched<bool> release;
--- a/tests/overflow/fixture.h
+++ b/tests/overflow/fixture.h
@@ -70,7 +70,7 @@
     EXPECT_NE(sent.has_value(), Find<GiveUp>().has_value());
     return sent ? std::optional(sent->destination) : std::nullopt;
   }
-  // Lets `time` pass, so that the token buckets refill. Renews the estimates meanwhile.
+  // Advances the clock by `time`, so that the token buckets refill. Renews the estimates in the meantime.
   void Pass(Milliseconds time, const std::vector<Estimate>& estimates) {
     for (const Milliseconds end = passed + time; passed < end;) {
       passed += Milliseconds(100);
--- a/tests/overflow/herd_test.cpp
+++ b/tests/overflow/herd_test.cpp
@@ -86,7 +86,7 @@
 
   Time now() const { return kStart + passed; }
 
-  // A time of delivery, the number of the receiving gateway, and the estimate.
+  // The time of delivery, the number of the receiving gateway, and the estimate.
   using Delivery = std::pair<Milliseconds, std::pair<std::size_t, Estimate>>;
   struct IsLater {
     bool operator()(const Delivery& a, const Delivery& b) const { return a.first > b.first; }
