--- a/model/overflow/federation.h
+++ b/model/overflow/federation.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Sites that forward requests to each other, in virtual time. Each gateway runs the real OverflowRouter, and
-// the holder of each site's publisher lease the real EstimatePublisher, over the simulated network. Leases
-// and gossip are simplified: the scenario sets the holder, and each estimate reaches each gateway in one
-// message.
+// Sites that forward requests to each other, in virtual time. Each gateway runs the real OverflowRouter over
+// the simulated network. The holder of each site's publisher lease also runs the real EstimatePublisher.
+// Leases and gossip are simplified: the scenario sets the holder, and each estimate reaches each gateway in
+// one message.
 #ifndef LOAD_BALANCER_MODEL_OVERFLOW_FEDERATION_H_
 #define LOAD_BALANCER_MODEL_OVERFLOW_FEDERATION_H_
 
@@ -27,7 +27,7 @@
 enum class Strategy {
   kOff,
   kRandom,     // to a random gateway of another site, without estimates
-  kEstimates,  // by the real OverflowRouter
+  kEstimates,  // by the real OverflowRouter, from estimates
   // The same as kOracle, except that the site is chosen by the state of the sites when the request is sent,
   // and that the number of attempts is the usual one.
   kInformed,
--- a/model/overflow/gateway.h
+++ b/model/overflow/gateway.h
@@ -52,11 +52,12 @@
   // Forwards the request without the network. After the propagation time it reaches the site that has the
   // most free cores at that moment. For Strategy::kOracle.
   void ForwardByOracle(const ModelRequest& request);
-  // Forwards the request in the same manner, but to the site that has the most free cores now, of those that
-  // have not been tried. For Strategy::kInformed.
+  // Forwards the request without the network to the site that has the most free cores now. Skips the sites
+  // that have been tried. For Strategy::kInformed.
   void ForwardInformed(const ModelRequest& request, std::set<std::size_t> tried);
   void Send(Pending pending);
-  // Passes the event to the router and carries out its actions. `request` is the one that the event concerns.
+  // Passes the event to the router and carries out the router's actions. `request` is the request that the
+  // event concerns.
   void Handle(const overflow::Event& event, const ModelRequest& request);
   void HandleEnd(overflow::ForwardEnded ended);
   // Reports the gateway's spare capacity to the holder of the publisher lease, and ticks the router.
--- a/src/overflow/admission_threshold.h
+++ b/src/overflow/admission_threshold.h
@@ -16,7 +16,7 @@
 
 namespace load_balancer::overflow {
 
-// AdmissionThreshold holds the recent demand, grouped by the priority weight per work of the requests.
+// AdmissionThreshold stores the recent demand, grouped by the priority weight per work of the requests.
 class AdmissionThreshold {
  public:
   struct Decision {
--- a/src/overflow/estimate.h
+++ b/src/overflow/estimate.h
@@ -70,12 +70,14 @@
   // Returns how much work all other sites together may forward to the site now, in ms of hinted work per
   // second: `offered_fraction` of the mean or the lower bound, whichever is smaller, reduced by age.
   double OfferedCapacity(Time now, const std::string& site) const;
-  // Returns whether the site's gateways certainly forward nothing: the site has had spare capacity
-  // for so long that no gateway still uses an estimate that says otherwise.
+  // Returns whether it is certain that the site's gateways forward nothing. This is so when the site has had
+  // spare capacity for so long that none of its gateways still uses an older estimate, by which the site was
+  // over capacity.
   bool HasSettledSpare(Time now, const std::string& site) const;
-  // Returns whether the site's gateways may forward requests: the site has been over capacity for so long
-  // that no gateway still takes it for one with settled spare capacity. With only two sites there is no such
-  // delay: the only other site is the destination, so no third site has to count the senders.
+  // Returns whether the site's gateways may forward requests. They may when the site has been over capacity
+  // for so long that no gateway of another site still uses an older estimate, by which the site had settled
+  // spare capacity. With only two sites, there is no such delay: the only other site is the destination, so
+  // no third site has to count the senders.
   bool MayForward(Time now, const std::string& site) const;
 
  private:
--- a/src/overflow/estimate_publisher.h
+++ b/src/overflow/estimate_publisher.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Adds up the spare capacity of a site's members and makes the site's estimate. Only the holder of the lease
-// `ambassador/SITE` does so: an estimate is made only under a valid lease proof, and carries its token.
+// `ambassador/SITE` makes estimates: each one requires a valid lease proof and contains the token of the
+// proof.
 #ifndef LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
 #define LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
 
@@ -37,8 +38,8 @@
 // cannot state how long the site has been in its present state.
 class EstimatePublisher {
  public:
-  // The site is over capacity once its lower bound has been zero for `kZeroTime`, and no longer once the
-  // lower bound has been above zero for `kSpareTime`.
+  // The site becomes over capacity when its lower bound has been zero for `kZeroTime`, and stops being over
+  // capacity when the lower bound has been above zero for `kSpareTime`.
   static constexpr Milliseconds kZeroTime{1000}, kSpareTime{2000};
 
   EstimatePublisher(Options options, std::string site);
@@ -49,8 +50,8 @@
   void RemoveMember(const std::string& member) { members_.erase(member); }
 
   // Returns the site's estimate at `now`, or nothing if the lease is not valid. Members that have not
-  // reported for `staleness` count as zero. To be called every `estimate_interval`. `wall` is the Unix time
-  // in ms.
+  // reported for `staleness` count as zero. The caller must call this every `estimate_interval`. `wall` is
+  // the Unix time in ms.
   template <FencingProof LeaseProof>
   std::optional<Estimate> MakeEstimate(Time now, UnixMs wall, const LeaseProof& proof) {
     if (!proof.IsValid(now)) return std::nullopt;
--- a/src/overflow/hysteresis.h
+++ b/src/overflow/hysteresis.h
@@ -12,7 +12,7 @@
 
 namespace load_balancer::overflow {
 
-// Hysteresis holds the state of one site: over capacity or not, and since when.
+// Hysteresis stores whether one site is over capacity, and since when.
 class Hysteresis {
  public:
   // The site becomes over capacity after its spare capacity has been zero for `zero_time`, and stops being
@@ -39,8 +39,9 @@
 
   bool over() const { return over_; }
   // Returns how long the state has been settled. While the site is over capacity, this is the time since the
-  // spare capacity fell to zero. Otherwise it is the time since the site was over capacity or its spare
-  // capacity was last zero, and zero while the spare capacity is zero.
+  // spare capacity fell to zero. Otherwise, it is the time since the site stopped being over capacity or
+  // since its spare capacity was last zero, whichever is later. It is 0 while the spare capacity is zero but
+  // the site is not over capacity yet.
   Span SettledFor(Time now) const {
     return since_ && (over_ || !differs_since_) ? now - *since_ : Span::zero();
   }
@@ -48,7 +49,7 @@
  private:
   Span zero_time_, spare_time_;
   bool over_ = false;
-  // `differs_since_` is when the updates began to contradict the state.
+  // `since_` is the start of the settled state; `differs_since_` is when the updates began to contradict it.
   std::optional<Time> since_, differs_since_;
 };
 
--- a/src/overflow/options.h
+++ b/src/overflow/options.h
@@ -32,10 +32,10 @@
   // Returns the maximum age at which an estimate still shows that its site is not over capacity.
   Milliseconds spare_report_max_age() const { return std::min(staleness, 3 * estimate_interval); }
   // Returns how long a site must have been over capacity before its gateways forward requests. By then, no
-  // other gateway still uses an estimate that says that the site has spare capacity. See Estimate::over.
+  // other gateway still uses an estimate by which the site has spare capacity. See Estimate::over.
   Milliseconds over_settling_time() const { return spare_report_max_age() + max_clock_skew; }
   // Returns how long a site must have had spare capacity before other gateways assume that it forwards
-  // nothing. By then, none of its gateways still uses an estimate that says that it is over capacity.
+  // nothing. By then, none of its gateways still uses an estimate by which the site is over capacity.
   Milliseconds spare_settling_time() const { return staleness + max_clock_skew; }
 };
 
--- a/src/proxy/backend/connection.cpp
+++ b/src/proxy/backend/connection.cpp
@@ -21,8 +21,9 @@
 
 Steady::duration ToSteady(Duration d) { return std::chrono::ceil<Steady::duration>(d); }
 
-// Returns the outcome of a response. Any intermediary may send a 503 or 504. Such a response proves that the
-// request did not run only if it has the header Srv-Declined.
+// Returns the outcome of a response. Any intermediary may send a 503 or 504, so a response with this status
+// proves that the request did not run only if it has the header Srv-Declined. If the server is another proxy
+// (`from_proxy`), a 429 or 503 is sufficient proof.
 Outcome OutcomeOf(const ResponseReader::Head& response, bool from_proxy) {
   const unsigned status = response.result_int();
   if (status == 200) return Outcome::kOk;
@@ -135,7 +136,7 @@
 }
 
 // The handler of a timer that has already expired may be queued in the event loop, where it cannot be
-// cancelled. The timer number makes it ineffective.
+// cancelled. Such a handler does nothing, because the timer number has changed.
 void Backends::Connection::ClearTimer() {
   ++timer_number_;
   timer_.cancel();
@@ -199,9 +200,9 @@
   writer_.Write(socket_, *request_.complete_body, true, OnWritten(true));
 }
 
-// A server may respond before it has read the complete request and then does not need the rest. The request
-// is sent on until the head of the final response has been received, because interim responses may precede it
-// and the server may still wait for the rest of the request.
+// A server may respond before it has read the complete request, and then does not need the rest. The proxy
+// continues to send the request until it has received the head of the final response: after an interim
+// response, the server may still wait for the rest of the request.
 void Backends::Connection::WatchForEarlyAnswer() {
   socket_.async_wait(
       Tcp::socket::wait_read, [self = shared_from_this(), use = use_number_](const Error& failed) {
--- a/src/proxy/backend/response_reader.h
+++ b/src/proxy/backend/response_reader.h
@@ -77,14 +77,14 @@
   void AppendPiece(std::size_t n) { buffered_.append(piece_, 0, n); }
   // Reserves memory for `n` more bytes. Returns false if the limit does not allow it.
   bool Reserve(std::size_t n) { return reservation_.Grow(n); }
-  // HasUndelivered returns whether buffered bytes have not been delivered. TakeBuffered removes and returns
-  // them.
+  // HasUndelivered returns whether the buffer contains bytes that have not been delivered. TakeBuffered
+  // removes these bytes and returns them.
   bool HasUndelivered() const { return !buffered_.empty(); }
   std::string TakeBuffered() { return std::exchange(buffered_, {}); }
 
   // Returns whether the response has no Content-Length.
   bool HasUnknownLength() const { return !parser_->content_length(); }
-  // Returns until when a response of unknown length is buffered.
+  // Returns the time at which the buffering of a response of unknown length ends.
   Steady::time_point buffer_until() const { return buffer_until_; }
   // Returns whether the response is too large or too slow to be buffered completely. `reserved` says whether
   // memory for its last piece could be reserved.
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -85,7 +85,7 @@
   limits_.connect_timeout = connect_timeout;
   limits_.conn_idle = conn_idle;
   if (!shorter) return;
-  // Timers of idle connections still use the longer time, so servers might close them first.
+  // The timers of idle connections still use the longer time, so servers might close these connections first.
   std::vector<ServerId> servers;
   for (const auto& [server, backend] : backends_) servers.push_back(server);
   for (const ServerId server : servers) CloseIdle(server);
--- a/src/proxy/backends.h
+++ b/src/proxy/backends.h
@@ -79,11 +79,11 @@
   Backends(const Backends&) = delete;
   Backends& operator=(const Backends&) = delete;
 
-  // Sets the address of a server and when it was started. If either has changed, its idle connections are
-  // closed.
+  // Sets the address of a server and the time when the server was started. If either has changed, the idle
+  // connections to the server are closed.
   void Set(ServerId server, const boost::asio::ip::tcp::endpoint& address, double up_since);
-  // Removes a server that gets no more requests. Its idle connections are closed at once and the others when
-  // their responses are complete.
+  // Removes a server that gets no more requests. Its idle connections are closed at once. Its other
+  // connections are closed when their responses are complete.
   void Retire(ServerId server);
   // Retires all servers that are not in `named`, the ids of a complete list.
   void RetireOthers(const std::unordered_set<ServerId>& named);
@@ -97,9 +97,9 @@
   void Shrink(std::size_t connections);
 
   // Starts an attempt. `done` is called exactly once, never within this call and never after the destructor.
-  // The timeout starts with this call; for a streamed body, the last piece replaces the deadline. The header
-  // Req-Deadline-Ms tells the server the time that is left when the request is written, rounded down to ms.
-  // If none is left, nothing is written.
+  // The timeout starts with this call; for a streamed body, the last piece sets a new deadline. The header
+  // Req-Deadline-Ms contains the time that is left when the request is written, rounded down to ms. If no
+  // time is left, nothing is written.
   AttemptId Send(ServerId server, OutgoingRequest request, Duration timeout, AttemptEvents events);
   // Cancels an attempt whose request is no longer needed. If its last byte has not been written, it ends as
   // kNotSent and the server never starts it. Otherwise it continues. Has no effect on an attempt that has
--- a/src/proxy/body.h
+++ b/src/proxy/body.h
@@ -24,7 +24,7 @@
   bool failed = false;       // the body cannot be completed; no more pieces follow
   Steady::time_point due{};  // in the last piece of a request: when the response is due
 
-  // Returns the piece that reports a body that cannot be completed.
+  // Returns a piece with `failed` set.
   static Piece Broken() {
     Piece piece;
     piece.failed = true;
--- a/src/proxy/client/request_reader.h
+++ b/src/proxy/client/request_reader.h
@@ -60,8 +60,8 @@
   bool IsDone() const { return parser_->is_done(); }
   // Returns the deadline for the next bytes of the body.
   Steady::time_point BodyDeadline() const;
-  // Pause and resume the deadlines of the body. Time in which nobody requests more of the body does not count
-  // against the client.
+  // Pause and resume the deadlines of the body. The deadlines are paused while nobody requests more of the
+  // body, because the client is not responsible for that delay.
   void PauseBodyTimer() { paused_since_ = Steady::now(); }
   void ResumeBodyTimer();
 
--- a/src/proxy/client/session.cpp
+++ b/src/proxy/client/session.cpp
@@ -21,7 +21,7 @@
 
 constexpr std::size_t kFirstReadBytes = 1024;                 // first read of a request
 constexpr std::chrono::milliseconds kCloseCheckInterval{25};  // between two checks for a close by the client
-constexpr std::chrono::seconds kWriteTimeout{10};  // for a response, or a piece of one, to be written
+constexpr std::chrono::seconds kWriteTimeout{10};  // for writing a response or a piece of a response
 constexpr std::chrono::seconds kCloseTimeout{2};   // for the client to close its side
 constexpr std::chrono::milliseconds kResponseReserve{
     150};  // responses are due this long before the deadline of a stop
@@ -123,7 +123,7 @@
       buffer, [self = shared_from_this()](const Error& failed, std::size_t n) { self->OnRead(failed, n); });
 }
 
-// The memory of the reader must stay valid until OnRead, which the event loop calls next.
+// Cancels the read in progress. The memory of the reader must stay valid until the event loop calls OnRead.
 void Clients::Session::CancelRead() {
   Error ignored;
   stream_.socket().cancel(ignored);
@@ -145,7 +145,8 @@
   IsPending() && on_piece_ ? DeliverPiece() : ReadAhead();
 }
 
-// Polls for a close by the client while unread bytes that do not fit into the buffer precede it.
+// Polls whether the client has closed the connection. Needed while the buffer is full: a read would report
+// the close only after all bytes that precede it.
 void Clients::Session::ScheduleCloseCheck() {
   close_check_timer_.expires_after(kCloseCheckInterval);
   close_check_timer_.async_wait([self = shared_from_this()](const Error& cancelled) {
@@ -233,8 +234,8 @@
   Submit();
 }
 
-// Streams the body. The bytes received so far are kept until a piece is requested, and until then reading
-// continues only as far as the buffer has space.
+// Streams the body. Until a piece is requested, the bytes received so far stay in the buffer, and reading
+// stops when the buffer is full.
 void Clients::Session::OnLargeBody() {
   if (incoming_.message.method() == http::verb::get) {
     close_after_response_ = true;
@@ -259,7 +260,8 @@
   if (IsPending() && !on_piece_) ReadAhead();
 }
 
-// Returns when the response is due. During a stop, this is no later than the deadline of the stop allows.
+// Returns when the response is due. During a stop, it is due at the latest kResponseReserve before the
+// deadline of the stop.
 Steady::time_point Clients::Session::ResponseDeadline() const {
   const auto due = Steady::now() + std::chrono::duration_cast<Steady::duration>(client_timeout_);
   return owner_->stopping_ ? std::min(due, owner_->stop_deadline_ - kResponseReserve) : due;
--- a/src/proxy/client/session.h
+++ b/src/proxy/client/session.h
@@ -28,8 +28,9 @@
   void Start();
   // Closes the connection at once, even during a request or response. The client may see a reset.
   void Close();
-  // Ends an idle connection: shuts down the sending side, so that the client sees a clean end of the stream
-  // and has some time to close its side. A request that arrives before the shutdown is served first.
+  // Ends an idle connection: shuts down the sending side, so that the client sees a clean end of the stream,
+  // and waits some time for the client to close its side. A request that arrives before the shutdown is
+  // served first.
   void End();
   // Returns whether the connection is ending, either because of End or after its last response.
   bool IsEnding() const { return end_requested_ || state_ == State::kEnding; }
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -28,7 +28,7 @@
     250};  // time without a byte within a request before its connection may be evicted
 constexpr double kCrowdedShare =
     0.75;  // fraction of the connection limit above which connections are not kept alive
-constexpr int kMaxAcceptsPerTurn = 32;            // then other handlers of the event loop may run
+constexpr int kMaxAcceptsPerTurn = 32;            // limited so that other handlers run in between
 constexpr std::size_t kMaxEndingConnections = 8;  // ending connections allowed above the limit
 constexpr std::chrono::milliseconds kCloseNoticeTime{
     200};  // for clients to notice the close of their connections during a stop
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -80,9 +80,9 @@
   // and so do connections that have been idle for `idle`. Calls `done` when no response is left to be
   // written, which is no later than `end`.
   void Stop(Duration grace, Duration idle, Steady::time_point end, std::function<void()> done);
-  // Directs new connections to one of the processes that listen on this address. `listener` is the index of
-  // its listener in the order in which they were opened, 0 or 1. Returns false if the operating system does
-  // not support this.
+  // Directs new connections to one of the two processes that listen on this address. `listener` selects the
+  // process: 0 for the listener that was opened first, 1 for the other. Returns false if the operating system
+  // does not support this.
   bool SteerNewConnections(int listener);
   // Closes connections that have been idle for some time until at most `connections` are open.
   void Shrink(std::size_t connections);
--- a/tests/backend/duplicate_response_test.cpp
+++ b/tests/backend/duplicate_response_test.cpp
@@ -35,8 +35,8 @@
   EXPECT_EQ(fixture.backends.connections(), 0u);
 }
 
-// After a first duplicate, the next one would cross the following request if that used the same connection.
-// The request is therefore sent on another connection.
+// After a first duplicate, another duplicate could arrive while the next request uses the same connection.
+// The next request must therefore be sent on another connection.
 TEST(DuplicateResponse, AfterOneTheNextRequestUsesAnotherConnection) {
   BackendsFixture fixture;
   fixture.Send(kLongTimeout);
--- a/tests/backend/gone_test.cpp
+++ b/tests/backend/gone_test.cpp
@@ -18,8 +18,8 @@
 
 std::chrono::steady_clock::time_point TestDeadline() { return std::chrono::steady_clock::now() + kGiveUp; }
 
-// Two connections are being opened one after the other. After the first attempt was cancelled, the first
-// connection established must carry the second request.
+// Two attempts open their connections one after the other, and the first attempt is cancelled. The first
+// connection that is then established must carry the second request.
 TEST(ClientGone, AnAttemptThatIsStillConnectingIsCancelled) {
   BlockedListener listener;
   Backends::Limits limits;
--- a/tests/client/gone_test.cpp
+++ b/tests/client/gone_test.cpp
@@ -80,7 +80,8 @@
   ASSERT_TRUE(WaitUntilARequestIsPending(proxy));
   Disconnect(departure, client);
   EXPECT_LT(TimeUntilNoRequestIsPending(proxy), kNoticeLimit);
-  // The first server is announced. A request still pending would be sent to it before that of the new client.
+  // Discovery now lists the first server. If the first request were still pending, it would be sent to this
+  // server before the request of the new client.
   Backend backend;
   discovery.Push(ListJson(42, true, Members(MemberJson("s-1", backend.address()))));
   EXPECT_EQ(Client(proxy.address).Ask(LookRequest("newcomer")).result_int(), 200u);
--- a/tests/overflow/herd_test.cpp
+++ b/tests/overflow/herd_test.cpp
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Guards against a herd: many gateways that learn of the same spare capacity must not overload the site that
-// has it. Sites change state in any order, and the network loses and delays estimates. All gateways together
-// still forward to a site at most the capacity that it offers plus the configured slack.
+// Guards against a thundering herd: many gateways that learn of the same spare capacity must not overload the
+// site that has it. Sites change state in any order, and the network loses and delays estimates. All gateways
+// together must still forward to a site at most the capacity that it offers plus the configured slack.
 #include <gtest/gtest.h>
 
 #include <memory>
@@ -99,15 +99,15 @@
   std::map<std::string, int> skew;  // ms, by site
   std::map<std::string, bool> over;
   std::map<std::pair<std::size_t, std::string>, Milliseconds>
-      cut_off_until;  // by gateway and by sending site
+      cut_off_until;  // end of the loss of estimates, by gateway and by sending site
   std::vector<std::pair<std::string, std::unique_ptr<OverflowRouter>>> routers;
   std::priority_queue<Delivery, std::vector<Delivery>, IsLater> in_flight;
   RequestId last_id = 0;
   std::vector<std::pair<std::int64_t, double>> sent_to_a;  // time and work, in ms
 };
 
-// Returns the largest amount by which the forwarded work of any window exceeds the rate. This is a maximum
-// subarray sum (Kadane's algorithm).
+// Returns the largest amount by which the work that was forwarded in any time window exceeds `rate` times the
+// length of the window. This is a maximum subarray sum (Kadane's algorithm).
 double MaxExcess(const Herd& herd, double rate) {
   double excess = 0, max = 0;
   std::int64_t last = 0;
--- a/tests/overflow/model_test.cpp
+++ b/tests/overflow/model_test.cpp
@@ -49,7 +49,8 @@
   return options;
 }
 
-// Expects that the weight that each receiving site serves of its own requests falls by less than 1 %.
+// Expects that at each receiving site, the priority weight of the own requests that it serves falls by less
+// than 1 %.
 void ExpectNoHarm(const Outcome& off, const Outcome& on) {
   for (std::size_t s = 1; s < off.sites.size(); ++s)
     EXPECT_GT(on.sites[s].own, 0.99 * off.sites[s].own) << "site " << s;
--- a/tests/overflow/overflow_router_test.cpp
+++ b/tests/overflow/overflow_router_test.cpp
@@ -121,7 +121,8 @@
     Idempotency idempotency;
     ForwardOutcome outcome;
     bool is_retried;  // sent once more, to another site
-    // As the final action says; nothing if the other site's response goes to the client.
+    // `may_have_run` of the GiveUp; nothing if there is no GiveUp, as the other site's response goes to the
+    // client.
     std::optional<bool> may_have_run;
   };
   const Case kTable[] = {{Idempotency::kIdempotent, ForwardOutcome::kOk, false, {}},
