--- a/model/overflow/gateway.h
+++ b/model/overflow/gateway.h
@@ -52,8 +52,8 @@
   // Forwards the request without the network. After the propagation time it reaches the site that has the
   // most free cores at that moment. For Strategy::kOracle.
   void ForwardByOracle(const ModelRequest& request);
-  // Forwards the request without the network to the site that has the most free cores now. Skips the sites
-  // that have been tried. For Strategy::kInformed.
+  // Forwards the request without the network to the site that has the most free cores now, which it reaches
+  // after the propagation time. Skips the sites that have been tried. For Strategy::kInformed.
   void ForwardInformed(const ModelRequest& request, std::set<std::size_t> tried);
   void Send(Pending pending);
   // Passes the event to the router and carries out the router's actions. `request` is the request that the
--- a/model/overflow/servers.h
+++ b/model/overflow/servers.h
@@ -17,7 +17,7 @@
 
 namespace load_balancer::model {
 
-// Servers holds the state of one site's pool.
+// Servers simulates the servers of one site.
 class Servers {
  public:
   using Done = std::function<void()>;
--- a/model/overflow/traffic.h
+++ b/model/overflow/traffic.h
@@ -62,8 +62,8 @@
   }
 };
 
-// Clients generates the requests of one gateway as a Poisson process. The draws depend only on the seed, so
-// that every run with the seed has the same requests, whatever becomes of them.
+// Clients generates the requests of one gateway as a Poisson process. The random numbers depend only on the
+// seed, so that all runs with the same seed have the same requests, whatever the outcomes of the requests.
 class Clients {
  public:
   explicit Clients(std::uint64_t seed) : random_(seed) {}
--- a/src/overflow/estimate.h
+++ b/src/overflow/estimate.h
@@ -75,9 +75,9 @@
   // over capacity.
   bool HasSettledSpare(Time now, const std::string& site) const;
   // Returns whether the site's gateways may forward requests. They may when the site has been over capacity
-  // for so long that no gateway of another site still uses an older estimate, by which the site had settled
-  // spare capacity. With only two sites, there is no such delay: the only other site is the destination, so
-  // no third site has to count the senders.
+  // for so long that no other gateway still uses an older estimate, by which the site had settled spare
+  // capacity. With only two sites, there is no such delay: the only other site is the destination, so no
+  // third site has to count the senders.
   bool MayForward(Time now, const std::string& site) const;
 
  private:
--- a/src/overflow/overflow_router.h
+++ b/src/overflow/overflow_router.h
@@ -179,7 +179,7 @@
   AdmissionThreshold threshold_;
   std::map<std::string, TokenBucket> buckets_;  // by site
   std::map<RequestId, Open> open_;
-  bool is_forwarding_ = false;  // as last logged
+  bool is_forwarding_ = false;  // the state that was logged last
   Time next_failure_log_at_{};
   Counts counts_;
 };
--- a/src/overflow/remote_gateways.h
+++ b/src/overflow/remote_gateways.h
@@ -23,7 +23,7 @@
   auto operator<=>(const RemoteGateway&) const = default;
 };
 
-// RemoteGateways holds the health of each gateway of the other sites.
+// RemoteGateways stores the health of each gateway of the other sites.
 class RemoteGateways {
  public:
   // The constants are named as in A50.
--- a/src/overflow/rules.h
+++ b/src/overflow/rules.h
@@ -31,12 +31,12 @@
 // RejectReason says why a request is not forwarded, or not forwarded again.
 enum class RejectReason {
   kMayHaveRun,         // the request could run twice
-  kIdempotencyKey,     // servers of another site do not recognise repeats that ran at this site
+  kIdempotencyKey,     // servers of another site cannot recognise a request that already ran at this site
   kAlreadyForwarded,   // another site forwarded it to this site; a request is forwarded only once
   kOverBudget,         // requests of a tenant over its budget are never forwarded
   kUnknownWork,        // no capacity can be charged for a request of unknown work
   kBelowThreshold,     // its priority weight per work is below the threshold
-  kNotOverCapacity,    // this site is not over capacity, or has not been for long enough
+  kNotOverCapacity,    // this site is not over capacity, or has been so only for a short time
   kTooLate,            // no other site could respond within the latency objective
   kNoCapacity,         // no other site offers enough capacity to this gateway now
   kNoGateway,          // no gateway of any other site is in service
--- a/src/overflow/section.h
+++ b/src/overflow/section.h
@@ -23,7 +23,8 @@
 OverflowSection ReadOverflowSection(const nlohmann::json& root, std::vector<std::string>* faults);
 
 // Checks the section against the section `sites`, and appends one line per fault to `faults`. `sites` is
-// empty if that section is absent. `lease_term` is the fleet's: the site's estimate publisher needs a lease.
+// empty if that section is absent. `lease_term` is the fleet's lease term, which must be set because the
+// site's estimate publisher needs a lease.
 void CheckOverflowSection(const OverflowSection& section, const Directory& sites, const std::string& own_site,
                           Milliseconds lease_term, std::vector<std::string>* faults);
 
--- a/src/overflow/token_bucket.h
+++ b/src/overflow/token_bucket.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // A token bucket that limits the work that this gateway forwards to one other site. Tokens are ms of hinted
-// work. In any window of length W it admits at most rate x W + depth + the largest request.
+// work. In any time window of length W, the bucket admits at most rate x W + depth + the work of the largest
+// request.
 #ifndef LOAD_BALANCER_OVERFLOW_TOKEN_BUCKET_H_
 #define LOAD_BALANCER_OVERFLOW_TOKEN_BUCKET_H_
 
--- a/src/proxy/backend/request_writer.h
+++ b/src/proxy/backend/request_writer.h
@@ -18,9 +18,9 @@
 
 namespace load_balancer::proxy {
 
-// Writes synchronously as much as the socket accepts, so that IsWritten() is always up to date. Code that
-// cancels a request between the write and its completion handler must know whether the server may have
-// started it.
+// RequestWriter writes synchronously as many bytes as the socket accepts, so that IsWritten() is always up to
+// date. Code that cancels a request between the write and its completion handler must know whether the server
+// may have started the request.
 class RequestWriter {
  public:
   // Starts a request. `head` includes Content-Length or Transfer-Encoding.
--- a/tests/backend/response_framing_test.cpp
+++ b/tests/backend/response_framing_test.cpp
@@ -1,7 +1,7 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// Responses that cannot be parsed or that end early. Each must end its attempt as failed and possibly run. A
-// connection must not be reused if the start of the next response on it is unclear.
+// Responses that cannot be parsed or that end early. Each must count as a failed attempt whose request may
+// have run. A connection must not be reused if the start of the next response on it is unclear.
 #include <gtest/gtest.h>
 
 #include <chrono>
