--- a/model/overflow/federation.h
+++ b/model/overflow/federation.h
@@ -43,8 +43,8 @@
   Strategy strategy = Strategy::kOff;
   std::uint64_t seed = 1;
   overflow::Options overflow_options;
-  std::chrono::milliseconds estimate_delay{
-      0};  // delay of estimates between sites, on top of the network's delay
+  // Delay of estimates between sites, on top of the network's delay.
+  std::chrono::milliseconds estimate_delay{0};
 };
 
 // OverflowFederation runs the sites and counts the outcomes of the requests.
--- a/src/overflow/admission_threshold.h
+++ b/src/overflow/admission_threshold.h
@@ -41,8 +41,8 @@
   // buckets limit what is really forwarded.
   static constexpr double kHeadroom = 1.1;
   static constexpr double kStepsPerOctave = 4;
-  static constexpr double kMinWeightPerWork = 1e-6,
-                          kMaxWeightPerWork = 1e6;  // weights are clamped to this range
+  // Weights per work are clamped to this range.
+  static constexpr double kMinWeightPerWork = 1e-6, kMaxWeightPerWork = 1e6;
   static constexpr std::chrono::milliseconds kDecayInterval{50};
 
   // Returns the number of the logarithmic step to which a weight per work belongs.
--- a/src/overflow/key_affinity.h
+++ b/src/overflow/key_affinity.h
@@ -18,8 +18,8 @@
 // AffinityTable maps keys to gateways for a limited time. Key 0 stands for a request without a key.
 class AffinityTable {
  public:
-  static constexpr std::size_t kMaxKeys =
-      16384;  // at this limit, a new key replaces the one that expires first
+  // At this limit, a new key replaces the one that expires first.
+  static constexpr std::size_t kMaxKeys = 16384;
 
   // Returns the gateway of the key, or null if there is none or its entry has expired.
   const RemoteGateway* Find(Time now, std::uint64_t key) const {
--- a/src/proxy/clients.cpp
+++ b/src/proxy/clients.cpp
@@ -26,8 +26,8 @@
 constexpr std::chrono::milliseconds kFirstByteTimeout{500};  // from connecting to the first byte of a request
 constexpr std::chrono::milliseconds kStallBeforeEviction{
     250};  // time without a byte within a request before its connection may be evicted
-constexpr double kCrowdedShare =
-    0.75;  // fraction of the connection limit above which connections are not kept alive
+// Fraction of the connection limit above which connections are not kept alive.
+constexpr double kCrowdedShare = 0.75;
 constexpr int kMaxAcceptsPerTurn = 32;            // limited so that other handlers run in between
 constexpr std::size_t kMaxEndingConnections = 8;  // ending connections allowed above the limit
 constexpr std::chrono::milliseconds kCloseNoticeTime{
