--- a/model/overflow/traffic.h
+++ b/model/overflow/traffic.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 //
-// The requests that clients send to the gateways of the model, and the counts of what becomes of them.
+// The requests that clients send to the gateways of the model, and the counts of their outcomes.
 #ifndef LOAD_BALANCER_MODEL_OVERFLOW_TRAFFIC_H_
 #define LOAD_BALANCER_MODEL_OVERFLOW_TRAFFIC_H_
 
@@ -34,7 +34,7 @@
 // ModelRequest is one request of a client.
 struct ModelRequest {
   std::uint64_t id = 0;
-  std::size_t site = 0;  // at which it arrived
+  std::size_t site = 0;  // the site at which it arrived
   const RequestClass* request_class = nullptr;
   double work_ms = 0;  // 50 % to 150 % of the work of its class
   std::uint64_t key = 0;
@@ -62,8 +62,8 @@
   }
 };
 
-// Clients generates the requests of one gateway as a Poisson process. The draws depend only on the seed, so
-// that every run with the seed has the same requests, whatever becomes of them.
+// Clients generates the requests of one gateway as a Poisson process. The random numbers depend only on the
+// seed, so that all runs with the same seed have the same requests, whatever the outcomes of the requests.
 class Clients {
  public:
   explicit Clients(std::uint64_t seed) : random_(seed) {}
--- a/src/overflow/admission_threshold.h
+++ b/src/overflow/admission_threshold.h
@@ -16,7 +16,7 @@
 
 namespace load_balancer::overflow {
 
-// AdmissionThreshold holds the recent demand, grouped by the priority weight per work of the requests.
+// AdmissionThreshold stores the recent demand, grouped by the priority weight per work of the requests.
 class AdmissionThreshold {
  public:
   struct Decision {
@@ -41,7 +41,8 @@
   // buckets limit what is really forwarded.
   static constexpr double kHeadroom = 1.1;
   static constexpr double kStepsPerOctave = 4;
-  static constexpr double kMinWeightPerWork = 1e-6, kMaxWeightPerWork = 1e6;  // beyond these, all are equal
+  // Weights per work are clamped to this range.
+  static constexpr double kMinWeightPerWork = 1e-6, kMaxWeightPerWork = 1e6;
   static constexpr std::chrono::milliseconds kDecayInterval{50};
 
   // Returns the number of the logarithmic step to which a weight per work belongs.
--- a/src/overflow/rules.h
+++ b/src/overflow/rules.h
@@ -18,7 +18,7 @@
 struct RejectedRequest {
   RequestId request = 0;
   Idempotency idempotency = Idempotency::kNotIdempotent;
-  Span latency_objective_left{0}, deadline_left{0};  // time left until each of them
+  Span latency_objective_left{0}, deadline_left{0};  // time left until the objective and the deadline
   double work_ms = 0;          // the hinted work, or the module's mean where there is no hint
   double priority_weight = 0;  // of a response within the latency objective
   std::uint64_t key = 0;       // 0: the request has no key
@@ -31,12 +31,12 @@
 // RejectReason says why a request is not forwarded, or not forwarded again.
 enum class RejectReason {
   kMayHaveRun,         // the request could run twice
-  kIdempotencyKey,     // servers of another site do not recognise repeats that ran at this site
-  kAlreadyForwarded,   // another site forwarded it to this site; there is only one hop
+  kIdempotencyKey,     // servers of another site cannot recognise a request that already ran at this site
+  kAlreadyForwarded,   // another site forwarded it to this site; a request is forwarded only once
   kOverBudget,         // requests of a tenant over its budget are never forwarded
   kUnknownWork,        // no capacity can be charged for a request of unknown work
   kBelowThreshold,     // its priority weight per work is below the threshold
-  kNotOverCapacity,    // this site is not over capacity, or has not been for long enough
+  kNotOverCapacity,    // this site is not over capacity, or has been so only for a short time
   kTooLate,            // no other site could respond within the latency objective
   kNoCapacity,         // no other site offers enough capacity to this gateway now
   kNoGateway,          // no gateway of any other site is in service
@@ -51,10 +51,11 @@
 
 // Maximum number of times that an idempotent request is sent to other sites.
 inline constexpr int kMaxAttempts = 2;
-// Returns that number for a request. Any request that is not idempotent is sent once, whatever the result.
+// Returns the maximum number of times that a request is sent to other sites. A request that is not idempotent
+// is sent once, whatever the result.
 int MaxAttempts(Idempotency idempotency);
 
-// Returns the expected time until the response is back: the propagation time in both directions, the wait at
+// Returns the expected time until the response arrives: the propagation time in both directions, the wait at
 // the other site, and the work itself.
 Span EstimateResponseTime(const Options& options, std::uint64_t wait_ms, double work_ms);
 
