--- a/model/overflow/federation.h
+++ b/model/overflow/federation.h
@@ -27,7 +27,7 @@
 enum class Strategy {
   kOff,
   kRandom,     // to a random gateway of another site, without estimates
-  kEstimates,  // by the real OverflowRouter, from estimates
+  kEstimates,  // to the gateway that the real OverflowRouter selects from estimates
   // The same as kOracle, except that the site is chosen by the state of the sites when the request is sent,
   // and that the number of attempts is the usual one.
   kInformed,
--- a/model/quota/spender.h
+++ b/model/quota/spender.h
@@ -36,8 +36,8 @@
   Spender(const SpenderOptions& options, std::uint64_t seed, Time now, ChargeCallback on_charge)
       : options_(options), random_(seed), next_(now), on_charge_(std::move(on_charge)) {}
 
-  // Credits the requests that by `now` provably did not run. Unless `saving` is true, sends requests of each
-  // partner until each account rejects them.
+  // Credits the charges of requests that did not run, if this is known by `now`. Unless `saving` is true,
+  // then charges requests of each partner to each account until the account rejects them.
   void Serve(Time now, const std::vector<quota::Account*>& accounts, const std::vector<std::string>& partners,
              bool saving);
   Time Next() const { return next_; }
--- a/src/fleet/lease/timing.h
+++ b/src/fleet/lease/timing.h
@@ -13,8 +13,8 @@
 /// Returns the time between a request that a majority granted and the next renewal request.
 inline std::chrono::milliseconds RenewalInterval(std::chrono::milliseconds term) { return term / 3; }
 
-/// Returns the time in which a majority must grant a request. Voters derive the retry time of denials from
-/// it.
+/// Returns the time in which a majority must grant a request. When a voter denies a request because of
+/// another request's vote, it uses this time to tell the requester when to retry.
 inline std::chrono::milliseconds RequestTimeout(std::chrono::milliseconds term) { return term / 6; }
 
 /// Returns the time between two transmissions of a request or release, which are repeated because datagrams
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -29,7 +29,8 @@
 constexpr double kMinLimitPerServer = 1.5;
 // Time for which an unused quota accumulates, so that a tenant can send a burst.
 constexpr double kQuotaBurstMs = 2000;
-// The share of the possible elapsed time that is assumed if a client's retry has the usual time-out.
+// Share of the maximum elapsed time that a client's retry is assumed to have used before its arrival, if its
+// remaining time is the usual one.
 constexpr double kRetryElapsedShare = 0.5;
 // The probability of admission is the pressure to this power.
 constexpr int kShedExponent = -2;
--- a/src/proxy/backend/connection.h
+++ b/src/proxy/backend/connection.h
@@ -53,8 +53,7 @@
   // Closes the connection without reporting anything, as the owner is being destroyed.
   void DetachFromOwner();
 
-  // ---- BodySource: the body of the response
-  // -------------------------------------------------------------------------
+  // ---- BodySource: the body of the response -------------------------------------------------------------
   void Next(OnPiece on_piece) override;
   void Abandon() override { Finish(Outcome::kCancelled); }
   bool HasStarted() const override { return true; }
--- a/tests/overflow/remote_gateways_test.cpp
+++ b/tests/overflow/remote_gateways_test.cpp
@@ -22,7 +22,7 @@
     at += step / 1000.0;
     const double work = 1 + *rc::gen::inRange(0, static_cast<int>(max_work));
     const Time now = kStart + std::chrono::duration_cast<Span>(std::chrono::duration<double>(at));
-    // A short fall of the estimate must not leave the bucket with a higher level than before.
+    // A brief drop of the estimate must not raise the level of the bucket.
     if (step % 7 == 0) bucket.SetRate(now, rate / 2, depth / 2);
     bucket.SetRate(now, rate, depth);
     if (!bucket.HasAtLeast(now, 0)) continue;
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -71,8 +71,9 @@
     sent += *server == 3;
     rig.EndAttempt(id, 0, *server, i % 20 ? Outcome::kOverloaded : Outcome::kOk, 5);
   }
-  // Each warm server does 0.05 ms of work per ms. 3 x 0.55 of that, at 25 to 55% of the capacity, is 13
-  // requests in 4 s.
+  // Each warm server does 0.05 ms of work per ms. The budget is this rate times the overload multiple of 3,
+  // the safety factor of 0.55 and the capacity share, which rises from 25 to 55%. In 4 s, the budget is
+  // enough for 13 requests of 10 ms.
   EXPECT_LE(sent, 13) << "it would be 20 times as many if the budget followed the work that is sent";
 }
 
