--- a/include/load_balancer/balancer.h
+++ b/include/load_balancer/balancer.h
@@ -54,8 +54,8 @@
   Duration latency_objective{0};
   Duration deadline{0};
   double priority_weight = 1;
-  /// The share of the priority weight, from 0 to 1, that a response earns after the latency objective has
-  /// passed.
+  /// The value of a response after the latency objective has passed, as a share of the priority weight, from
+  /// 0 to 1.
   double late_priority_share = 0;
 };
 
@@ -72,11 +72,12 @@
   int zone = 0;
   std::vector<ClassSettings> classes;
   std::vector<TenantSettings> tenants;
-  /// The share of the priority weight, from 0 to 1, that a request over its tenant's quota has.
+  /// The value of a request over its tenant's quota, as a share of the priority weight, from 0 to 1.
   double over_quota_priority_share = 1;
   /// The cost of sending a request to another zone, as a fraction of the request's value.
   double cross_zone_price = 0;
-  /// Whether a server that has recently served a key serves it again with less work.
+  /// Whether a server that has recently served a session key needs less work for further requests with that
+  /// key.
   bool session_affinity = false;
   /// Whether discovery does not push the endpoint list, so that the proxy must poll it with Subscribe.
   bool must_poll_for_list = false;
@@ -91,8 +92,8 @@
   double slow_start_min_share = 1;
   /// The longest time from a server's start until it has its full capacity.
   Duration slow_start_window{0};
-  /// The overload limit: a server fails if it gets more work within overload_window than this multiple of its
-  /// present capacity.
+  /// The overload limit: a server fails if the work that it gets within overload_window exceeds this multiple
+  /// of the work that its present capacity can do in that time.
   double overload_multiple = 1;
   Duration overload_window{0};
 };
@@ -328,7 +329,7 @@
 /// the last second, or if no server is in service.
 struct SpareCapacity {
   double work_per_ms = 0;              ///< mean, as hinted work on standard cores; 0 or more
-  double work_per_ms_lower_bound = 0;  ///< work_per_ms less one deviation of the number in flight; >= 0
+  double work_per_ms_lower_bound = 0;  ///< work_per_ms if one standard deviation more were in flight; >= 0
   Duration wait{0};                    ///< estimated queueing time of a request that arrives now
 };
 
--- a/model/lease/cluster.h
+++ b/model/lease/cluster.h
@@ -56,7 +56,7 @@
   bool are_wall_clocks_running = true;
   // Maximum total number of restarts, releases and duplicated messages on one path of the search.
   int max_faults = 2;
-  // Maximum number of proofs on one path of the search that members obtain some time before the action.
+  // Maximum number of proofs of a lease that members obtain on one path of the search for a later action.
   int max_proofs = 1;
 };
 
@@ -101,7 +101,7 @@
     bool is_released = false;
     std::optional<fleet::StoredVotes> disk;
     std::unique_ptr<fleet::Leases> leases;
-    std::optional<fleet::LeaseProof> proof;  // of an action that has not reached the resource yet
+    std::optional<fleet::LeaseProof> proof;  // proof for an action that has not reached the resource yet
   };
 
   // Starts an incarnation of the member.
--- a/model/lease/operator.h
+++ b/model/lease/operator.h
@@ -24,7 +24,7 @@
   kAfterOneTerm,  ///< Adds or removes one voter. Waits one term, but not until a member holds the lease.
 };
 
-// Performs the changes of one run.
+// Changes the voters during one run.
 class Operator {
  public:
   // `world` and `run` must outlive this object.
--- a/model/lease/schedule.cpp
+++ b/model/lease/schedule.cpp
@@ -17,7 +17,8 @@
 constexpr milliseconds kPollInterval(100);
 constexpr int kMaxTermsToHolder =
     3;  // maximum time from the last fault to a holder, in lease terms; docs/leases.md states this bound
-constexpr double kUsedDriftFraction = 0.999;  // fraction of the drift bound that clock rates use
+constexpr double kUsedDriftFraction =
+    0.999;  // maximum offset of clock rates, as a fraction of the drift bound
 
 bool DoDisksSurvive(std::uint64_t seed, const ScheduleOptions& options) {
   return options.has_vote_files || seed % 2 == 1;
@@ -54,7 +55,8 @@
       world_.Add(
           std::string(1, static_cast<char>('A' + i)), AddressOf(i),
           [this, i](Host& host) {
-            // The first incarnation of each member gets a file of votes, since no earlier one has written it.
+            // The first incarnation of each member gets a file of votes, since no earlier incarnation has
+            // written one.
             if (options_.has_vote_files && run_.incarnations < static_cast<int>(options_.member_count))
               WriteVoteFile(host, i);
             return std::make_unique<LeaseMember>(host, world_, run_, i);
--- a/src/fleet/lease/lease_state.h
+++ b/src/fleet/lease/lease_state.h
@@ -60,7 +60,7 @@
   std::string holder;              ///< Holder of the lease held or followed; empty before the first lease.
   FencingToken token = 0;          ///< Token of the lease held or followed.
   FencingToken largest_token = 0;  ///< Largest token seen by this member, whether granted or not.
-  Time until{};                    ///< End of the lease held or followed, or of the time to wait.
+  Time until{};                    ///< End of the lease held or followed, or of the wait for a holder.
   Time next_attempt{};
   std::shared_ptr<HeldLease> held_lease;  ///< Null unless this member is the holder.
   Time effects_until{};  ///< End of the effects of actions under this member's former leases.
--- a/src/fleet/lease/leases.h
+++ b/src/fleet/lease/leases.h
@@ -106,7 +106,7 @@
   FencingToken token(const std::string& lease_name) const { return leases_.at(lease_name).token; }
   /// Returns the holder of the lease that is held or followed; empty before the first lease.
   std::string holder(const std::string& lease_name) const { return leases_.at(lease_name).holder; }
-  /// Returns the remaining time of the lease that is held or followed, or of the time to wait.
+  /// Returns the remaining time of the lease that is held or followed, or of the wait for a holder.
   Span remaining(Time now, const std::string& lease_name) const;
 
   /// Appends all state that determines future behaviour, with times relative to `now`. The model checker
--- a/src/fleet/membership/probes.h
+++ b/src/fleet/membership/probes.h
@@ -44,11 +44,11 @@
 
   /// Answers a ping that is meant for this member.
   void OnPing(const Message& message);
-  /// Pings the target of the request on behalf of its sender.
+  /// Pings the target of the request on behalf of the requester.
   void OnPingRequest(Time now, const Message& message);
   /// Completes the probe that the ack answers.
   void OnAck(const Message& message);
-  /// Records that the sender of the nack works, although the target has not answered it.
+  /// Records that the sender of the nack works, although the probed target has not answered the sender.
   void OnNack(const Message& message);
 
   /// Abandons all probes.
--- a/src/policy/admission.cpp
+++ b/src/policy/admission.cpp
@@ -9,9 +9,9 @@
 namespace load_balancer {
 namespace {
 
-// Largest mean response time at the limit, as a fraction of the latency objective.
+// Maximum of MaxResponseTime(), as a fraction of the latency objective.
 constexpr double kMaxObjectiveShare = 0.33;
-// Largest mean response time at the limit, as a multiple of the response time of uncrowded servers.
+// Maximum of MaxResponseTime(), as a multiple of the response time of servers without queues.
 constexpr double kMaxCrowdedTime = 3;
 // Number of standard deviations that the limit adds to the mean number in flight, so that random arrivals do
 // not count as overload.
@@ -19,20 +19,20 @@
 // Load is shed when responses use more than this share of the latency objective. The rest is left for the
 // spread of response times.
 constexpr double kShedObjectiveShare = 0.7;
-// Load is shed when crowding exceeds this value.
+// Load is shed when TrafficStatistics::crowding() exceeds this value.
 constexpr double kShedCrowding = 2.5;
-// Below this fraction of the pressure at which load is shed, a request does not delay others.
+// While Pressure() is below this value, a request does not delay others.
 constexpr double kLowPressure = 0.7;
-// Largest value of the minimum limit, in attempts in flight. It applies while servers are not crowded.
+// The result of MinLimit() while few requests queue at servers, in attempts in flight.
 constexpr double kMaxMinLimit = 4;
 // Attempts in flight, from all proxies together, that each server can always handle.
 constexpr double kMinLimitPerServer = 1.5;
 // Time for which an unused quota accumulates, so that a tenant can send a burst.
 constexpr double kQuotaBurstMs = 2000;
-// Share of the maximum elapsed time that a client's retry is assumed to have used before its arrival, if its
-// remaining time is the usual one.
+// For a client's retry with the usual remaining time: the time assumed to have passed before its arrival, as
+// a share of the longest time that can have passed.
 constexpr double kRetryElapsedShare = 0.5;
-// The probability of admission is the pressure to this power.
+// The probability of admission is Pressure() raised to this exponent.
 constexpr int kShedExponent = -2;
 constexpr int kOverQuotaShedExponent = -4;
 
@@ -102,8 +102,8 @@
                             [] { return 1.0; });
 }
 
-// Returns the smallest limit on attempts in flight. It falls as servers become more crowded, since the
-// minimum limits of many proxies add up at the servers.
+// Returns the minimum of the limit on attempts in flight. The minimum falls as queues at servers grow, since
+// the attempts of many proxies add up at the servers.
 double Admission::MinLimit() const {
   return std::clamp(1.5 * kMaxMinLimit / std::max(traffic_.crowding(), 0.1), 1.0, kMaxMinLimit);
 }
--- a/src/policy/admission.h
+++ b/src/policy/admission.h
@@ -26,10 +26,10 @@
   [[nodiscard]] double Limit() const;
 
   /// Returns the response time in ms on which Limit() is based: a fraction of the latency objective, but no
-  /// more than a multiple of the response time of uncrowded servers.
+  /// more than a multiple of the response time of servers without queues.
   [[nodiscard]] double MaxResponseTime() const;
 
-  /// Decides at random whether to shed the request. The probability rises with the crowding of servers, and
+  /// Decides at random whether to shed the request. The probability rises with the load of the servers, and
   /// is higher for requests over their tenant's quota. Sheds only if traffic is sparse, because a limit of
   /// one or two attempts in flight is then too coarse.
   [[nodiscard]] bool ShouldShed(const Request& request) const;
--- a/src/policy/outlier_detection.cpp
+++ b/src/policy/outlier_detection.cpp
@@ -12,27 +12,29 @@
 // Duration of the first ejection if the detection interval is kDetectionInterval. The first ejection always
 // lasts one interval.
 constexpr Duration kBaseEjectionTime{2000};
-constexpr Duration kMaxEjectionTime{16000};  // time within which a recovered server is tried again
+constexpr Duration kMaxEjectionTime{16000};  // a recovered server is tried again within this time
 constexpr double kReturnJitterMin = 0.75;    // smallest factor of the ejection time if traffic is sparse
 constexpr double kReturnJitterRange = 0.5;
 static_assert(kMaxEjectionTime * (kReturnJitterMin + kReturnJitterRange) <= kMaxEjectionDuration);
 
-// With sparse traffic, a few attempts that all fail eject a host if the probability of such failures by
-// chance is below this.
+// With sparse traffic, a host is ejected after few attempts if all of them fail and the probability that this
+// happens by chance is below this value.
 constexpr double kSparseVolumeProbability = 0.01;
-// Failures do not eject if they are more probable than this at the usual failure rate.
+// A host is not ejected if its failures would occur at the usual failure rate with more than this
+// probability.
 constexpr double kMaxCoincidenceProbability = 0.001;
-// Failures that are assumed at other hosts before any are counted.
+// Number of failures that are assumed at other hosts before any are counted.
 constexpr double kPriorFailures = 0.1;
 // Smallest number of hosts with enough attempts for a comparison.
 constexpr int kMinimumHosts = 2;
 // Smallest failure share of an outlier. It is well above random fluctuation.
 constexpr double kThreshold = 0.4;
-// Largest share of ejected hosts. The others must be able to handle the load.
+// Largest share of hosts that are ejected at once, in percent. The others must be able to handle the load.
 constexpr double kMaxEjectionPercent = 50;
-// Largest share of hosts ejected because of peers' reports. Limits the effect of a peer with wrong reports.
+// Largest share of hosts that are ejected because of peers' reports, in percent. Limits the effect of a peer
+// with wrong reports.
 constexpr double kMaxPeerEjectedPercent = 25;
-// Share of the detected outliers that are ejected.
+// Share of the detected outliers that are ejected, in percent.
 constexpr double kEnforcingPercent = 100;
 
 }  // namespace
@@ -126,8 +128,8 @@
 
 bool OutlierDetector::MayEject() const { return 100.0 * ejected_hosts_ < kMaxEjectionPercent * hosts_; }
 
-// Returns the number of attempts needed to evaluate a host. With sparse traffic this number may be
-// smaller: so many attempts are unlikely to all fail by chance, given the failure share of the other hosts.
+// Returns the number of attempts needed to evaluate a host. With sparse traffic the number is smaller if even
+// fewer attempts are unlikely to all fail by chance, given the failure share of the other hosts.
 int OutlierDetector::MinRequestVolume(const Counts& others) const {
   const double others_share = (others.failures + kPriorFailures) / (others.attempts + 1);
   if (!is_traffic_sparse_ || others_share >= 1) return kRequestVolume;
@@ -135,7 +137,7 @@
                        std::ceil(std::log(kSparseVolumeProbability) / std::log(others_share)));
 }
 
-// Ejects the host and returns the ejection time by the backoff of A50.
+// Ejects the host. Returns the ejection time, which follows the backoff of gRFC A50.
 Duration OutlierDetector::Eject(HostHealth& host) {
   ++host.multiplier;
   ++ejected_hosts_;
--- a/src/policy/outlier_detection.h
+++ b/src/policy/outlier_detection.h
@@ -41,9 +41,9 @@
 
   /// Ejects a listed host that a peer has ejected, if the peer's counts would also cause an ejection by this
   /// proxy and not too many hosts are ejected because of peers' reports. `peer_ejected_hosts` is the number
-  /// of listed hosts ejected for that reason. Returns whether the host is ejected. The host returns at the
-  /// peer's time or after this proxy's own backoff, whichever is earlier, so that all proxies return it
-  /// together.
+  /// of listed hosts that are ejected because of peers' reports. Returns whether the host is ejected. The
+  /// host returns at the time that the peer reported or after this proxy's own backoff, whichever is earlier,
+  /// so that all proxies return it together.
   bool ApplyPeerEjection(HostHealth& host, const PeerEjection& peer, int peer_ejected_hosts, TimePoint now);
 
   /// Ejects a listed host that a former process of this proxy had ejected.
--- a/src/policy/request.cpp
+++ b/src/policy/request.cpp
@@ -20,7 +20,7 @@
     votes_ = std::min(kMaxTimeoutVotes, votes_ + 1);
     return true;
   }
-  if (is_client_retry) return false;  // the client's deadline may have shortened its time-out
+  if (is_client_retry) return false;  // the client's deadline may have shortened the retry's time-out
   --votes_;
   if (votes_ < 0) {
     usual_ = timeout;
--- a/src/policy/request.h
+++ b/src/policy/request.h
@@ -58,7 +58,7 @@
   ClassSettings rules{};  ///< settings of the request's class when the request arrived
   std::shared_ptr<ClassStatistics> statistics{};
   int max_attempts = 1;
-  double work = 1;   ///< hinted work or the mean, in ms on a standard core
+  double work = 1;   ///< hinted work, or the mean if there is no hint, in ms on a standard core
   double value = 0;  ///< priority weight that the response is expected to earn
   std::uint64_t key = 0;
   TimePoint arrived{};
--- a/src/policy/request_lifecycle.cpp
+++ b/src/policy/request_lifecycle.cpp
@@ -13,17 +13,17 @@
 namespace load_balancer {
 namespace {
 
-// Dispatching stops after this many queued requests that found no capacity.
+// DispatchQueued stops once it has failed to dispatch this many queued requests.
 constexpr int kMaxFailedDispatches = 8;
-// Largest hinted work, in ms. A larger hint is reduced to it.
+// Largest hinted work, in ms. A larger hint is reduced to this value.
 constexpr double kMaxWork = 1e6;
 // Time after a rejection for which no spare capacity is reported.
 constexpr Duration kRecentRejection{1000};
-// Smallest response rate, in responses per ms, in the estimate of the queueing time.
+// Smallest response rate that the estimate of the queueing time uses, in responses per ms.
 constexpr double kMinRate = 1e-3;
 // Minimum time that any request may spend in the queue, as a share of the latency objective.
 constexpr double kMinQueueShare = 0.25;
-// Ticks that a rejection needs to reach the client before its deadline.
+// A rejection is sent at least this many ticks before the client's deadline, so that it arrives in time.
 constexpr int kReplyTicks = 2;
 // Minimum time that any retry may spend in the queue, in ticks.
 constexpr int kRetryTicks = 4;
@@ -96,7 +96,7 @@
   Request* request = Find(body.request);
   if (!request) return;
   const bool was_queued = request->is_queued;
-  queue_.Remove(*request);  // the position depends on the time of arrival
+  queue_.Remove(*request);  // the position in the queue depends on the time of arrival
   request->is_body_pending = false;
   request->arrived = context_.now();
   request->due = body.due;
--- a/src/policy/retry_budget.h
+++ b/src/policy/retry_budget.h
@@ -16,7 +16,7 @@
   [[nodiscard]] bool HasToken() const { return tokens_ >= 1; }
 
  private:
-  // Limits a retry storm to a tenth of the traffic.
+  // Limits retries to a tenth of the first attempts, which prevents retry storms.
   static constexpr double kTokensPerFirstAttempt = 0.1;
   static constexpr double kMaxTokens = 20;
 
--- a/src/policy/retry_policy.cpp
+++ b/src/policy/retry_policy.cpp
@@ -6,7 +6,7 @@
 namespace load_balancer {
 namespace {
 
-// Share of the idempotency window in which a retry is sent. The rest is left for delays.
+// A retry is sent only within this share of the idempotency window. The rest is left for delays.
 constexpr double kWindowMargin = 0.9;
 
 bool MayDispatchAgain(const Request& request, const Attempt& first_run, TimePoint now) {
--- a/src/policy/server.h
+++ b/src/policy/server.h
@@ -61,7 +61,7 @@
 /// SlowStartState is the state that SlowStart keeps for a server.
 struct SlowStartState {
   std::vector<SentWork> sent;  ///< attempts sent within the overload window
-  TimePoint last_sent_at{};    ///< time of the last send, or of the start of slow start if it is later
+  TimePoint last_sent_at{};    ///< time of the last send, or of the beginning of slow start if that is later
   double wait_fraction = 1;    ///< fraction of the send interval that must pass before the next send
 };
 
--- a/src/policy/server_list.cpp
+++ b/src/policy/server_list.cpp
@@ -124,8 +124,8 @@
   detector_.SetVolumeInterval(Duration(volume_s * 1000));
   const auto evaluable_servers =
       static_cast<std::size_t>(requests_per_s * kDetectionInterval.count() / 1000 / kRequestVolume);
-  // The subset grows at once, but shrinks only if the number falls below half. This avoids frequent changes,
-  // as each server that is added needs a connection.
+  // The subset grows as soon as the number of evaluable servers rises, but shrinks only if that number falls
+  // below half. This avoids frequent changes, as each server that is added needs a connection.
   if (evaluable_servers <= evaluable_servers_ && evaluable_servers * 2 >= evaluable_servers_) return;
   evaluable_servers_ = evaluable_servers;
   UpdateSubset();
--- a/src/policy/server_list.h
+++ b/src/policy/server_list.h
@@ -33,7 +33,7 @@
   void ApplyPeerEjection(const PeerEjection& peer);
   void RestoreEjection(const RestoredEjection& restored);
 
-  /// Returns servers to service whose ejection time has passed; returns whether there were any.
+  /// Returns to service the servers whose ejection time has passed; returns whether there were any.
   bool ReturnDueServers();
   TimePoint next_return() const { return next_return_; }
 
@@ -88,7 +88,7 @@
   std::vector<ServerIndex> ring_, subset_;
   std::unordered_map<ServerId, ServerIndex> index_;
   std::set<ServerId> in_maintenance_;
-  std::size_t evaluable_servers_ = 0;  // servers for which this proxy's traffic reaches kRequestVolume
+  std::size_t evaluable_servers_ = 0;  // number of servers at which the traffic reaches kRequestVolume
   TimePoint next_return_ = kNever;
 };
 
--- a/src/policy/server_subset.cpp
+++ b/src/policy/server_subset.cpp
@@ -7,13 +7,14 @@
 namespace load_balancer {
 namespace {
 
-// Smallest subset. If half of it is ejected, there is still a choice among the rest.
+// Minimum number of servers in a subset. If half of them are ejected, there is still a choice among the rest.
 constexpr int kMinSubset = 8;
-// Smallest subset where hundreds of proxies share few servers.
+// The same minimum if hundreds of proxies share few servers.
 constexpr int kMinCrowdedSubset = 3;
 // Number of proxies with a connection to the same server above which subsets are made smaller.
 constexpr double kMaxConnections = 64;
-// At a lower cross_zone_price, an even choice among all zones is worth more than avoiding crossings.
+// At a lower cross_zone_price, spreading requests evenly over all zones is worth more than keeping them in
+// one zone.
 constexpr double kMinZonePrice = 0.02;
 constexpr double kGoldenRatio = 0.6180339887498949;
 
--- a/src/policy/slow_start.cpp
+++ b/src/policy/slow_start.cpp
@@ -12,7 +12,8 @@
 constexpr double kMinCores = 0.25;
 // Averaging time of the work rate of warm servers. It is long, as the servers' cores do not change.
 constexpr Duration kWarmRateMemory{30000};
-// Ratio of the budget's window to the overload window, which allows for delays.
+// Ratio of the window to which the budget applies to the overload window. The longer window allows for
+// delays.
 constexpr double kWindowFactor = 1.1;
 
 }  // namespace
@@ -57,7 +58,7 @@
   state.wait_fraction = 1;
 }
 
-// The rate is an average over all servers, as the responses of a single one are too few. A new proxy uses the
+// The rate is an average over all servers, as a single server sends too few responses. A new proxy uses the
 // work requested until it has enough attempts. The rate falls slowly, because during a rolling deploy there
 // may be no warm server to measure.
 void SlowStart::UpdateWarmRate(Duration elapsed) {
--- a/src/policy/slow_start.h
+++ b/src/policy/slow_start.h
@@ -23,7 +23,7 @@
   SlowStart(Context& context, const ServerList& servers, const TrafficStatistics& traffic)
       : context_(context), servers_(servers), traffic_(traffic) {}
 
-  /// Returns whether the server may be sent `work` now. Discards sends that have left the window.
+  /// Returns whether the server may be sent `work` now. Forgets sends that are older than the window.
   bool Admits(Server& server, double work) const;
 
   /// Records that the server is sent `work` now.
--- a/src/policy/statistics.cpp
+++ b/src/policy/statistics.cpp
@@ -7,7 +7,7 @@
 namespace load_balancer {
 namespace {
 
-constexpr double kMinGain = 0.02;  // weight of a sample after the first 50
+constexpr double kMinGain = 0.02;  // minimum weight of a new sample, reached after 50 samples
 
 }  // namespace
 
--- a/src/policy/traffic_statistics.cpp
+++ b/src/policy/traffic_statistics.cpp
@@ -7,7 +7,7 @@
 namespace load_balancer {
 namespace {
 
-// Number of attempts after which the rate of work served is used.
+// Number of ended attempts after which the rate of work served is used instead of the rate of work requested.
 constexpr int kEnoughAttempts = 10;
 // Averaging time of the rates of work.
 constexpr Duration kWorkRateMemory{8000};
@@ -18,11 +18,11 @@
 constexpr Duration kArrivalPause{1000};
 // Weight of a sample that raises the response rate of a new proxy.
 constexpr double kNewProxyGain = 0.7;
-// Weight of one response in the crowding.
+// Weight of one response in crowding_ and in latency_objective_used_.
 constexpr double kCrowdingGain = 0.1;
-// Decay time of the crowding.
+// Decay time of crowding_ and latency_objective_used_.
 constexpr Duration kCrowdingMemory{8000};
-// Largest crowding that one response counts as.
+// Largest ratio that one response counts as in these two averages.
 constexpr double kMaxCrowding = 16;
 // Weight of a response that raises time_per_work.
 constexpr double kTimePerWorkGain = 0.01;
--- a/src/policy/traffic_statistics.h
+++ b/src/policy/traffic_statistics.h
@@ -1,6 +1,6 @@
 // SPDX-License-Identifier: Apache-2.0
 /// @file
-/// Measurements of this proxy's traffic: the rates of requests and responses, and the crowding of servers.
+/// Measurements of this proxy's traffic: the rates of requests and responses, and the queueing at servers.
 #ifndef LOAD_BALANCER_SRC_POLICY_TRAFFIC_STATISTICS_H_
 #define LOAD_BALANCER_SRC_POLICY_TRAFFIC_STATISTICS_H_
 
@@ -36,11 +36,12 @@
   /// Returns the mean ratio of response time to latency objective.
   [[nodiscard]] double latency_objective_used() const { return latency_objective_used_; }
 
-  /// Returns the ratio of response time to that of uncrowded servers; 1 means that servers are not crowded.
+  /// Returns the ratio of the response time to that of servers without queues; 1 means that no requests
+  /// queue.
   [[nodiscard]] double crowding() const { return crowding_; }
 
-  /// Returns the ratio of response time to hinted work of large requests at uncrowded servers; 0 if it is not
-  /// known.
+  /// Returns the ratio of response time to hinted work of large requests at servers without queues; 0 if it
+  /// is not known.
   [[nodiscard]] double time_per_work() const { return time_per_work_; }
   [[nodiscard]] bool is_time_per_work_known() const;
 
@@ -59,7 +60,7 @@
   MeanAndDeviation request_work_;
   MeanAndDeviation latency_objective_;
   double latency_objective_used_ = 0;
-  double crowding_ = 3;  // a new proxy assumes that servers are crowded
+  double crowding_ = 3;  // a new proxy assumes that requests queue at servers
   int time_per_work_samples_ = 0;
   double time_per_work_ = 0;
   int samples_ = 0;
--- a/tests/fleet/lease_test.cpp
+++ b/tests/fleet/lease_test.cpp
@@ -78,8 +78,8 @@
     EXPECT_TRUE(cluster->WaitUntilAllAlive());
     return cluster;
   }
-  // Waits until one of the members logs, after its mark, that it holds the lease of discovery. Returns the
-  // index of that member, or 5 if none logs it in time.
+  // Waits until one of the members logs, after its mark in the log, that it holds the lease of discovery.
+  // Returns the index of that member, or 5 if none logs it in time.
   static std::size_t WaitForHolder(Cluster& cluster, const std::vector<std::size_t>& marks,
                                    const std::vector<std::size_t>& among) {
     const auto until = std::chrono::steady_clock::now() + kMaxWait;
@@ -121,7 +121,7 @@
     }
   }
 
-  // Returns the list entries s-1 to s-N, which all have the address of the one server.
+  // Returns the list entries s-1 to s-`count`, which all have the address of the one server.
   std::vector<nlohmann::json> Servers(int count) {
     std::vector<nlohmann::json> servers;
     for (int i = 1; i <= count; ++i)
--- a/tests/fleet/lease_voter_test.cpp
+++ b/tests/fleet/lease_voter_test.cpp
@@ -183,7 +183,8 @@
     leases.Receive(start, OptionsOf(3).voters[2], grant);
     EXPECT_FALSE(proof->IsValid(start));
     EXPECT_EQ(callbacks.sent.empty(), has_effects);
-    // The member must not request another token before the effects end, since that would end the vote, too.
+    // The member must not request another token before the effects end, since voters treat such a request as
+    // a release.
     leases.Resume(start);
     for (auto now = start; now < end; now += milliseconds(10)) leases.Tick(now, 9);
     const bool has_requested =
--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -41,7 +41,7 @@
   EXPECT_LT(sent[true], 45);
 }
 
-// A proxy that starts while the fleet is crowded must not take the slow responses for normal ones.
+// A proxy that starts while the fleet is overloaded must not take the slow responses for normal ones.
 TEST(Admission, ANewProxyAtACrowdedFleetShedsLoadByTheLatencyObjective) {
   Settings settings = DefaultSettings();
   settings.balancer_count = 400;
@@ -62,7 +62,7 @@
 TEST(Admission, QueuesRequestsBeyondTheLimitAndRejectsThemInTime) {
   Rig rig;
   rig.Servers(1);
-  // After this time, the high crowding that a new proxy assumes (see TrafficStatistics) has decayed.
+  // After this time, the queueing that a new proxy assumes (TrafficStatistics::crowding) has decayed.
   rig.Tick(10000), rig.Tick(10000);
   for (int i = 0; i < 4; ++i) ASSERT_TRUE(rig.Send(next_id++, 2, 10, 5000).has_value());
   EXPECT_FALSE(rig.Send(next_id++, 2, 10, 5000).has_value());
@@ -196,8 +196,8 @@
   EXPECT_FALSE(rig.SentTo(601).has_value());
 }
 
-// If a new proxy sent everything before it has measured a rate, it would cause queues at servers that last
-// much longer.
+// If a new proxy sent all requests before it has measured a response rate, it would cause queues at servers
+// that last until long after the rate is known.
 TEST(Admission, ANewProxyStartsWithASmallLimit) {
   Settings s = DefaultSettings();
   s.balancer_count = 2;
@@ -306,7 +306,8 @@
   EXPECT_EQ(rig.sent.size() - 4000, 19u) << "0.5 per ms x 3 x 10 ms is 15, and its deviation 3.9";
 }
 
-// With long latency objectives, queues at servers must not grow until they reduce the servers' capacity.
+// With long latency objectives, queues at servers must not grow so long that they reduce the servers'
+// capacity.
 TEST(Admission, LongLatencyObjectivesDoNotCrowdServers) {
   Settings settings = DefaultSettings();
   settings.classes[2].latency_objective = Duration(1000);
--- a/tests/policy/outlier_ejection_test.cpp
+++ b/tests/policy/outlier_ejection_test.cpp
@@ -36,7 +36,7 @@
 TEST(OutlierDetection, TheRequestVolumeIsCountedForEachServer) {
   Rig rig;
   rig.Servers(3);
-  // The other servers reach the volume. The attempts at server 1 do not count, as they are cancelled.
+  // The other servers reach the request volume. The attempts at server 1 do not count, as they are cancelled.
   RespondFromEachServer(rig, 3, 3, Outcome::kCancelled);
   RespondFromEachServer(rig, 2, 2);
   EXPECT_TRUE(IsInService(rig, 1));
@@ -63,8 +63,8 @@
 TEST(OutlierDetection, AFailureShareEqualToTheThresholdDoesNotEject) {
   Rig at;
   at.Servers(3);
-  // 2 failures of 5 are exactly 0.4. The successes come first, so that the share is not above the threshold
-  // earlier.
+  // 2 failures of 5 attempts are exactly the threshold of 0.4. The successes come first, so that the share is
+  // not above the threshold earlier.
   for (int i = 0; i < 5; ++i) RespondFromEachServer(at, 1, i >= 3 ? 1 : 0);
   EXPECT_TRUE(IsInService(at, 1));
   Rig over;
@@ -120,7 +120,7 @@
   SendBusyTraffic(rig);
   rig.Tick(1500);
   // The multiplier is 1 at the ejection, 0 at the return and 1 at the next ejection, which therefore lasts as
-  // long (gRFC A50, step 6b).
+  // long as the first (gRFC A50, step 6b).
   for (int round = 0; round < 3; ++round) {
     RespondFromEachServer(rig, 3, 3);
     EXPECT_FALSE(IsInService(rig, 1));
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -147,8 +147,9 @@
         sent_in_first_second += *s == 3, rig.EndAttempt(next_id - 1, 0, *s, Outcome::kOk);
     }
   }
-  // Each warm server does 400 x 10 ms of work every 600 ms, which is 6.7 per ms. A server in slow start does
-  // 0.1 to 0.19 of that in its first second, and fails at 3 times as much.
+  // Each of 400 proxies sends each warm server a request of 10 ms every 600 ms, so the server does 6.7 ms of
+  // work per ms. In its first second, a server in slow start has a capacity of 0.1 to 0.19 of that, 0.145 in
+  // the mean, and fails if it gets 3 times as much work.
   EXPECT_LE(sent_in_first_second * 10, 3 * 0.145 * 6.7 * 1000);
   EXPECT_GT(sent_in_first_second, 50) << "the server must be used";
 }
