--- a/model/lease/schedule.cpp
+++ b/model/lease/schedule.cpp
@@ -17,8 +17,8 @@
 constexpr milliseconds kPollInterval(100);
 constexpr int kMaxTermsToHolder =
     3;  // maximum time from the last fault to a holder, in lease terms; docs/leases.md states this bound
-constexpr double kUsedDriftFraction =
-    0.999;  // maximum offset of clock rates, as a fraction of the drift bound
+// Maximum offset of a clock rate from 1, as a fraction of the drift bound.
+constexpr double kUsedDriftFraction = 0.999;
 
 bool DoDisksSurvive(std::uint64_t seed, const ScheduleOptions& options) {
   return options.has_vote_files || seed % 2 == 1;
--- a/model/lease/search.cpp
+++ b/model/lease/search.cpp
@@ -113,8 +113,8 @@
   ClusterOptions one_fault;
   one_fault.max_faults = 1;
   one_fault.max_proofs = 0;
-  // A's first request is lost and released, and the release to B is late. B and C grant the second
-  // request.
+  // A's first request is lost, so A releases its token, and the release to B is late. B and C grant A's
+  // second request.
   const std::vector<Step> second_request{wait,       tick_a,      drop_second, drop_first, pass(3),
                                          tick_a,     drop_second, wait,        tick_a,     deliver(1),
                                          deliver(1), deliver(1),  deliver(1)};
--- a/tests/fleet/lease_voter_test.cpp
+++ b/tests/fleet/lease_voter_test.cpp
@@ -184,7 +184,7 @@
     EXPECT_FALSE(proof->IsValid(start));
     EXPECT_EQ(callbacks.sent.empty(), has_effects);
     // The member must not request another token before the effects end, since voters treat such a request as
-    // a release.
+    // a release of the previous token.
     leases.Resume(start);
     for (auto now = start; now < end; now += milliseconds(10)) leases.Tick(now, 9);
     const bool has_requested =
--- a/tests/policy/invariants_test.cpp
+++ b/tests/policy/invariants_test.cpp
@@ -210,8 +210,8 @@
 TEST(Invariants, ManyProxiesDoNotOverloadServersInSlowStart) {
   constexpr int kProxies = 60, kServers = 12;
   constexpr double kWork = 10, kEveryMs = 200, kWindow = 1000;
-  const double capacity =
-      kProxies * kWork / kEveryMs / kServers / 0.7;  // work per ms of a warm server, at a load of 0.7
+  // Work per ms that a warm server can do. The traffic uses 0.7 of it.
+  const double capacity = kProxies * kWork / kEveryMs / kServers / 0.7;
   std::size_t sent_in_slow_start = 0;
   for (std::uint64_t seed = 1; seed <= 5; ++seed) {
     SCOPED_TRACE(seed);
--- a/tests/policy/request_state_test.cpp
+++ b/tests/policy/request_state_test.cpp
@@ -100,8 +100,8 @@
   int retries = 0;
   for (; budget.HasToken(); ++retries) budget.RecordRetry();
   EXPECT_EQ(retries, 20);
-  budget.RecordRetry();  // a retry that adds no load is made without a token, and the number of tokens stays
-                         // at 0
+  // A retry that adds no load is made without a token, and the number of tokens stays at 0.
+  budget.RecordRetry();
   for (int attempt = 0; attempt < 9; ++attempt) budget.RecordFirstAttempt();
   EXPECT_FALSE(budget.HasToken());
   budget.RecordFirstAttempt();
--- a/tests/policy/server_state_test.cpp
+++ b/tests/policy/server_state_test.cpp
@@ -135,7 +135,7 @@
   PollsAt(1000);
   Update(ListKind::kCached);
   EXPECT_EQ(PollsAt(1000), 1u);
-  double delay = 500;  // a twentieth of the interval
+  double delay = 500;  // a twentieth of max_poll_interval
   double now = 1000;
   for (int failure = 0; failure < 3; ++failure, delay *= 2) {
     Update(ListKind::kFailed);
--- a/tests/policy/slow_start_test.cpp
+++ b/tests/policy/slow_start_test.cpp
@@ -21,8 +21,8 @@
   Rig rig;
   std::vector<ServerEntry> list = {Entry(1), Entry(2), Entry(3)};
   rig.List(list);
-  // Sends 30 ms of work every 10 ms and ends it at once, so that each warm server does about 1 ms of work per
-  // ms.
+  // Sends three requests of 10 ms of work every 10 ms and ends them at once, so that each of three warm
+  // servers does about 1 ms of work per ms.
   auto run = [&](double ms) {
     std::vector<std::pair<double, double>> sent;
     for (double t = 0; t < ms; t += 10) {
