--- a/src/fleet/node/lease_announcement.h
+++ b/src/fleet/node/lease_announcement.h
@@ -20,7 +20,7 @@
   std::chrono::milliseconds left{0};  ///< remaining time of the lease
 };
 
-/// Returns the key of the fenced value that announces the holder of the duty.
+/// Returns the key of the fenced value that announces the lease holder of the role `duty`.
 std::string AnnouncementKey(const std::string& duty);
 
 /// Returns the announcement as the content of a fenced value.
--- a/src/fleet/node/lease_participant.h
+++ b/src/fleet/node/lease_participant.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// The leases of a node: its votes as a voter, its role in each duty, and the announcements of the leases
-/// that it holds.
+/// The leases of a node: its votes as a voter, its status for each leased role, and the announcements of the
+/// leases that it holds.
 #ifndef LOAD_BALANCER_FLEET_NODE_LEASE_PARTICIPANT_H_
 #define LOAD_BALANCER_FLEET_NODE_LEASE_PARTICIPANT_H_
 
@@ -32,7 +32,7 @@
     virtual ~Host() = default;
     virtual void SendLease(const Udp::endpoint& to, const LeaseMessage& message) = 0;
     /// Publishes a value with the token of a lease. The value expires after `lifetime`. Fails with
-    /// kLeaseExpired if the proof is no longer valid.
+    /// kLeaseExpired if the lease proof is no longer valid.
     virtual Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                                  Span lifetime) = 0;
   };
@@ -42,10 +42,10 @@
                    const NodeOptions& options, FleetListener& listener, Host& host)
       : section_(section), name_(name), seed_(seed), options_(options), listener_(listener), host_(host) {}
 
-  /// Returns whether the fleet's duties have leases. Without leases every process performs every duty.
+  /// Returns whether the fleet's roles have leases. Without leases every process performs every role.
   bool has_leases() const { return section_.lease_term.count() > 0; }
-  /// Starts voting and acquiring leases, if the duties have leases. Call this only after the process has
-  /// bound its address: the previous process, which uses the same vote file, has stopped voting by then.
+  /// Starts voting and acquiring leases, if the roles have leases. Call this only after the process has bound
+  /// its address: the previous process, which uses the same vote file, has stopped voting by then.
   void Start(std::uint64_t incarnation);
   /// Releases all leases and requests none until Resume is called.
   void Release();
@@ -58,22 +58,22 @@
   /// Processes the announcement of another holder. Returns false if the value is not an announcement.
   bool ReceiveAnnouncement(const FencedValue& fenced);
 
-  /// Returns the highest known token of each duty. The map is empty before Start.
+  /// Returns the highest known token of each leased role. The map is empty before Start.
   std::map<std::string, FencingToken> HighestTokens() const;
   /// Ensures that future tokens are higher than those in `tokens`.
   void RaiseTokens(const std::map<std::string, FencingToken>& tokens);
 
-  /// Returns whether this process must perform the duty; node.h lists the cases.
+  /// Returns whether this process must perform the leased role `duty`; node.h lists the cases.
   bool IsResponsibleFor(const std::string& duty) const;
-  /// Returns the proof that this process holds the duty's lease, or nothing if it does not.
+  /// Returns the proof that this process holds the lease of the role, or nothing if it does not.
   std::optional<LeaseProof> ProveLease(const std::string& duty) const;
-  /// Returns whether another member is known to hold the duty's lease.
+  /// Returns whether another member is known to hold the lease of the role.
   bool IsFollowerOf(const std::string& duty) const;
-  /// Returns the token of the duty's lease if this process holds it, and 0 otherwise.
+  /// Returns the fencing token of the role's lease if this process holds it, and 0 otherwise.
   FencingToken HeldToken(const std::string& duty) const;
-  /// Returns the known holder of the duty's lease, or an empty string.
+  /// Returns the known holder of the role's lease, or an empty string.
   std::string HolderOf(const std::string& duty) const;
-  /// Returns one line with every duty; Node::DescribeLeases documents the format.
+  /// Returns one line with every leased role; Node::DescribeLeases documents the format.
   std::string Describe() const;
 
  private:
--- a/src/fleet/node/node.h
+++ b/src/fleet/node/node.h
@@ -51,7 +51,7 @@
   /// of the next one are higher.
   struct SavedState {
     std::uint64_t incarnation = 0;
-    std::map<std::string, FencingToken> tokens;  ///< by duty
+    std::map<std::string, FencingToken> tokens;  ///< by leased role
   };
   SavedState Save() const;
   /// Adopts the state of the previous incarnation. Call this before the event loop runs.
@@ -61,21 +61,21 @@
   void Announce(Ejection ejection) { state_.Announce(std::move(ejection)); }
   void Announce(KeyAffinity affinity) { state_.Announce(std::move(affinity)); }
 
-  /// Returns whether this process must perform the duty: it holds the lease, duties have no leases, or there
-  /// is no quorum of voters and the duty is of kind kAvailable.
+  /// Returns whether this process must perform the leased role `duty`: it holds the lease, roles have no
+  /// leases, or there is no quorum of voters and the role is of kind kAvailable.
   bool IsResponsibleFor(const std::string& duty) const { return leases_.IsResponsibleFor(duty); }
-  /// Returns the proof that this process holds the duty's lease, or nothing if it does not.
+  /// Returns the proof that this process holds the lease of the role, or nothing if it does not.
   std::optional<LeaseProof> ProveLease(const std::string& duty) const { return leases_.ProveLease(duty); }
-  /// Returns whether duties have leases. Without leases every process performs every duty.
+  /// Returns whether roles have leases. Without leases every process performs every role.
   bool has_leases() const { return leases_.has_leases(); }
-  /// Returns whether another member is known to hold the duty's lease.
+  /// Returns whether another member is known to hold the lease of the role.
   bool IsFollowerOf(const std::string& duty) const { return leases_.IsFollowerOf(duty); }
-  /// Returns the token of the duty's lease if this process holds it, and 0 otherwise.
+  /// Returns the fencing token of the role's lease if this process holds it, and 0 otherwise.
   FencingToken HeldToken(const std::string& duty) const { return leases_.HeldToken(duty); }
-  /// Returns the known holder of the duty's lease, or an empty string.
+  /// Returns the known holder of the role's lease, or an empty string.
   std::string HolderOf(const std::string& duty) const { return leases_.HolderOf(duty); }
-  /// Publishes a value with the token of the proof's lease. The value expires after `lifetime`. Fails with
-  /// kLeaseExpired if the proof is no longer valid.
+  /// Publishes a value with the fencing token of the lease that `proof` proves. The value expires after
+  /// `lifetime`. Fails with kLeaseExpired if the proof is no longer valid.
   Result<void> Publish(const LeaseProof& proof, const std::string& key, nlohmann::json value,
                        Span lifetime) override;
   /// Publishes several values in as few messages as possible.
@@ -85,15 +85,15 @@
   /// payload. The payload may also be lost, like any datagram. Returns false and sends nothing if the
   /// channel's name is empty or exceeds kMaxChannelBytes, or if the payload exceeds kMaxPayloadBytes.
   bool Send(const Udp::endpoint& to, std::string channel, nlohmann::json payload);
-  /// Sets the handler of the payloads that arrive on a channel.
+  /// Sets the function that handles the payloads that arrive on a channel.
   void Subscribe(std::string channel, PayloadHandler handler) {
     subscriptions_.Subscribe(std::move(channel), std::move(handler));
   }
   /// Returns the membership, or null until the process has bound its address.
   const Membership* membership() const { return membership_ ? &*membership_ : nullptr; }
 
-  /// Returns one line with every duty as "duty role holder=H token=N left=SECONDSs kind=K", separated by
-  /// commas. The line is empty before this process participates in leases.
+  /// Returns one line with every leased role as "duty role holder=H token=N left=SECONDSs kind=K", separated
+  /// by commas. The line is empty before this process participates in leases.
   std::string DescribeLeases() const { return leases_.Describe(); }
   /// Returns one line about the shared state; the format is described in describe.h.
   std::string DescribeState();
--- a/src/fleet/node/node_options.h
+++ b/src/fleet/node/node_options.h
@@ -12,12 +12,13 @@
 
 namespace load_balancer::fleet {
 
-/// The duties of a site's fleet: polling discovery for the list of servers, and changing the maintenance set.
+/// The leased roles of a site's fleet: polling discovery for the list of servers, and changing the
+/// maintenance set.
 inline constexpr char kDiscoveryDuty[] = "discovery";
 inline constexpr char kMaintenanceDuty[] = "maintenance";
 
-/// Returns the duties of a site's fleet. Without a quorum of voters every member polls discovery, and no
-/// member changes the maintenance set.
+/// Returns the leased roles of a site's fleet. Without a quorum of voters every member polls discovery, and
+/// no member changes the maintenance set.
 inline std::vector<LeasedRole> SiteLeasedRoles() {
   return {{kDiscoveryDuty, LeasedRoleKind::kAvailable}, {kMaintenanceDuty, LeasedRoleKind::kExclusive}};
 }
--- a/src/fleet/node/send_budget.h
+++ b/src/fleet/node/send_budget.h
@@ -14,7 +14,7 @@
 
 namespace load_balancer::fleet {
 
-/// Limits the bytes sent to `max_bytes_per_second`, with bursts of up to one second's worth.
+/// Limits the bytes sent to `max_bytes_per_second`, with bursts of up to the bytes of one second.
 class SendBudget {
  public:
   /// The share of the capacity that bulk traffic must leave for probes, leases and other urgent messages.
--- a/src/fleet/state/gossip.h
+++ b/src/fleet/state/gossip.h
@@ -29,8 +29,8 @@
    public:
     virtual ~MessageSender() = default;
     virtual void Send(const Udp::endpoint& to, const Message& message) = 0;
-    /// Sends a message with replicated state, which is not urgent. Returns false and sends nothing if the
-    /// remaining bandwidth is reserved for other messages.
+    /// Sends a message with replicated state, which has a lower priority than probes and leases. Returns
+    /// false and sends nothing if the remaining bandwidth is reserved for other messages.
     [[nodiscard]] virtual bool TrySend(const Udp::endpoint& to, const Message& message) = 0;
   };
 
@@ -81,7 +81,7 @@
   Membership* membership_ = nullptr;
   bool has_joined_ = false;
   std::optional<std::uint64_t> joining_digest_;  // state digest of the last peer that sent its complete table
-  std::uint64_t last_start_hash_;                // start hash of the last answer
+  std::uint64_t last_start_hash_;                // hash at which the last answer started
 };
 
 }  // namespace load_balancer::fleet
--- a/src/fleet/state/state.h
+++ b/src/fleet/state/state.h
@@ -39,8 +39,8 @@
    public:
     /// Called for each entry of another member that was accepted.
     virtual void OnAccepted(const Entry& entry) = 0;
-    /// Called for each entry that was rejected because of a fault. `subject` is the server or the key of the
-    /// fenced value. `subject` and `origin` are empty if the entry is malformed.
+    /// Called for each entry that was rejected because of a fault of its sender. `subject` is the server or
+    /// the key of the fenced value. `subject` and `origin` are empty if the entry is malformed.
     virtual void OnRejected(const std::string& subject, const std::string& origin,
                             EntryRejection rejection) = 0;
   };
