--- a/model/fault.cpp
+++ b/model/fault.cpp
@@ -21,7 +21,7 @@
   return Moment(std::uniform_int_distribution<Moment::rep>(min.count(), max.count())(random));
 }
 
-// Draws how many machines a fault affects.
+// Draws the number of machines that a fault affects.
 std::size_t DrawMachineCount(Kind kind, std::size_t machines, std::mt19937_64& random) {
   const auto draw_up_to = [&](std::size_t max) {
     return std::uniform_int_distribution<std::size_t>(1, std::max<std::size_t>(1, max))(random);
--- a/model/fleet/federation.h
+++ b/model/fleet/federation.h
@@ -19,7 +19,7 @@
   std::size_t sites = 1, members = 5;  // number of sites and of members of each site
   fleet::FleetSection fleet;           // configuration of each site's pool; Federation sets the seeds
   std::size_t seeds = 3;  // number of seeds of each site: its first members, which are the voters
-  std::vector<fleet::LeasedRole> duties;  // leased duties of each site
+  std::vector<fleet::LeasedRole> duties;  // leased roles of each site
   bool federated = false;                 // whether there is also a pool of all gateways
   fleet::FleetSection federation_pool;    // configuration of that pool; Federation sets the seeds
   std::size_t federation_seeds = 3;       // number of seeds of that pool, taken from the sites in turn
@@ -44,7 +44,7 @@
   World& world() { return world_; }
   const FederationOptions& options() const { return options_; }
   std::size_t size() const { return options_.sites * options_.members; }
-  // Returns the machine of a member of a site.
+  // Returns the number of the machine on which a site's member runs.
   std::size_t MachineIndex(std::size_t site, std::size_t member) const {
     return site * options_.members + member;
   }
@@ -53,7 +53,7 @@
   FleetProgram* program(std::size_t machine);
   // Returns the PoolMember of a machine in a pool, or null if the machine is down or there is no such pool.
   PoolMember* member(std::size_t machine, std::size_t pool);
-  // Returns all machines of the machine's pool, including itself.
+  // Returns the numbers of all machines in the machine's pool, including the machine itself.
   std::vector<std::size_t> PoolOf(std::size_t machine, std::size_t pool) const;
 
  private:
@@ -74,7 +74,8 @@
 // Returns one line for each running member whose shared state differs from that of the first running member
 // of its pool.
 std::vector<std::string> FindDifferingStates(Federation& federation, std::size_t pool);
-// Returns the running members of the machine's pool that hold the duty's lease according to their own clocks.
+// Returns the running members of the machine's pool that hold the lease of the role `duty` according to their
+// own clocks.
 std::vector<std::size_t> FindHolders(Federation& federation, std::size_t machine, std::size_t pool,
                                      const std::string& duty);
 
--- a/model/fleet/member.cpp
+++ b/model/fleet/member.cpp
@@ -138,7 +138,7 @@
 void PoolMember::Send(const Endpoint& to, const Message& message) {
   Message complete = message;
   gossip_.AttachState(host_.Wall(), &complete);
-  // Piggybacked state can be delayed, as in fleet::Transport.
+  // As in fleet::Transport, the message is sent without piggybacked state if only reserved bandwidth is left.
   if (!complete.state.is_null()) {
     if (TrySend(to, complete)) return;
     complete.state = nullptr;
--- a/model/fleet/member.h
+++ b/model/fleet/member.h
@@ -70,9 +70,10 @@
   // Disseminate an observation of this process to the other members.
   void Announce(fleet::Ejection ejection);
   void Announce(fleet::KeyAffinity affinity);
-  // Publishes a value of a duty for `lifetime`. Does nothing unless this member holds the duty's lease.
+  // Publishes a value of the leased role `duty` for `lifetime`. Does nothing unless this member holds the
+  // lease of the role.
   void Publish(const std::string& duty, const std::string& key, nlohmann::json value, Span lifetime);
-  // Publishes several values of a duty at once.
+  // Publishes several values of the role at once.
   void Publish(const std::string& duty, std::vector<fleet::NamedValue> values, Span lifetime);
   // Publish values under a lease of any pool. Return false and publish nothing if the proof is no longer
   // valid.
@@ -92,7 +93,7 @@
   const fleet::Leases* leases() const { return leases_ ? &*leases_ : nullptr; }
   bool HoldsLease(const std::string& duty) const;
   std::optional<fleet::LeaseProof> ProveLease(const std::string& duty) const;
-  // Returns the name of the member that is known to hold the duty's lease, or an empty string.
+  // Returns the name of the member that is known to hold the lease of the role, or an empty string.
   std::string HolderOf(const std::string& duty) const;
   // Returns the number of lease failures that require an operator.
   std::uint64_t failures() const { return failures_; }
--- a/model/fleet/votes.h
+++ b/model/fleet/votes.h
@@ -28,8 +28,9 @@
     std::sort(voters_.begin(), voters_.end());
   }
 
-  // Returns the stored votes, adopted for the current set of voters as in VoteFile::Load, or the error of
-  // AdoptVotes. Returns nothing if the disk is new; the votes of earlier incarnations are then unknown.
+  // Returns the stored votes after AdoptVotes has adapted them to the current set of voters, as
+  // VoteFile::Load does. Returns the error if AdoptVotes fails. Returns nothing if the disk is new; the votes
+  // of earlier incarnations are then unknown.
   Result<std::optional<fleet::StoredVotes>> Load() {
     const auto found = disk_.find(key_);
     if (found == disk_.end()) return std::nullopt;
--- a/model/network.h
+++ b/model/network.h
@@ -57,7 +57,7 @@
   // Sets `delays` to one delay for each copy of a packet that arrives. There are at most two copies.
   void DrawDelays(std::size_t from, std::size_t to, std::mt19937_64& random,
                   std::vector<Moment>* delays) const;
-  // Returns whether no cut or partition blocks packets between the machines.
+  // Returns whether packets from one machine to the other are not blocked by a cut or partition.
   bool Connected(std::size_t from, std::size_t to) const;
   // Returns the link between two machines including the current faults.
   Link LinkBetween(std::size_t from, std::size_t to) const;
--- a/model/program.h
+++ b/model/program.h
@@ -57,7 +57,7 @@
   // Called when the machine's monotonic clock has reached Next(). The call is late after a stall.
   virtual void Tick() = 0;
   // Returns the time of the next tick, or Time::max() if there is none. The machine calls this function after
-  // each other call of the program.
+  // each call of another function of the program.
   virtual Time Next() const = 0;
 };
 
--- a/model/shrink.h
+++ b/model/shrink.h
@@ -12,9 +12,9 @@
 
 namespace load_balancer::model {
 
-// Returns a minimal subset of the faults, in their order, for which `fails` returns true. If any single fault
-// is removed from this subset, `fails` returns false. Returns all faults if `fails` returns false for all of
-// them. Calls `fails` at most about n^2 times for n faults.
+// Returns a minimal subset of the faults, in their original order, for which `fails` returns true. If any
+// single fault is removed from this subset, `fails` returns false. Returns all faults if `fails` returns
+// false for all of them. Calls `fails` at most about n^2 times for n faults.
 std::vector<Fault> Shrink(std::vector<Fault> faults,
                           const std::function<bool(const std::vector<Fault>&)>& fails);
 
--- a/src/fleet/federation/section.cpp
+++ b/src/fleet/federation/section.cpp
@@ -28,7 +28,8 @@
   return "gateways." + site + "." + gateway;
 }
 
-// Names occur in messages, headers and answers to operators, which use the excluded characters as separators.
+// Names occur in messages, in headers and in answers to operators. The excluded characters are separators
+// there.
 bool IsNameCharacter(unsigned char c) { return c > ' ' && c < 0x7f && c != '/' && c != ',' && c != ';'; }
 
 bool IsValidName(const std::string& name) {
--- a/src/fleet/node/lease_participant.cpp
+++ b/src/fleet/node/lease_participant.cpp
@@ -111,7 +111,7 @@
 }
 
 bool LeaseParticipant::IsResponsibleFor(const std::string& duty) const {
-  // An exclusive duty requires a lease, and before Start this process cannot have one.
+  // An exclusive role requires a lease, and before Start this process cannot have one.
   if (!leases_) return !has_leases() || !IsExclusive(duty);
   const LeaseStatus status = leases_->status(Steady::now(), duty);
   return status == LeaseStatus::kHolder || status == LeaseStatus::kStandalone;
--- a/src/fleet/node/limit_share.cpp
+++ b/src/fleet/node/limit_share.cpp
@@ -48,8 +48,8 @@
 
 // Returns the number of members among which the limit is divided. These include all present members. They
 // also include dead members unless the present ones are a majority of all known members, because dead members
-// may be on the other side of a partition and continue to serve. A member that sees no other member counts at
-// least the seeds.
+// may be on the other side of a partition and continue to serve. If this member sees no other member as
+// present, the result is at least the number of seeds.
 std::size_t LimitShare::CountHolders() const {
   std::size_t dead = 0;
   for (const auto& [name, member] : membership_->others())
--- a/src/fleet/node/limit_share.h
+++ b/src/fleet/node/limit_share.h
@@ -23,8 +23,8 @@
   LimitShare(boost::asio::io_context& io, const FleetSection& section, std::string component,
              FleetListener& listener);
 
-  /// Sets the membership to count. `membership` must remain valid until Stop is called or this object is
-  /// destroyed.
+  /// Sets the membership whose members are counted. `membership` must remain valid until Stop is called or
+  /// this object is destroyed.
   void Join(const Membership* membership) { membership_ = membership; }
   /// Sets the share to 1 until enough time has passed for the other members to learn of this one. Call this
   /// whenever they may not count this member yet.
--- a/src/fleet/node/transport.h
+++ b/src/fleet/node/transport.h
@@ -29,7 +29,7 @@
   std::string fleet;      ///< name of the fleet; messages of other fleets are dropped
   Udp::endpoint bind;
   std::chrono::milliseconds retry_interval{1000};  ///< time between attempts to bind the address
-  double max_bytes_per_second = 65536;  ///< limit of bytes sent, with bursts of up to one second's worth
+  double max_bytes_per_second = 65536;             ///< maximum rate; a burst may have the bytes of one second
 };
 
 /// Sends and receives the messages of one member.
--- a/src/fleet/section.h
+++ b/src/fleet/section.h
@@ -35,7 +35,7 @@
   int server_limit = 0;              ///< maximum requests in flight at a server, over all members; 0: none
   int affinity_entries = 0;          ///< maximum number of stored affinities; 0 means that none are shared
   Milliseconds affinity_ttl{4000};   ///< time for which a server is assumed to be warm for a key
-  Milliseconds lease_term{0};        ///< term of the lease of a duty; 0 means no leases
+  Milliseconds lease_term{0};        ///< term of the lease of a role; 0 means no leases
   Milliseconds lease_drift{100};     ///< maximum drift between two members' clocks over a term
   Milliseconds max_clock_skew{500};  ///< maximum lead of a member's wall clock over another's
 };
--- a/src/fleet/state/anti_entropy.h
+++ b/src/fleet/state/anti_entropy.h
@@ -33,8 +33,8 @@
                                         const DigestRange& range, std::size_t max_bytes);
 
 /// Packs the stored entries of the buckets whose digests differ from `peer_digests`. Returns at most
-/// `max_chunks` chunks of at most `max_bytes` each, in the order of the entries' hashes, which begins at
-/// `start` and wraps around.
+/// `max_chunks` chunks of at most `max_bytes` each. The entries are in the order of their hashes: first those
+/// from `start` upwards, then those below `start`.
 std::vector<Chunk<nlohmann::json>> PackDiffering(const EntryStore& store, const BucketDigests& peer_digests,
                                                  std::uint64_t start, std::size_t max_bytes,
                                                  std::size_t max_chunks);
--- a/src/fleet/state/entry.h
+++ b/src/fleet/state/entry.h
@@ -38,7 +38,7 @@
   int attempts = 0;
 };
 
-/// KeyAffinity names the server that last received a request with this affinity key.
+/// KeyAffinity names the server that last received a request with the affinity key `key`.
 struct KeyAffinity {
   std::uint64_t key = 0;
   std::string server;
--- a/src/fleet/state/entry_key.h
+++ b/src/fleet/state/entry_key.h
@@ -31,8 +31,8 @@
   auto operator<=>(const KeyAffinityKey&) const = default;
 };
 
-/// EntryKey is the key of an entry of any kind. Keys are ordered by kind, then by value. Members compute the
-/// digests that they compare in this order, so the order is part of the protocol.
+/// EntryKey is the key of an entry of any kind. Keys are ordered by kind, then by value. ComputeDigest reads
+/// the entries in this order and members compare its results, so the order is part of the protocol.
 using EntryKey = std::variant<FencedValueKey, EjectionKey, KeyAffinityKey>;
 
 /// Returns the key of an entry.
--- a/src/fleet/state/entry_rejection.h
+++ b/src/fleet/state/entry_rejection.h
@@ -16,7 +16,7 @@
   kMalformed,    ///< the entry cannot be decoded
   kUnlisted,     ///< discovery does not list the server that the entry names
   kStale,        ///< the entry has already expired
-  kFuture,       ///< the timestamp is further ahead than StateOptions::max_clock_skew
+  kFuture,       ///< the timestamp is ahead of the wall clock by more than max_clock_skew
   kImplausible,  ///< the entry lasts too long, or its counts contradict each other
   kFenced,       ///< the fencing token is below the highest one seen for the role
   kOversized,    ///< the entry exceeds kMaxEntryBytes or kMaxValueBytes
--- a/src/fleet/state/entry_store.h
+++ b/src/fleet/state/entry_store.h
@@ -55,7 +55,8 @@
 
   /// Returns the entries that are still to be sent, least sent first.
   const std::set<PendingTransmit>& pending() const { return pending_; }
-  /// Counts a message that carried the entry. After `max_transmits` messages the entry is no longer pending.
+  /// Records that one more message has carried the entry. After `max_transmits` messages the entry is no
+  /// longer pending.
   void CountTransmit(const EntryKey& key, int max_transmits);
 
  private:
--- a/src/fleet/state/gossip.cpp
+++ b/src/fleet/state/gossip.cpp
@@ -49,8 +49,8 @@
   return CompletesJoin(now, message);
 }
 
-// A joining member is up to date once its state has the digest that a peer sent with its complete member
-// table.
+// Returns whether this message completes the join. A joining member is up to date once the digest of its
+// state equals the digest that a peer has sent with the peer's complete member table.
 bool StateGossip::CompletesJoin(UnixMs now, const Message& message) {
   const bool has_table = message.kind == Message::Kind::kSync && (!message.updates.empty() || message.range);
   if (has_table) joining_digest_ = message.state_digest;
@@ -67,8 +67,8 @@
 }
 
 // Answers a sync from a member of an older version, which sends no bucket digests. If the digests differ,
-// this member sends all its entries. It also requests a sync if the peer wants a reply, because this member
-// may be the one that lacks entries.
+// this member sends all its entries. If the peer wants a reply, this member also sends a sync with its own
+// digest, so that the peer sends the entries that this member lacks.
 void StateGossip::AnswerDigest(UnixMs now, const Message& message) {
   if (message.state_digest == state_.ComputeDigest(now)) return;
   const Udp::endpoint& from = message.sender.address;
--- a/src/fleet/state/state.h
+++ b/src/fleet/state/state.h
@@ -39,8 +39,9 @@
    public:
     /// Called for each entry of another member that was accepted.
     virtual void OnAccepted(const Entry& entry) = 0;
-    /// Called for each entry that was rejected because of a fault of its sender. `subject` is the server or
-    /// the key of the fenced value. `subject` and `origin` are empty if the entry is malformed.
+    /// Called for each rejected entry, except if the reason is kNotNewer or kNotShared, which are not faults.
+    /// `subject` is the server or the key of the fenced value. `subject` and `origin` are empty if the entry
+    /// is malformed.
     virtual void OnRejected(const std::string& subject, const std::string& origin,
                             EntryRejection rejection) = 0;
   };
@@ -67,7 +68,7 @@
   /// several members. The push does not count as a transmission, because one local fault may lose all of its
   /// datagrams.
   PackedPush PackPush(UnixMs now, std::size_t max_bytes);
-  /// Marks entries as pushed. PackPush skips an entry that is marked until the entry changes.
+  /// Marks entries as pushed. PackPush skips a marked entry until the entry changes.
   void MarkPushed(const std::vector<EntryKey>& keys);
   /// Packs all entries, in arrays of at most `max_bytes` each.
   std::vector<nlohmann::json> PackAll(UnixMs now, std::size_t max_bytes);
@@ -103,7 +104,7 @@
   };
   /// Summarizes the entries that are stored at `now`.
   Summary Summarize(UnixMs now);
-  /// Returns the ejections of all members that are in force at `now`.
+  /// Returns the ejections, by any member, that are in force at `now`.
   std::vector<Entry> Ejections(UnixMs now);
 
  private:
--- a/src/fleet/state/state_options.h
+++ b/src/fleet/state/state_options.h
@@ -12,15 +12,15 @@
 
 namespace load_balancer::fleet {
 
-/// StateOptions configures the replicated state of one member.
+/// StateOptions configures the replicated state of one member. Times are in milliseconds.
 struct StateOptions {
   std::string name;                  ///< name of this member
   bool share_ejections = true;       ///< whether members exchange ejections
   std::size_t affinity_entries = 0;  ///< maximum number of stored affinities; 0: none are exchanged
   UnixMs affinity_ttl = 4000;        ///< time from the timestamp of an affinity to its expiry
-  UnixMs max_clock_skew = 500;       ///< largest lead of a timestamp over this member's wall clock
+  UnixMs max_clock_skew = 500;       ///< maximum time by which a timestamp is ahead of the wall clock
   UnixMs max_ejection = 0;           ///< longest time from the timestamp of an ejection to its end
-  UnixMs propagation_time = 0;       ///< longest time in which an ejection reaches a member
+  UnixMs propagation_time = 0;       ///< longest time that an ejection takes to reach a member
 };
 
 /// Returns the time at which the entry expires and is erased.
--- a/src/fleet/sync/bucket_digests.h
+++ b/src/fleet/sync/bucket_digests.h
@@ -39,8 +39,8 @@
 class BucketDigests {
  public:
   explicit BucketDigests(std::size_t count) : digests_(count) {}
-  /// Returns a valid number of buckets. With this number, each bucket contains about four of `entries`
-  /// entries.
+  /// Returns a valid number of buckets for a set of `entries` entries. Unless the number is limited by
+  /// kMinBuckets or kMaxBuckets, a bucket contains about two to four entries on average.
   static std::size_t CountFor(std::size_t entries);
   /// Decodes the result of Pack. Returns nullopt if the size is invalid.
   static std::optional<BucketDigests> Unpack(std::span<const std::uint8_t> packed);
@@ -60,8 +60,8 @@
 };
 
 /// DigestRange is the part of the hash space for which a message lists every entry that its sender stores. It
-/// contains the hashes in `buckets` from `first` to `last`, both inclusive, and wraps around the end of the
-/// hash space.
+/// contains the hashes in `buckets` from `first` to `last`, both inclusive. If `last` is smaller than
+/// `first`, the range continues at zero after the largest hash.
 struct DigestRange {
   BucketSet buckets;
   std::uint64_t first = 0;
--- a/src/fleet/sync/chunks.h
+++ b/src/fleet/sync/chunks.h
@@ -31,9 +31,10 @@
   std::vector<Entry> entries;
 };
 
-/// Splits the entries that are in `buckets` into chunks of at most `max_bytes` each, in the order of their
-/// hashes, which begins at `start` and wraps around. Returns at least one and at most `max_chunks` chunks.
-/// Their ranges together cover the whole hash space, unless the last one is marked as truncated.
+/// Splits the entries that are in `buckets` into chunks of at most `max_bytes` each. The entries are in the
+/// order of their hashes: first those from `start` upwards, then those below `start`. Returns at least one
+/// and at most `max_chunks` chunks. Their ranges together cover the whole hash space, unless the last one is
+/// marked as truncated.
 template <typename Entry>
 std::vector<Chunk<Entry>> SplitIntoChunks(std::vector<HashedEntry<Entry>> entries, const BucketSet& buckets,
                                           std::uint64_t start, std::size_t max_bytes,
--- a/src/fleet/wire/decode.cpp
+++ b/src/fleet/wire/decode.cpp
@@ -11,8 +11,8 @@
 
 using nlohmann::json;
 
-// Number of elements in the array of an update and in the array of a lease message from members of older
-// versions.
+// Number of elements in the array of an update and in the array of a lease message that a member of an older
+// version has sent.
 constexpr std::size_t kUpdateFields = 4;
 constexpr std::size_t kLeaseFields = 6;
 constexpr std::size_t kBitsPerByte = 8;
--- a/src/fleet/wire/message.h
+++ b/src/fleet/wire/message.h
@@ -56,7 +56,7 @@
     kPing,     ///< direct probe, as in SWIM
     kPingReq,  ///< request for an indirect probe, as in SWIM
     kAck,      ///< answer to a probe, as in SWIM
-    kNack,     ///< message of a helper whose indirect probe was not answered yet, as in Lifeguard
+    kNack,     ///< report that an indirect probe was not answered yet, as in Lifeguard
     kSync,     ///< exchange of membership tables
     kState,    ///< replicated state without membership
     kLease,    ///< request or answer of the lease protocol
@@ -67,7 +67,7 @@
 
   Kind kind = Kind::kPing;
   Update sender;                 ///< the sender's claim about itself: alive or left
-  std::uint64_t sequence = 0;    ///< sequence of the probe to which the message belongs
+  std::uint64_t sequence = 0;    ///< sequence number of the probe to which the message belongs
   std::string target;            ///< name of the member that is or should be probed
   Udp::endpoint target_address;  ///< address of the target
   /// In a kSync without `range`: requests the receiver's member table if the tables differ. In a message with
--- a/src/state/section.h
+++ b/src/state/section.h
@@ -1,7 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 /// \file
-/// Reads the configuration section `state`, which says where and how often a process stores its snapshots.
+/// Reads the configuration section `state`, which configures where and how often a process stores its
+/// snapshots.
 #ifndef LOAD_BALANCER_STATE_SECTION_H_
 #define LOAD_BALANCER_STATE_SECTION_H_
 
@@ -21,8 +22,8 @@
   std::string dir;  ///< folder of the snapshots; empty: $TMPDIR
   Milliseconds snapshot_interval{5000};
   Milliseconds max_age{60000};  ///< maximum age of a snapshot that is applied
-  /// Longest time for which a member of a fleet without a usable snapshot waits for the state of a peer
-  /// before /ready succeeds.
+  /// If a member of a fleet has no usable snapshot, /ready does not succeed before the member has received
+  /// the state of a peer or this time has passed.
   Milliseconds peer_wait{2000};
 };
 
--- a/src/state/snapshot.h
+++ b/src/state/snapshot.h
@@ -43,19 +43,20 @@
   kMalformed,     ///< the content cannot be decoded
   kOtherVersion,  ///< the file has another format version
   kOtherName,     ///< another process wrote the file
-  kFromFuture,    ///< the time of the snapshot is further ahead than max_clock_skew
+  kFromFuture,    ///< the snapshot is ahead of the wall clock by more than max_clock_skew
   kTooOld         ///< the snapshot is older than max_age
 };
 
 /// Returns the name of a reason in log lines.
 std::string_view Name(SnapshotRejection rejection);
 
-/// AcceptanceCriteria says which snapshots a reader accepts.
+/// AcceptanceCriteria determines which snapshots a reader accepts.
 struct AcceptanceCriteria {
   std::string name;  ///< name of the process
   UnixMs now = 0;
   UnixMs max_age = 0;
-  /// Largest lead of a snapshot's time over the wall clock, which may have been set back.
+  /// Maximum time by which a snapshot may be ahead of the wall clock, in milliseconds. The wall clock may
+  /// have been set back after the snapshot was written.
   UnixMs max_clock_skew = 0;
 };
 
--- a/src/state/snapshot_file.h
+++ b/src/state/snapshot_file.h
@@ -27,7 +27,8 @@
 using OnFileRejected = std::function<void(const std::string& path, SnapshotRejection rejection)>;
 
 /// Reads the files at `path` and at PreviousPath(path). Returns the acceptable snapshot with the larger
-/// sequence. If there is none, returns the reason for which the last existing file was rejected.
+/// sequence. If there is none, returns the reason for which the file at PreviousPath(path) was rejected or,
+/// if that file does not exist, the reason for the file at `path`.
 std::variant<Snapshot, SnapshotRejection> Recover(const std::string& path, const AcceptanceCriteria& criteria,
                                                   const OnFileRejected& on_rejected);
 
--- a/src/state/snapshot_writer.cpp
+++ b/src/state/snapshot_writer.cpp
@@ -64,11 +64,11 @@
   });
 }
 
-// Skips the snapshot if the previous write is still in progress.
+// Writes a snapshot, unless the previous write is still in progress.
 void SnapshotWriter::Write() {
   if (is_writing_.exchange(true)) return;
-  // A sequence is at least the wall time in milliseconds, and therefore exceeds the sequence of a file that
-  // was rejected at the start.
+  // A sequence is at least the wall time in milliseconds, and therefore exceeds the sequence of any file that
+  // Recover has rejected.
   sequence_ = std::max(sequence_ + 1, UnixMilliseconds());
   Snapshot snapshot{options_.name, sequence_, UnixMilliseconds(), collect_()};
   boost::asio::post(writer_, [this, snapshot = std::move(snapshot)] {
--- a/src/state/snapshot_writer.h
+++ b/src/state/snapshot_writer.h
@@ -25,7 +25,7 @@
   std::string name;  ///< name of the process
   std::chrono::milliseconds interval{5000};
   std::chrono::milliseconds max_age{60000};       ///< maximum age of a snapshot that is recovered
-  std::chrono::milliseconds max_clock_skew{500};  ///< largest lead of a snapshot over the wall clock
+  std::chrono::milliseconds max_clock_skew{500};  ///< maximum time that a snapshot is ahead of the clock
 };
 
 /// SnapshotWriter recovers and writes the snapshots of one process.
--- a/tests/fleet/payload_test.cpp
+++ b/tests/fleet/payload_test.cpp
@@ -19,7 +19,7 @@
 const Udp::endpoint kLongestAddress(boost::asio::ip::make_address("1111:2222:3333:4444:5555:6666:7777:8888"),
                                     65535);
 
-// Returns the largest possible update, with names of the given letter.
+// Returns the largest possible update, whose names consist of the given letter.
 fl::Update LargestUpdate(char letter) {
   return {std::string(fl::kMaxNameBytes, letter), kLongestAddress, fl::MemberState::kSuspect, ~0ull,
           std::string(fl::kMaxNameBytes, letter)};
@@ -81,7 +81,7 @@
     }
     const std::size_t capacity = fl::RemainingBytes("f", message), size = fl::EncodedSize(LargestUpdate('u'));
     message.updates.assign(capacity / size, LargestUpdate('u'));
-    // Fills the remaining bytes with state, whose packed size is exact.
+    // Fills the remaining bytes with state, because its packed size can be chosen exactly.
     if (const std::size_t rest = capacity % size; rest > 3) message.state = std::string(rest - 3, 's');
     EXPECT_LE(fl::Encode("f", message).size(), fl::kMaxDatagramBytes) << kind;
   }
--- a/tests/fleet/relay.cpp
+++ b/tests/fleet/relay.cpp
@@ -250,7 +250,7 @@
       stalled_;  // directions that a stall has stopped; true: from the client
 };
 
-// Holds the routes and serves the control address.
+// Owns the routes and serves the control address.
 class Relay {
  public:
   Relay(asio::io_context& io, std::uint64_t seed)
--- a/tests/model/bandwidth_test.cpp
+++ b/tests/model/bandwidth_test.cpp
@@ -40,7 +40,7 @@
   return options;
 }
 
-// Returns a list of servers in the form in which the holder of the discovery duty publishes it.
+// Returns a list of servers in the form in which the lease holder of the discovery role publishes it.
 std::vector<fleet::NamedValue> ListOf(std::size_t servers, int revision) {
   std::vector<fleet::NamedValue> values;
   for (std::size_t i = 0; i < servers; ++i) {
--- a/tests/model/fleet_test.cpp
+++ b/tests/model/fleet_test.cpp
@@ -43,7 +43,8 @@
 }
 
 // Returns twice the time within which both sides of a cut must have the same view again (docs/fleet.md). The
-// factor 2 is needed because a sync may first contact another one of several members that are seen as dead.
+// factor is 2 because, if several members are seen as dead, the first sync may contact a different one of
+// them.
 Moment ViewsBound(const fleet::FleetSection& section, std::size_t members) {
   return 2 * (Moment(section.sync_interval) + DetectionBound(MembershipOf(section), members));
 }
@@ -74,7 +75,7 @@
 }
 
 // Ejections are announced while messages are lost, delayed, duplicated and reordered and while members stall
-// and restart. Three sync intervals later all members must have the same ejections.
+// and restart. Three sync intervals after the faults end, all members must have the same ejections.
 TEST_P(ConvergenceTest, StatesAgreeThreeSyncsAfterFaultsEnd) {
   const FederationOptions options = Options(3, 4);
   const Trace trace = DrawTrace(GetParam(), {FaultKind::kLoss, FaultKind::kDelay, FaultKind::kDuplicate,
@@ -100,7 +101,7 @@
 
 // Records when each member first sees the victim as dead, and counts live members that are seen as dead.
 struct Deaths : Observer {
-  std::map<std::string, Moment> seen;  // by name of the member that sees it
+  std::map<std::string, Moment> seen;  // by the name of the observing member
   std::size_t false_deaths = 0;
   std::string victim;
   void OnMemberChanged(const PoolMember& by, const fleet::Member& member,
@@ -142,8 +143,8 @@
 };
 
 // Announces ejections of 2 s in fleets of five members with 30% loss. docs/fleet.md bounds the share of
-// members that neither the push nor the gossip reaches at 0.5%. When a push counted as a gossip transmission,
-// 3% were not reached.
+// members that neither the push nor the gossip reaches at 0.5%; the test allows 1%. When a push counted as a
+// gossip transmission, 3% were not reached.
 TEST(EjectionTest, FewMembersMissAShortEjectionUnderLoss) {
   constexpr std::size_t kEjections = 500, kMembers = 5;
   AcceptedEntries accepted;
--- a/tests/model/site_test.cpp
+++ b/tests/model/site_test.cpp
@@ -14,8 +14,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Two sites, each with two gateways and four servers of four cores. Each site has a capacity of 16,000 ms of
-// work per second. `load` is the offered load as a share of that.
+// Two sites, each with two gateways and four servers of four cores. The capacity of each site is 16,000 ms of
+// work per second: 4 servers times 4 cores times 1000 ms. `load` is the offered load as a share of this
+// capacity.
 SceneOptions Options(double load) {
   SceneOptions options;
   options.federation.sites = 2;
@@ -91,7 +92,7 @@
   options.server.cores = 1;
   Scene scene(GetParam(), options);
   FaultOptions faults;
-  faults.machines = 4 + 8;  // gateways and servers; the clients have no faults, as they observe the results
+  faults.machines = 4 + 8;  // 4 gateways and 8 servers; clients have no faults, because they observe results
   faults.from = seconds(2);
   faults.to = seconds(15);
   const Trace trace{GetParam(), DrawFaults(GetParam(), faults)};
--- a/tests/model/sync_test.cpp
+++ b/tests/model/sync_test.cpp
@@ -123,8 +123,8 @@
   std::unique_ptr<Sender> sender_;
 };
 
-// Fleets in which no member, every second member or each member is of the older version. The parameter is the
-// distance between older members; 0: none.
+// Fleets in which no member, every second member or each member is of the older version. With the parameter
+// n, every n-th member is of the older version; 0: none is.
 class MixedVersionsTest : public ::testing::TestWithParam<std::size_t> {};
 
 // Checks that all members agree on the membership and the state after a partition in which members of both
@@ -173,7 +173,8 @@
 };
 
 // In a fleet of 100, a restarted member receives the table of 4 kB. About half of the other members do not
-// know of the restart yet, so some of them exchange a few buckets.
+// know of the restart yet, so some of them exchange a few buckets. The limit is a quarter of the bytes that
+// would be sent if each of the 100 members received the table.
 TEST(SyncTest, SendsLittleMoreThanTheDifferingEntries) {
   SyncBytesObserver observer;
   FederationOptions options;
