--- a/model/fleet/federation.h
+++ b/model/fleet/federation.h
@@ -24,7 +24,7 @@
   fleet::FleetSection federation_pool;    // configuration of that pool; Federation sets the seeds
   std::size_t federation_seeds = 3;       // number of seeds of that pool, taken from the sites in turn
   std::vector<fleet::LeasedRole> federation_duties;
-  Link link;  // between members of a site
+  Link link;  // link between members of one site
   // The link between members of different sites.
   Link inter_site_link{0, 0, 0, std::chrono::milliseconds(5), std::chrono::milliseconds(8)};
   double max_rate_error = 0;  // maximum difference of a clock's rate from 1
--- a/model/machine.h
+++ b/model/machine.h
@@ -17,7 +17,7 @@
 
 namespace load_balancer::model {
 
-inline constexpr std::size_t kMaxQueuedPackets = 256;  // limit at a stalled machine
+inline constexpr std::size_t kMaxQueuedPackets = 256;  // packets queued at a stalled machine
 
 // Runs one program at a time and is the program's host.
 class Machine final : public Host {
--- a/src/fleet/state/state_options.h
+++ b/src/fleet/state/state_options.h
@@ -18,7 +18,7 @@
   bool share_ejections = true;       ///< whether members exchange ejections
   std::size_t affinity_entries = 0;  ///< maximum number of stored affinities; 0: none are exchanged
   UnixMs affinity_ttl = 4000;        ///< time from the timestamp of an affinity to its expiry
-  UnixMs max_clock_skew = 500;       ///< maximum time by which a timestamp is ahead of the wall clock
+  UnixMs max_clock_skew = 500;       ///< maximum time that a timestamp may be ahead of the wall clock
   UnixMs max_ejection = 0;           ///< longest time from the timestamp of an ejection to its end
   UnixMs propagation_time = 0;       ///< longest time that an ejection takes to reach a member
 };
--- a/src/fleet/sync/bucket_digests.cpp
+++ b/src/fleet/sync/bucket_digests.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kDigestBytes = 4;
-constexpr std::size_t kEntriesPerBucket = 4;  // upper end of the average for which CountFor aims
+constexpr std::size_t kEntriesPerBucket = 4;  // upper end of the average that CountFor aims for
 constexpr int kBitsPerByte = 8;
 constexpr int kHashBits = 64;
 
