--- a/model/quota/gateways.cpp
+++ b/model/quota/gateways.cpp
@@ -66,7 +66,8 @@
     if (const auto* lease = std::get_if<fleet::LeaseMessage>(&wire.message))
       return leases_.Receive(packet.from, *lease);
     const auto from = gateways_.by_address_.find(packet.from);
-    // If there is no current proof, pass an earlier one to the allocator, which must itself check the proof.
+    // If there is no current proof that the process holds the lease, pass an earlier proof to the allocator,
+    // which must itself check whether the proof is still valid.
     std::optional<fleet::LeaseProof>& proof = proofs_[wire.allocator];
     if (auto current = leases_.ProveLease(wire.allocator)) proof.emplace(std::move(*current));
     if (!proof || stepping_down_) return;
@@ -237,7 +238,7 @@
   // One account per process. The last account belongs to the process that has the gateway's address.
   std::vector<std::unique_ptr<quota::Account>> accounts_;
   std::vector<quota::Allocator> allocators_;
-  std::vector<std::optional<fleet::LeaseProof>> proofs_;  // the newest proof of each lease
+  std::vector<std::optional<fleet::LeaseProof>> proofs_;  // by lease; the newest proof that it is held
   bool stepping_down_ = false;
   Spender spender_;
   std::vector<Arrival> arrivals_;
--- a/model/quota/gateways.h
+++ b/model/quota/gateways.h
@@ -31,7 +31,7 @@
   double duplicated_fraction = 0;  // fraction of the quota messages that are sent again after a delay
   Span max_delay = std::chrono::seconds(4);  // the longest delay of delayed and duplicated messages
   double mean_cost = 1;                      // mean units per request; if over 1, costs vary
-  SpenderOptions spender;                    // if enabled, spenders replace the clients of SetLoad
+  SpenderOptions spender;                    // if enabled, each Spender replaces clients of SetLoad
   bool record_admissions = true;             // false: requests are counted, but admissions are not recorded
 };
 
@@ -59,7 +59,8 @@
   void SetLoad(std::size_t gateway, const std::string& partner, double per_s);
   // Replaces the budgets of a gateway's configuration file. A running process applies them at once.
   void SetBudgets(std::size_t gateway, std::shared_ptr<const quota::Budgets> budgets);
-  // Sets whether spenders let their accounts fill instead of spending.
+  // Sets whether the worst-case clients (Spender) let the buckets of their accounts fill instead of spending
+  // the tokens.
   void SetSaving(bool saving) { saving_ = saving; }
   // Makes another process take over the gateway's address. The previous process keeps running until its
   // grants expire.
--- a/model/quota/lease_member.h
+++ b/model/quota/lease_member.h
@@ -17,7 +17,7 @@
 
 namespace load_balancer::model {
 
-// The holder of each allocator's lease that is known to the other machines. These learn of a new holder after
+// For each allocator's lease, the holder that the other machines know. They learn of a new holder after
 // kPropagationTime.
 class RoleHolders {
  public:
--- a/model/quota/scale/run.h
+++ b/model/quota/scale/run.h
@@ -25,7 +25,7 @@
   Scenario scenario = Scenario::kSteady;
   std::size_t sites = 3, per_site = 3, partners = 3, allocators = 4;
   std::size_t gateways_per_partner = 9;  // gateways at which a partner has traffic
-  double rate_per_gateway = 20;  // a partner's budget, in requests per second and gateway with traffic
+  double rate_per_gateway = 20;  // a partner's budget, in requests per second per gateway with traffic
   double burst_s = 2;            // the burst, in seconds of the budget's rate
   // Fraction of the budget that is reserved. Nothing is reserved if a gateway's part of it would have a depth
   // of less than one request.
--- a/model/quota/scenario.cpp
+++ b/model/quota/scenario.cpp
@@ -136,8 +136,8 @@
   }
 }
 
-// Schedules times at which spenders save. Each lasts about as long as a bucket needs to fill, so that the
-// time window that follows begins with full buckets.
+// Schedules periods in which the worst-case clients (Spender) save tokens. Each period lasts about as long as
+// a bucket needs to fill, so that the time window that follows begins with full buckets.
 void QuotaScenario::ScheduleSaving(Gateways& gateways) {
   const Moment fill_time = Moment(1'000'000 * (burst_ * 1000 / rate_));
   for (Moment at = kSettledAt; at < kRunLength; at += DrawMoment(milliseconds(100), milliseconds(1200))) {
--- a/model/quota/scenario.h
+++ b/model/quota/scenario.h
@@ -30,8 +30,9 @@
 
   // Draws the faults of the run.
   std::vector<Fault> Faults() const;
-  // Schedules the events that are not faults: changes of demand, times at which spenders save, reloads of
-  // budgets, handovers of gateway addresses, and gateways that step down as lease holders.
+  // Schedules the events that are not faults: changes of demand, periods in which the
+  // worst-case clients (Spender) save tokens, reloads of budgets, handovers of gateway addresses, and
+  // gateways that step down as lease holders.
   void ScheduleEvents(Gateways& gateways);
 
  private:
--- a/model/quota/spender.h
+++ b/model/quota/spender.h
@@ -16,7 +16,7 @@
 
 namespace load_balancer::model {
 
-// The behaviour of a spender.
+// The behaviour of a Spender, that is, of the worst-case clients of one process.
 struct SpenderOptions {
   bool enabled = false;
   Span interval = std::chrono::milliseconds(4);  // between two series of charges
--- a/src/quota/allocator.h
+++ b/src/quota/allocator.h
@@ -63,8 +63,8 @@
  public:
   Allocator(AllocatorOptions options, std::shared_ptr<const Budgets> budgets);
 
-  /// Handles a request that came from the pool address of `gateway`. Does nothing if the proof is no longer
-  /// valid.
+  /// Handles a request that came from the pool address of `gateway`. Does nothing if `proof`, which shows
+  /// that this process holds the lease, is no longer valid.
   void OnRequest(Time now, const fleet::LeaseProof& proof, const std::string& gateway,
                  const AllocationRequest& request, AllocatorActions* actions);
   /// Issues the grants that are due. Call this function at Next() or soon after, while the lease is held.
@@ -113,7 +113,7 @@
   const AllocatorOptions options_;
   const GatewayRegistry gateways_;
   BudgetRevisions revisions_;
-  GrantId last_grant_;                     // its token is the fencing token of the lease
+  GrantId last_grant_;                     // the token in this id is the lease's fencing token
   std::map<std::string, Entry> partners_;  // kept when the lease is lost and acquired again
   std::set<ScheduledPartner> schedule_;
   std::set<std::string> warned_;
--- a/src/quota/messages.h
+++ b/src/quota/messages.h
@@ -50,7 +50,7 @@
   std::uint64_t lifetime_ms = 0;
 };
 
-/// The reserved minimum of the receiving gateway in the allocator's budgets.
+/// The reserved minimum that the receiving gateway has in the allocator's budgets.
 struct ReservedMinimum {
   std::string partner;
   Allocation allocation;
--- a/src/quota/partner_account.h
+++ b/src/quota/partner_account.h
@@ -20,7 +20,7 @@
 /// The reserved minimum of a gateway. From `available_from` on, it is in force whenever no grant is in force.
 struct ReservedMinimumTerms {
   Allocation usable;
-  Allocation configured;  ///< The minimum of the current budgets, usable once all gateways have them.
+  Allocation configured;  ///< In the current budgets; usable once all gateways have them.
   Time available_from;
 };
 
--- a/tests/quota/account_test.cpp
+++ b/tests/quota/account_test.cpp
@@ -100,7 +100,7 @@
   const std::uint64_t request_number = RequestGrant(0);
   ASSERT_EQ(OnResponse(10, GrantOf(request_number, 5, 30 * kUnit)).size(), 1u);
   EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 5, 60 * kUnit)).empty());  // repeated
-  // Older than the grant in force.
+  // This grant is older than the grant in force.
   EXPECT_TRUE(OnResponse(10, GrantOf(request_number, 4, 60 * kUnit)).empty());
   EXPECT_TRUE(OnResponse(10, GrantOf(request_number + 1, 6, 60 * kUnit)).empty());  // for an unknown request
   AllocationResponse foreign = GrantOf(request_number, 7, 60 * kUnit);
@@ -179,7 +179,7 @@
   AllocationResponse agreed{0, 2, 1, true, {}, {}, {}};
   OnResponse(60'000, agreed);
   EXPECT_EQ(ChargeAll(120'000), 40);
-  // A lower minimum applies at once. Here an allocator reports the lower minimum before this gateway has
+  // A lower reserved minimum applies at once. Here an allocator reports it before this gateway has
   // read the file.
   OnResponse(120'000, {0, 3, 1, false, {}, {}, {{"isar", {kUnit, 2 * kUnit}}}});
   EXPECT_EQ(ChargeAll(180'000), 2);
