--- a/model/quota/gateways.h
+++ b/model/quota/gateways.h
@@ -31,7 +31,7 @@
   double duplicated_fraction = 0;  // fraction of the quota messages that are sent again after a delay
   Span max_delay = std::chrono::seconds(4);  // the longest delay of delayed and duplicated messages
   double mean_cost = 1;                      // mean units per request; if over 1, costs vary
-  SpenderOptions spender;                    // if enabled, each Spender replaces clients of SetLoad
+  SpenderOptions spender;                    // if enabled, used instead of the clients of SetLoad
   bool record_admissions = true;             // false: requests are counted, but admissions are not recorded
 };
 
--- a/src/quota/allocator.cpp
+++ b/src/quota/allocator.cpp
@@ -48,8 +48,8 @@
   return {incarnation, revisions_.current->revision, last_grant_.token, is_agreed, {}, {}, {}};
 }
 
-// Begins a term if the token of the lease is new. The grants of earlier holders have expired, because no
-// grant lasts longer than the lease of its holder.
+// Begins a term as holder of the lease if the lease's fencing token is new. The grants of earlier holders
+// have expired, because no grant lasts longer than the lease of its holder.
 void Allocator::BeginTerm(const fleet::LeaseProof& proof, AllocatorActions* actions) {
   if (proof.token() == last_grant_.token) return;
   last_grant_.token = proof.token();
--- a/src/quota/bucket.h
+++ b/src/quota/bucket.h
@@ -46,8 +46,8 @@
   using FineUnits = std::int64_t;
   static constexpr FineUnits kFineUnits = 1'000'000'000;  // per MilliUnit
 
-  // Credit needs the smallest headroom (depth minus level) of the bucket since a charge. The bucket therefore
-  // records the smallest headroom of each period.
+  // To return a charge, the function Credit must know the smallest headroom (depth minus level) since the
+  // charge. The bucket therefore records the smallest headroom of each period.
   static constexpr std::size_t kPeriods = 8;
   static constexpr std::int64_t kPeriodNs = 1 << 28;
 
@@ -64,7 +64,7 @@
   FineUnits level_ = 0;
   FineUnits depth_ = 0;
   std::array<FineUnits, kPeriods> min_headroom_{};
-  std::int64_t newest_period_ = 0;  // the last period with a record
+  std::int64_t newest_period_ = 0;  // the newest period with a recorded headroom
 };
 
 }  // namespace load_balancer::quota
--- a/src/quota/division.cpp
+++ b/src/quota/division.cpp
@@ -41,7 +41,7 @@
     const MilliUnits minimum = minimums_fit ? ReservedDemand(claims[i]) : 0;
     return std::max(minimum, std::min(claims[i].demand, level));
   };
-  // A bisection finds the highest level at which the rates fit into the capacity. It lies in [low,
+  // A bisection finds the highest level at which the rates fit into the capacity. That level is in [low,
   // high).
   MilliUnits low = 0;
   MilliUnits high = totals.largest_demand;
--- a/src/quota/division.h
+++ b/src/quota/division.h
@@ -16,9 +16,9 @@
 /// The claim of one gateway to a share of a rate.
 struct RateClaim {
   MilliUnits demand = 0;
-  /// This part of the demand is satisfied before the rest of the rate is divided.
+  /// The part of the demand that is satisfied before the rest of the rate is divided.
   MilliUnits reserved_minimum = 0;
-  /// A smaller rate is useless to the gateway.
+  /// The smallest rate that is useful to the gateway.
   MilliUnits min_useful_rate = 0;
   /// The end of the claim's current or last turn. During its turn a claim gets `min_useful_rate`, while
   /// claims that wait for their turn get nothing.
--- a/src/quota/partner_allocator.cpp
+++ b/src/quota/partner_allocator.cpp
@@ -10,8 +10,8 @@
 using std::chrono::milliseconds;
 
 constexpr int kSlotsPerLifetime = 16;
-// The shortest time between two issues of grants. This time grows with the number of requesters,
-// because the work grows too.
+// The shortest time between two issues of grants is kMinIssueInterval plus kIssueIntervalPerRequester for
+// each requester, because the work of issuing grants grows with the number of requesters.
 constexpr Span kMinIssueInterval = milliseconds(10);
 constexpr Span kIssueIntervalPerRequester = std::chrono::microseconds(50);
 // A grant should last at least this fraction (1 / 4) of the longest lifetime, so that there is time to renew
--- a/src/quota/reserved_minimums.h
+++ b/src/quota/reserved_minimums.h
@@ -13,8 +13,8 @@
 
 namespace load_balancer::quota {
 
-/// The reserved minimum of each gateway. For a gateway that may still have earlier budgets, it is the largest
-/// reserved minimum of all budgets that the gateway may have.
+/// The reserved minimum of each gateway. For a gateway that may still have earlier budgets, this is
+/// the largest of its reserved minimums in the current and the earlier budgets.
 class ReservedMinimums {
  public:
   /// Keeps references to `gateways` and `revisions`, which must outlive this object.
@@ -37,7 +37,8 @@
   const std::vector<bool>* has_current_;
   // The reserved minimum of each gateway of a site, by site, in the current budgets.
   std::vector<Allocation> current_;
-  // The largest such minimum in all budgets, by site. Empty if it equals `current_`.
+  // The largest reserved minimum of each gateway of a site in all budgets that may be in use, by site. Empty
+  // if it equals `current_`.
   std::vector<Allocation> largest_;
   Allocation total_;
 };
--- a/tests/quota/bucket_test.cpp
+++ b/tests/quota/bucket_test.cpp
@@ -102,7 +102,7 @@
   EXPECT_LE(sum.depth, budget.burst);
   EXPECT_EQ(ReservedMinimumOf(budget, "muc", 3).rate, 666);
   EXPECT_EQ(ReservedMinimumOf(budget, "aug", 3), Allocation{});
-  EXPECT_EQ(SlowedRate(6000, Timings{}), 5806);  // 6000 * 3000 / 3100, rounded down
+  EXPECT_EQ(SlowedRate(6000, Timings{}), 5806);  // 6000 * 3000 ms / (3000 ms + 100 ms drift), rounded down
 }
 
 // The estimate for steady Poisson traffic is close to the rate of the traffic, and follows a shift within 200
