--- a/src/quota/budget_revisions.h
+++ b/src/quota/budget_revisions.h
@@ -22,7 +22,7 @@
   std::vector<std::shared_ptr<const Budgets>> previous;
   std::vector<bool> has_current;         ///< By gateway: whether it has reported the current revision.
   std::size_t current_count = 0;         ///< The number of gateways that have reported the current revision.
-  Time all_current_since = Time::min();  ///< When all gateways had reported it.
+  Time all_current_since = Time::min();  ///< When the last missing gateway reported it.
 
   /// Returns whether gateways may use raised reserved minimums. The result is true once all gateways have had
   /// the current budgets for `wait`, because no grant of earlier budgets is in force then.
--- a/src/quota/demand_estimator.cpp
+++ b/src/quota/demand_estimator.cpp
@@ -10,7 +10,8 @@
 constexpr double kEndOfTrafficCharges = 7;
 // The fewest charges in a window from which a shift can be detected.
 constexpr double kMinShiftCharges = 8;
-// A difference of more than this many standard deviations is a shift.
+// A shift is a difference of more than this many standard deviations between the rate in the short window and
+// the rate in the rest of the long window.
 constexpr double kShiftDeviations = 3;
 
 double Seconds(Span span) { return std::chrono::duration<double>(span).count(); }
--- a/src/quota/demand_ledger.cpp
+++ b/src/quota/demand_ledger.cpp
@@ -14,7 +14,7 @@
 constexpr const char* kVersionKey = "v";
 constexpr const char* kPartnersKey = "partners";
 
-// Throws json::exception or std::invalid_argument if anything is malformed.
+// Throws json::exception or std::invalid_argument if any part of the JSON is malformed.
 std::vector<DemandLedgerEntry> ReadEntries(const json& ledger) {
   if (ledger.at(kVersionKey).get<int>() != kLedgerVersion)
     throw std::invalid_argument("the version of the ledger is not 1");
--- a/src/quota/demand_ledger.h
+++ b/src/quota/demand_ledger.h
@@ -2,7 +2,7 @@
 //
 /// @file
 /// The demand ledger, which an allocator passes to the next lease holder or process as JSON: {"v": 1,
-/// "partners": {partner: {gateway: demand in thousandths per second}}}.
+/// "partners": {partner: {gateway: demand in MilliUnits per second}}}.
 #ifndef LOAD_BALANCER_QUOTA_DEMAND_LEDGER_H_
 #define LOAD_BALANCER_QUOTA_DEMAND_LEDGER_H_
 
--- a/src/quota/message_split.cpp
+++ b/src/quota/message_split.cpp
@@ -35,7 +35,7 @@
  private:
   Message empty_;
   std::vector<Message> messages_;
-  std::size_t used_bytes_ = 0;  // size of the last message
+  std::size_t used_bytes_ = 0;  // upper bound of the size of the last message
 };
 
 }  // namespace
--- a/src/quota/messages.h
+++ b/src/quota/messages.h
@@ -72,11 +72,11 @@
   std::uint64_t token = 0;        ///< The allocator's fencing token.
   /// Whether all gateways have the revision and no grant of an earlier revision is in force.
   bool is_agreed = false;
-  std::vector<Grant> grants;  ///< Empty if the revisions differ.
+  std::vector<Grant> grants;  ///< Empty if sender and receiver have different revisions.
   /// Partners whose reserved minimum at this gateway is needed by other gateways. This gateway should request
   /// a grant for each of them: while it has a grant, the allocator can lend its minimum to other gateways.
   std::vector<std::string> recalls;
-  std::vector<ReservedMinimum> reserved_minimums;  ///< Empty unless the revisions differ.
+  std::vector<ReservedMinimum> reserved_minimums;  ///< Empty if the revisions are equal.
 };
 
 /// The largest size of a message, in bytes of JSON text. The message is sent as MessagePack, which is shorter
--- a/src/quota/partner_account.h
+++ b/src/quota/partner_account.h
@@ -27,8 +27,8 @@
 /// One partner's account at one gateway.
 class PartnerAccount {
  public:
-  /// Starts with an empty bucket at `since`, which may be in the past. `minimum` applies from then on.
-  /// `timings` must outlive this object.
+  /// Creates an account with an empty bucket at `since`, which may be in the past. `minimum` applies from
+  /// then on. `timings` must outlive this object.
   PartnerAccount(Time since, const ReservedMinimumTerms& minimum, const Timings& timings);
 
   /// The source of the allocation in force.
--- a/src/quota/partner_allocator.h
+++ b/src/quota/partner_allocator.h
@@ -41,7 +41,7 @@
 
   /// Returns the grants to issue now: one for each unanswered request, and one for each gateway whose grant
   /// differs from its target while some gateway has less than it needs. No grant lasts beyond `deadline`.
-  /// `last` is the id of the last grant that was issued. Each new grant gets the next number.
+  /// `last` is the id of the last grant that was issued. Each new grant gets the next higher number.
   std::vector<IssuedGrant> IssueGrants(Time now, Time deadline, const Budget& budget,
                                        const ReservedMinimums& minimums, GrantId* last);
   /// Returns the gateways that should request a grant, because other gateways need their reserved minimum and
