--- a/src/quota/demand_estimator.h
+++ b/src/quota/demand_estimator.h
@@ -88,7 +88,8 @@
   void Advance(Time now);
 
   Scale fine_{kBinWidth, kBinWidth};
-  // Windows are at least half a bin long, so that a single charge counts as the traffic of 200 ms.
+  // The windows of the coarse scale are at least half a bin (200 ms) long, so that a single charge counts as
+  // the traffic of 200 ms.
   Scale coarse_{kCoarseBinWidth, kCoarseBinWidth / 2};
   Time last_charge_;
   // The largest costs of the current and of the previous period. A period is as long as the long window of
