--- a/src/quota/partner_account.h
+++ b/src/quota/partner_account.h
@@ -20,15 +20,15 @@
 /// The reserved minimum of a gateway. From `available_from` on, it is in force whenever no grant is in force.
 struct ReservedMinimumTerms {
   Allocation usable;
-  Allocation configured;  ///< The minimum of the current budgets, usable once all gateways have them.
+  Allocation configured;  ///< In the current budgets; usable once all gateways have them.
   Time available_from;
 };
 
 /// One partner's account at one gateway.
 class PartnerAccount {
  public:
-  /// Starts with an empty bucket at `since`, which may be in the past. `minimum` applies from then on.
-  /// `timings` must outlive this object.
+  /// Creates an account with an empty bucket at `since`, which may be in the past. `minimum` applies from
+  /// then on. `timings` must outlive this object.
   PartnerAccount(Time since, const ReservedMinimumTerms& minimum, const Timings& timings);
 
   /// The source of the allocation in force.
