--- a/src/overflow/admission_threshold.h
+++ b/src/overflow/admission_threshold.h
@@ -1,9 +1,9 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // The admission threshold for forwarded requests. While the other sites offer less capacity than is
-// requested, requests with a high priority weight per work are admitted first. The threshold results from the
-// requests of the last seconds and the offered capacity. Requests at the threshold are admitted at random,
-// with the probability that uses up the remaining capacity.
+// requested, requests with a high priority weight per unit of work are admitted first. The threshold results
+// from the requests of the last seconds and the offered capacity. Requests at the threshold are admitted at
+// random, with the probability that uses up the remaining capacity.
 #ifndef LOAD_BALANCER_OVERFLOW_ADMISSION_THRESHOLD_H_
 #define LOAD_BALANCER_OVERFLOW_ADMISSION_THRESHOLD_H_
 
@@ -16,7 +16,8 @@
 
 namespace load_balancer::overflow {
 
-// AdmissionThreshold stores the recent demand, grouped by the priority weight per work of the requests.
+// AdmissionThreshold stores the recent demand, grouped by the priority weight per unit of work of the
+// requests.
 class AdmissionThreshold {
  public:
   struct Decision {
@@ -41,11 +42,11 @@
   // buckets limit what is really forwarded.
   static constexpr double kHeadroom = 1.1;
   static constexpr double kStepsPerOctave = 4;
-  // Weights per work are clamped to this range.
+  // Weights per unit of work are clamped to this range.
   static constexpr double kMinWeightPerWork = 1e-6, kMaxWeightPerWork = 1e6;
   static constexpr std::chrono::milliseconds kDecayInterval{50};
 
-  // Returns the number of the logarithmic step to which a weight per work belongs.
+  // Returns the number of the logarithmic step to which a weight per unit of work belongs.
   static int StepOf(double weight_per_work) {
     return static_cast<int>(std::floor(
         kStepsPerOctave * std::log2(std::clamp(weight_per_work, kMinWeightPerWork, kMaxWeightPerWork))));
@@ -59,7 +60,7 @@
     decayed_at_ = now;
   }
 
-  std::map<int, double> demand_;  // ms of work per second, by step of weight per work
+  std::map<int, double> demand_;  // ms of work per second, by step of weight per unit of work
   Time decayed_at_{};
 };
 
--- a/src/overflow/estimate.h
+++ b/src/overflow/estimate.h
@@ -23,10 +23,10 @@
 // the keys on the wire.
 struct Estimate {
   std::string site;
-  std::uint64_t token = 0;    // of the publisher's lease; receivers reject any below the largest received
-  UnixMs made_at = 0;         // by the publisher's wall clock
-  std::uint64_t mean = 0;     // mean of the spare capacity
-  std::uint64_t low = 0;      // lower bound of the spare capacity, at most the mean
+  std::uint64_t token = 0;  // of the publisher's lease; receivers reject any token below the largest received
+  UnixMs made_at = 0;       // by the publisher's wall clock
+  std::uint64_t mean = 0;   // mean of the spare capacity
+  std::uint64_t low = 0;    // lower bound of the spare capacity, at most the mean
   std::uint64_t wait_ms = 0;  // how long a new request waits before it is served
   std::uint64_t members = 0;  // number of proxies that the estimate covers
   // The site is over capacity. Its gateways may forward requests once this state has settled. The mean and
--- a/src/overflow/rules.h
+++ b/src/overflow/rules.h
@@ -35,7 +35,7 @@
   kAlreadyForwarded,   // another site forwarded it to this site; a request is forwarded only once
   kOverBudget,         // requests of a tenant over its budget are never forwarded
   kUnknownWork,        // no capacity can be charged for a request of unknown work
-  kBelowThreshold,     // its priority weight per work is below the threshold
+  kBelowThreshold,     // its priority weight per unit of work is below the threshold
   kNotOverCapacity,    // this site is not over capacity, or has been so only for a short time
   kTooLate,            // no other site could respond within the latency objective
   kNoCapacity,         // no other site offers enough capacity to this gateway now
--- a/src/overflow/token_bucket.h
+++ b/src/overflow/token_bucket.h
@@ -21,7 +21,7 @@
 
   // Sets the rate (ms of hinted work per second) and the depth (ms of hinted work) from `now` on. The time
   // since the last call is credited at the smaller of the old and the new rate. A level above the new depth
-  // is lowered to it at once.
+  // is lowered to the new depth at once.
   void SetRate(Time now, double rate, double depth) {
     Refill(now, std::min(rate, rate_));
     rate_ = rate;
--- a/src/proxy/backend/connection.cpp
+++ b/src/proxy/backend/connection.cpp
@@ -213,7 +213,7 @@
 }
 
 void Backends::Connection::WriteNext() {
-  ClearTimer();  // the sender of the body has its own time limit
+  ClearTimer();  // the client that sends the body has its own time limit
   request_.body->Next([weak = weak_from_this(), use = use_number_](Piece piece) {
     const auto self = weak.lock();
     if (self && use == self->use_number_ && self->phase_ == Phase::kSending && self->HasAttempt())
--- a/src/proxy/backend/response_reader.cpp
+++ b/src/proxy/backend/response_reader.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::size_t kMaxHeaderBytes = 16 * 1024;
 constexpr std::size_t kMaxChunkHeaderBytes = 4 * 1024;
-// A response of unknown length that is not complete after this time is streamed.
+// Time after which an incomplete response of unknown length is streamed.
 constexpr std::chrono::milliseconds kBufferTime{100};
 
 }  // namespace
--- a/src/proxy/body.h
+++ b/src/proxy/body.h
@@ -33,7 +33,7 @@
 };
 
 // BodySource provides a body, or the rest of one, in pieces. It reads from the sender only when a piece is
-// requested, which gives backpressure.
+// requested, so that a slow receiver slows down the sender.
 class BodySource {
  public:
   using OnPiece = std::function<void(Piece)>;
--- a/src/proxy/client/request_reader.h
+++ b/src/proxy/client/request_reader.h
@@ -36,7 +36,7 @@
   boost::asio::mutable_buffer PrepareRead(std::size_t max_bytes = kNoLimit);
   // Adds `bytes` bytes that have been read into the memory of PrepareRead.
   void Received(std::size_t bytes);
-  // Frees the memory of parsed bytes. No memory of PrepareRead may be in use.
+  // Frees the memory of parsed bytes. No read into the buffer of PrepareRead may be in progress.
   void FreeMemory() { buffer_.shrink_to_fit(); }
   // Returns the number of bytes that have been received but not parsed.
   std::size_t unparsed() const { return buffer_.size(); }
--- a/tests/overflow/model_test.cpp
+++ b/tests/overflow/model_test.cpp
@@ -14,7 +14,7 @@
 
 constexpr seconds kBefore{20}, kEnd{60}, kDrain{5};
 
-// Outcome holds the counts of one run.
+// Outcome holds the counts of requests in one run of the model.
 struct Outcome {
   std::vector<Tally> sites;
   Tally sum;
