--- a/model/overflow/federation.h
+++ b/model/overflow/federation.h
@@ -28,8 +28,8 @@
   kOff,
   kRandom,     // to a random gateway of another site, without estimates
   kEstimates,  // to the gateway that the real OverflowRouter selects from estimates
-  // The same as kOracle, except that the site is chosen by the state of the sites when the request is sent,
-  // and that the number of attempts is the usual one.
+  // A request that passes the admission threshold goes to the site that has the most free cores when the
+  // request is sent. It is attempted up to MaxAttempts times.
   kInformed,
   // A request that passes the admission threshold goes to the site with the most free cores at the moment
   // when the request arrives there.
--- a/model/overflow/gateway.cpp
+++ b/model/overflow/gateway.cpp
@@ -86,7 +86,7 @@
 void OverflowGateway::Arrive() {
   const double load = federation_.load(site_);
   if (load <= 0) {
-    next_arrival_ = next_report_;  // the load may have been changed by then
+    next_arrival_ = next_report_;  // checks the load again then
     return;
   }
   const OverflowFederationOptions& options = federation_.options();
--- a/model/overflow/servers.h
+++ b/model/overflow/servers.h
@@ -42,7 +42,7 @@
   // Sets the number of cores from now on. Requests that run on removed cores are finished.
   void Resize(int cores) { cores_ = cores; }
   double capacity() const { return 1000.0 * cores_; }  // ms of work per second
-  Moment Wait() const;                                 // wait of an own request that arrives now
+  Moment Wait() const;                                 // time that an own request arriving now waits
 
  private:
   void Start(double work, bool is_own, Done done);
--- a/model/overflow/traffic.h
+++ b/model/overflow/traffic.h
@@ -29,7 +29,8 @@
       std::chrono::milliseconds(1500)},
      {Idempotency::kIdempotent, 0.1, 0.5, 50, std::chrono::milliseconds(1000),
       std::chrono::milliseconds(2000)}}};
-inline constexpr double kMeanWorkMs = 0.6 * 15 + 0.3 * 25 + 0.1 * 50;  // over all classes
+// The sum over all classes of fraction x work.
+inline constexpr double kMeanWorkMs = 0.6 * 15 + 0.3 * 25 + 0.1 * 50;
 
 // ModelRequest is one request of a client.
 struct ModelRequest {
@@ -44,10 +45,11 @@
 // Tally counts the requests that arrived at one site. The weights are sums of priority weights.
 struct Tally {
   std::uint64_t received = 0, answered = 0, given_up = 0, forwarded = 0;
-  // Weight of all requests, and of those answered within the latency objective at this site or at others.
+  // `offered` is the weight of all requests. `own` and `elsewhere` are the weights of requests that this site
+  // and other sites answered within the latency objective.
   double offered = 0, own = 0, elsewhere = 0;
   std::array<double, overflow::kReasonCount> lost{};  // weight that Strategy::kEstimates gave up, by reason
-  double late = 0;                                    // weight of those answered past the latency objective
+  double late = 0;  // weight of requests answered after the latency objective
   double served() const { return own + elsewhere; }
   void Add(const Tally& other) {
     received += other.received;
--- a/src/overflow/estimate.h
+++ b/src/overflow/estimate.h
@@ -68,7 +68,8 @@
   // Returns the age of the site's estimate, or Span::max() if there is none.
   Span Age(Time now, const std::string& site) const;
   // Returns how much work all other sites together may forward to the site now, in ms of hinted work per
-  // second: `offered_fraction` of the mean or the lower bound, whichever is smaller, reduced by age.
+  // second. This is the smaller of `offered_fraction` x mean and the lower bound, multiplied by the weight
+  // that Decay returns for the age of the estimate.
   double OfferedCapacity(Time now, const std::string& site) const;
   // Returns whether it is certain that the site's gateways forward nothing. This is so when the site has had
   // spare capacity for so long that none of its gateways still uses an older estimate, by which the site was
--- a/src/overflow/estimate_publisher.cpp
+++ b/src/overflow/estimate_publisher.cpp
@@ -7,7 +7,8 @@
 namespace load_balancer::overflow {
 namespace {
 
-constexpr Milliseconds kMaxWait{3600000};  // also published by a site without servers
+// Longest wait that an estimate states. A site without servers states this wait as well.
+constexpr Milliseconds kMaxWait{3600000};
 
 std::uint64_t RoundDown(double value) { return static_cast<std::uint64_t>(std::max(0.0, std::floor(value))); }
 
--- a/src/overflow/estimate_publisher.h
+++ b/src/overflow/estimate_publisher.h
@@ -1,8 +1,8 @@
 // SPDX-License-Identifier: Apache-2.0
 //
 // Adds up the spare capacity of a site's members and makes the site's estimate. Only the holder of the lease
-// `ambassador/SITE` makes estimates: each one requires a valid lease proof and contains the token of the
-// proof.
+// `ambassador/SITE` makes estimates. An estimate is made only with a valid proof that this process holds the
+// lease, and it contains the token of this proof.
 #ifndef LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
 #define LOAD_BALANCER_OVERFLOW_ESTIMATE_PUBLISHER_H_
 
@@ -26,7 +26,8 @@
   Milliseconds wait{0};      // how long a new request waits before it is served
 };
 
-// FencingProof is a lease proof that is checked again when it is used. See fleet/lease/fencing.h.
+// FencingProof is the type of a proof that this process holds a lease. The proof is checked again when it is
+// used. See fleet/lease/fencing.h.
 template <typename T>
 concept FencingProof = requires(const T& proof, Time now) {
   { proof.IsValid(now) } -> std::convertible_to<bool>;
--- a/src/overflow/overflow_router.h
+++ b/src/overflow/overflow_router.h
@@ -62,7 +62,7 @@
   RemoteGateway gateway;
   bool present = true;
 };
-// Tick reports that the time of a SetTimer has come. The caller also sends one at the start.
+// Tick reports that the time of a SetTimer has come. The caller also sends a Tick when it starts.
 struct Tick {};
 // NewSettings replaces the options and the directory.
 struct NewSettings {
@@ -80,11 +80,12 @@
   RemoteGateway destination;
   Span timeout{0};
 };
-// GiveUp is final: the caller responds to the client with the rejection at once.
+// GiveUp tells the caller to send the rejection to the client at once. The router returns no further
+// action for the request.
 struct GiveUp {
   RequestId request = 0;
   bool may_have_run = false;  // if false, the response states that the request can safely be repeated
-  Span retry_after{0};        // 0: no advice
+  Span retry_after{0};        // advice to the client when to retry; 0: none
   RejectReason reason = RejectReason::kNoCapacity;
 };
 // Log tells the caller to log a decision that affects which site serves requests. If `kind` is set, the
@@ -110,7 +111,8 @@
   // a GiveUp, or to nothing if its outcome is kOk.
   void Handle(Time now, const Event& event, std::vector<Action>* actions);
 
-  // Returns the newest estimate of the site, which responses to forwarded requests carry, or null.
+  // Returns the newest estimate of the site, or null if there is none. Responses to forwarded requests carry
+  // the estimate of the site that responds.
   const Estimate* FindEstimate(const std::string& site) const { return estimates_.Find(site); }
 
   struct Counts {
@@ -130,7 +132,7 @@
     Time objective_at{}, deadline_at{};
     double reserved_fraction = 0;  // fraction of a bucket's depth reserved for requests of higher weight
     int attempts = 0;
-    std::set<std::string> tried;  // sites
+    std::set<std::string> tried;  // sites to which the request has been sent
     RemoteGateway destination;
   };
 
--- a/src/overflow/remote_gateways.cpp
+++ b/src/overflow/remote_gateways.cpp
@@ -27,8 +27,8 @@
   if (found != health_.end()) found->second.present = present;
 }
 
-// Begins a new interval without counts. An interval that ended without an ejection lowers the multiplier
-// by 1.
+// If the interval has ended, resets the counts and begins a new interval. An interval that had results but no
+// ejection lowers the multiplier of the ejection time by 1.
 void RemoteGateways::EndIntervalIfDue(Time now, Health& health) const {
   if (health.ejected || now < health.interval_ends) return;
   if (health.successes + health.failures > 0) health.multiplier = std::max(0, health.multiplier - 1);
--- a/src/overflow/rules.h
+++ b/src/overflow/rules.h
@@ -19,13 +19,13 @@
   RequestId request = 0;
   Idempotency idempotency = Idempotency::kNotIdempotent;
   Span latency_objective_left{0}, deadline_left{0};  // time left until the objective and the deadline
-  double work_ms = 0;          // the hinted work, or the module's mean where there is no hint
+  double work_ms = 0;          // the hinted work, or the decision module's mean if there is no hint
   double priority_weight = 0;  // of a response within the latency objective
   std::uint64_t key = 0;       // 0: the request has no key
   bool within_budget = true;   // its tenant is within its budget
   bool may_have_run = false;   // an attempt was sent, and it is not proven that a server did not run it
   bool forwarded = false;      // another site has forwarded it to this site
-  Span retry_after{0};         // the module's advice to the client; 0: none
+  Span retry_after{0};         // the decision module's advice to the client when to retry; 0: none
 };
 
 // RejectReason says why a request is not forwarded, or not forwarded again.
@@ -36,7 +36,7 @@
   kOverBudget,         // requests of a tenant over its budget are never forwarded
   kUnknownWork,        // no capacity can be charged for a request of unknown work
   kBelowThreshold,     // its priority weight per unit of work is below the threshold
-  kNotOverCapacity,    // this site is not over capacity, or has been so only for a short time
+  kNotOverCapacity,    // this site is not over capacity, or has been over capacity only for a short time
   kTooLate,            // no other site could respond within the latency objective
   kNoCapacity,         // no other site offers enough capacity to this gateway now
   kNoGateway,          // no gateway of any other site is in service
--- a/src/proxy/backends.cpp
+++ b/src/proxy/backends.cpp
@@ -16,8 +16,9 @@
 namespace asio = boost::asio;
 using Tcp = asio::ip::tcp;
 
-constexpr double kIdleShare =
-    0.8;  // fraction of the time after which servers close idle connections; the proxy must close first
+// Fraction of the servers' idle timeout after which the proxy closes an idle connection. The proxy must close
+// it before the server does.
+constexpr double kIdleShare = 0.8;
 
 // A response does not say to which request it belongs. A duplicate that arrives some ms late would be taken
 // for the response to the next request on its connection. After unexpected bytes, connections therefore stay
--- a/src/proxy/client/request_reader.cpp
+++ b/src/proxy/client/request_reader.cpp
@@ -19,8 +19,8 @@
 // for later requests, it starts with their first byte. A client that sends no valid request must get an error
 // or a close within 3 s of connecting.
 constexpr std::chrono::milliseconds kHeadTimeout{2500};
-// The body must not pause for longer than kMaxBodyPause. The whole transfer may take kMaxBodyPause longer
-// than its bytes take at kMinBodyBytesPerSecond.
+// The body must not pause for longer than kMaxBodyPause. The whole transfer may take kMaxBodyPause plus
+// the time that its bytes need at kMinBodyBytesPerSecond.
 constexpr std::chrono::milliseconds kMaxBodyPause{2000};
 constexpr double kMinBodyBytesPerSecond = 16 * 1024;  // slow clients send four times as much
 
--- a/src/proxy/client/session.cpp
+++ b/src/proxy/client/session.cpp
@@ -155,8 +155,8 @@
   });
 }
 
-// Finishes the write of a complete response. Aborts a pending request or a streamed response, because the
-// client would not read the response.
+// Called when the client has closed its connection. The write of a complete response continues. A pending
+// request or a streamed response is aborted, because the client would not read the response.
 void Clients::Session::OnClientClosed() {
   client_closed_ = true;
   if (state_ != State::kWriting || response_source_) AbortRequest();
--- a/src/proxy/client/session.h
+++ b/src/proxy/client/session.h
@@ -56,16 +56,14 @@
   // Returns whether a response, or the rest of one, is still to be written.
   bool OwesResponse() const { return IsPending() || state_ == State::kWriting; }
 
-  // ---- Responder: the response to the request
-  // -------------------------------------------------------------------------------------
+  // ---- Responder: the response to the request -------------------------------------------
   void Served(HttpResponse response, Buffers::Reservation reservation) override;
   void StreamStarted(ResponseHead head) override;
   void Rejected(Duration retry_after) override;
   void Failed() override;
   void OverBudget(Duration retry_after) override;
 
-  // ---- BodySource: the body of the request
-  // -----------------------------------------------------------------
+  // ---- BodySource: the body of the request ----------------------------------------------
   void Next(OnPiece on_piece) override;
   void Abandon() override { on_piece_ = nullptr; }
   bool HasStarted() const override { return has_started_; }
--- a/src/proxy/clients.h
+++ b/src/proxy/clients.h
@@ -50,10 +50,10 @@
   // Returns the configuration that applies to new requests.
   virtual std::shared_ptr<const Config> CurrentConfig() const = 0;
   // Returns whether the gateway of another site has sent the request here as overflow. Removes the header
-  // that marks it.
+  // that marks the request as overflow.
   virtual bool TakeOverflowMark(HttpRequest* message, const boost::asio::ip::address& peer) = 0;
-  // Returns the load estimate of this site, which responses to overflow requests carry in a header. Empty: no
-  // header.
+  // Returns the load estimate of this site, which responses to overflow requests carry in a header. If it is
+  // empty, they have no such header.
   virtual std::string EstimateText() const = 0;
 };
 
--- a/tests/backends_test.cpp
+++ b/tests/backends_test.cpp
@@ -111,7 +111,7 @@
   ASSERT_TRUE(fixture.result.has_value());
   EXPECT_EQ(fixture.result->outcome, Outcome::kNotSent);
   EXPECT_FALSE(first.has_value());
-  // The first attempt continues. Once its connection is idle, it is closed to make room for another.
+  // The first attempt continues. Its connection is closed once it is idle, so that another can be opened.
   Tcp::socket peer = fixture.Accept();
   fixture.ReadRequest(peer);
   SendRaw(peer, OkAnswer("served"));
--- a/tests/body_test.cpp
+++ b/tests/body_test.cpp
@@ -357,7 +357,7 @@
   for (std::size_t at = 0; at < body.size(); at += 2000) {
     client.Send(body.substr(at, 2000));
     std::this_thread::sleep_for(
-        std::chrono::milliseconds(75));  // in total longer than the time limit of a head
+        std::chrono::milliseconds(75));  // 40 pieces take 3 s, longer than the time limit of a head
   }
   EXPECT_TRUE(ReadLarge(client).body() == body);
 }
--- a/tests/client/gone_test.cpp
+++ b/tests/client/gone_test.cpp
@@ -60,10 +60,10 @@
   return true;
 }
 
-// QueuedInput is what a client has sent before it disconnects, from the pending request on.
+// QueuedInput is the input that a client sends before it disconnects.
 struct QueuedInput {
   const char* name;
-  std::string bytes;  // sent after the start of the pending request
+  std::string bytes;  // the pending request and the input that follows it
 };
 
 void PrintTo(const QueuedInput& queued, std::ostream* out) { *out << queued.name; }
--- a/tests/overflow/herd_test.cpp
+++ b/tests/overflow/herd_test.cpp
@@ -141,7 +141,7 @@
   while (herd.passed < Milliseconds(60000)) herd.Step(2000);
   double sum = 0;
   for (const auto& [at, work] : herd.sent_to_a) sum += work;
-  EXPECT_GT(sum, 0.2 * 1000 * 60);
+  EXPECT_GT(sum, 0.2 * 1000 * 60);  // 20 % of the offered 1000 ms of work per second, for 60 s
 }
 
 }  // namespace
--- a/tests/overflow/overflow_router_test.cpp
+++ b/tests/overflow/overflow_router_test.cpp
@@ -250,11 +250,12 @@
   RequestId id = 0;
   for (int i = 0; i < 80; ++i) {
     fixture.Pass(Milliseconds(100), {SpareEstimate("b", 4000)});
-    for (int n = 0; n < 18; ++n) send(++id, 10);  // 90 % of the offered capacity
+    for (int n = 0; n < 18; ++n) send(++id, 10);  // 18 x 10 ms of work per 100 ms: 90 % of 2000 ms/s
   }
   for (int i = 0; i < 100 && send(++id, 10); ++i) {
   }
-  fixture.Pass(Milliseconds(100), {SpareEstimate("b", 4000)});  // refills half of the bucket
+  // 100 ms is half of the slack of 200 ms, so half of the bucket is refilled.
+  fixture.Pass(Milliseconds(100), {SpareEstimate("b", 4000)});
   for (int i = 0; i < 10; ++i) {
     EXPECT_FALSE(send(++id, 1));
     ASSERT_TRUE(fixture.Find<GiveUp>());
--- a/tests/overflow/remote_gateways_test.cpp
+++ b/tests/overflow/remote_gateways_test.cpp
@@ -60,7 +60,8 @@
   std::mt19937_64 random{3};
   RemoteGateways gateways{MakeSites(3, 2), "a", random};
   const RemoteGateway one{"b", "1"};
-  // Records failures until the gateway is ejected. Returns how many it took, or 0.
+  // Records failures until the gateway is ejected. Returns how many failures that took, or 0 if 99 were
+  // not enough.
   int Eject(Time now) {
     for (int failures = 1; failures < 100; ++failures)
       if (gateways.RecordResult(now, one, false)) return failures;
