--- a/src/overflow/estimate.h
+++ b/src/overflow/estimate.h
@@ -23,10 +23,10 @@
 // the keys on the wire.
 struct Estimate {
   std::string site;
-  std::uint64_t token = 0;    // of the publisher's lease; receivers reject any below the largest received
-  UnixMs made_at = 0;         // by the publisher's wall clock
-  std::uint64_t mean = 0;     // mean of the spare capacity
-  std::uint64_t low = 0;      // lower bound of the spare capacity, at most the mean
+  std::uint64_t token = 0;  // of the publisher's lease; receivers reject any token below the largest received
+  UnixMs made_at = 0;       // by the publisher's wall clock
+  std::uint64_t mean = 0;   // mean of the spare capacity
+  std::uint64_t low = 0;    // lower bound of the spare capacity, at most the mean
   std::uint64_t wait_ms = 0;  // how long a new request waits before it is served
   std::uint64_t members = 0;  // number of proxies that the estimate covers
   // The site is over capacity. Its gateways may forward requests once this state has settled. The mean and
@@ -68,7 +68,8 @@
   // Returns the age of the site's estimate, or Span::max() if there is none.
   Span Age(Time now, const std::string& site) const;
   // Returns how much work all other sites together may forward to the site now, in ms of hinted work per
-  // second: `offered_fraction` of the mean or the lower bound, whichever is smaller, reduced by age.
+  // second. This is the smaller of `offered_fraction` x mean and the lower bound, multiplied by the weight
+  // that Decay returns for the age of the estimate.
   double OfferedCapacity(Time now, const std::string& site) const;
   // Returns whether it is certain that the site's gateways forward nothing. This is so when the site has had
   // spare capacity for so long that none of its gateways still uses an older estimate, by which the site was
